--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -9,12 +9,12 @@
 import typer
 
 from marbleworks import VERSION
-from marbleworks.deployment import DeploymentError
-from marbleworks.early import Early
+from marbleworks.settings import DeploymentError
+from marbleworks.startup_signals import Early
 
 if TYPE_CHECKING:
-    from marbleworks.house.fittings import Fitted
-    from marbleworks.net.serve import Station
+    from marbleworks.net.server import Station
+    from marbleworks.subsystems.wiring import Fitted
 
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, rich_markup_mode=None
@@ -38,9 +38,9 @@
     """What the operator's file turns on; nothing of it is imported without one."""
     if not path:
         return None
-    from marbleworks.house.fittings import Fitted
-    from marbleworks.house.sections import read_book
-    from marbleworks.operator.book import OperatorError
+    from marbleworks.operator_config.document import OperatorError
+    from marbleworks.subsystems.registry import read_book
+    from marbleworks.subsystems.wiring import Fitted
 
     try:
         return Fitted(read_book(path))
@@ -49,7 +49,7 @@
 
 
 def _station(path: str) -> Station:
-    from marbleworks.net.serve import Station
+    from marbleworks.net.server import Station
 
     try:
         if not path:
@@ -63,7 +63,7 @@
 def serve(config: str = CONFIGURATION, operator: str = OPERATOR) -> None:
     """Run one router until SIGTERM."""
     early = Early()
-    from marbleworks.net.serve import serve as run
+    from marbleworks.net.server import serve as run
 
     station = _station(config)
     try:
@@ -84,7 +84,7 @@
 @app.command()
 def settings() -> None:
     """Print every setting of the operator's file: type, bounds, default, meaning."""
-    from marbleworks.house.sections import described
+    from marbleworks.subsystems.registry import described
 
     for line in described():
         typer.echo(line)
@@ -111,7 +111,7 @@
     ref: str = typer.Option("", "--ref", help="One command's id."),
 ) -> None:
     """Print who was queued, promised and turned away, and why."""
-    from marbleworks.door.explain import explained
+    from marbleworks.fair_queue.trace_report import explained
 
     try:
         with open(log, encoding="utf-8", errors="replace") as lines:
@@ -129,7 +129,7 @@
 @peers.command("show")
 def peers_show(address: str = ADDRESS) -> None:
     """Print a router's view, doubts and rights as a table."""
-    from marbleworks.peers.show import Unasked, asked, table
+    from marbleworks.membership.report import Unasked, asked, table
 
     try:
         for line in table(asked(address)):
@@ -145,7 +145,7 @@
     times: int = typer.Option(0, min=0, help="So many looks; 0: until interrupted."),
 ) -> None:
     """Print a line for each change of a router's view or standing."""
-    from marbleworks.peers.show import Unasked, watched
+    from marbleworks.membership.report import Unasked, watched
 
     try:
         for line in watched(address, every, times):
@@ -169,8 +169,8 @@
 @budgets.command("show")
 def budgets_show(addresses: list[str] = ADDRESSES) -> None:
     """Print each budget: whole, held, used, free, unreachable, by router."""
-    from marbleworks.budgets.show import shown
-    from marbleworks.peers.show import Unasked
+    from marbleworks.budgets.report import shown
+    from marbleworks.membership.report import Unasked
 
     try:
         for line in shown(addresses):
@@ -266,7 +266,7 @@
 @spool.command("list")
 def spool_list(folder: str = FOLDER) -> None:
     """Print a line for each result that stands."""
-    from marbleworks.spool.tool import listed
+    from marbleworks.spool.maintenance import listed
 
     try:
         for line in listed(folder):
@@ -278,7 +278,7 @@
 @spool.command("check")
 def spool_check(folder: str = FOLDER) -> None:
     """Read a folder through to the last byte; exit 1 where anything is wrong."""
-    from marbleworks.spool.tool import checked
+    from marbleworks.spool.maintenance import checked
 
     try:
         lines, whole = checked(folder)
@@ -292,7 +292,7 @@
 @spool.command("drop")
 def spool_drop(folder: str = FOLDER, number: list[str] = NUMBERS) -> None:
     """Drop results of a folder that no router has."""
-    from marbleworks.spool.tool import drop
+    from marbleworks.spool.maintenance import drop
 
     try:
         count = drop(folder, [int(text, 16) for text in number])
--- a/marbleworks/background/terms.py
+++ b/marbleworks/background/options.py
@@ -1,6 +1,6 @@
 """What the operator may say of background work."""
 
-from marbleworks.operator.kinds import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Kind, Section, Setting
 
 BACKGROUND = Section(
     "background",
--- a/marbleworks/background/worker.py
+++ b/marbleworks/background/task_runner.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from marbleworks.background.order import Chore, Order
+from marbleworks.background.task_queue import Chore, Order
 from marbleworks.background.threads import Threads
 from marbleworks.net.actor import LOG, clock, start
 
--- a/marbleworks/budgets/ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from marbleworks.budgets.needs import Need, divided
-from marbleworks.budgets.plan import HIGHEST, Whole
-from marbleworks.budgets.wire import Answer, Entry, Grant, Report
-from marbleworks.peers.rights import DRIFT
+from marbleworks.budgets.budget_catalog import HIGHEST, Whole
+from marbleworks.budgets.codec import Answer, Entry, Grant, Report
+from marbleworks.budgets.fair_division import Need, divided
+from marbleworks.membership.leader_election import DRIFT
 
 EVERY = 0.1  # seconds between divisions of one budget
 QUIET = 1.0  # seconds without a report after which a router's need counts no more
--- a/marbleworks/budgets/wire.py
+++ b/marbleworks/budgets/codec.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from marbleworks.peers.wire import MOST, Format, count, read_strictly, seal, unseal
+from marbleworks.membership.codec import MOST, Format, count, read_strictly, seal, unseal
 
 FORMAT = Format(0xD2, 1, 1)
 ENTRIES = 14  # of a report at most
--- a/marbleworks/budgets/holder.py
+++ b/marbleworks/budgets/enforcement.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from marbleworks.budgets.plan import COLD_UNITS, Plan, Whole
-from marbleworks.budgets.purse import WAITS, Pocket, Purse
-from marbleworks.budgets.wire import Answer, Report
-from marbleworks.decide import COLD_TRUST
+from marbleworks.budgets.budget_catalog import COLD_UNITS, Plan, Whole
+from marbleworks.budgets.codec import Answer, Report
+from marbleworks.budgets.local_budget import WAITS, Pocket, Purse
 from marbleworks.net.actor import LOG, clock
-from marbleworks.net.desk import Desk
+from marbleworks.net.dispatcher import Desk
+from marbleworks.scheduling.scheduler import COLD_TRUST
 
 ROUND = 0.4  # seconds within which a part that is asked for comes, mostly
 LONGEST = 60.0  # seconds that anyone is told to stay away
--- a/marbleworks/budgets/purse.py
+++ b/marbleworks/budgets/local_budget.py
@@ -12,9 +12,9 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.wire import Answer, Entry, Report, parts
-from marbleworks.peers.rights import DRIFT
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.codec import Answer, Entry, Report, parts
+from marbleworks.membership.leader_election import DRIFT
 
 PACE_OVER = 2.0  # seconds over which the pace of ends is counted
 FLOWS_OVER = 0.3  # seconds over which what comes is counted
--- a/marbleworks/budgets/terms.py
+++ b/marbleworks/budgets/options.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from marbleworks.operator.kinds import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Kind, Section, Setting
 
 
 def _fit(budget: dict[str, Any]) -> str | None:
--- a/marbleworks/budgets/show.py
+++ b/marbleworks/budgets/report.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from marbleworks.peers.show import Unasked, aligned, asked
+from marbleworks.membership.report import Unasked, aligned, asked
 
 OWN = ("budget", "whole", "base", "part", "used", "holds for")
 BOOKS = ("budget", "whole", "held", "used", "free", "unreachable", "by router")
--- a/marbleworks/budgets/treasurer.py
+++ b/marbleworks/budgets/service.py
@@ -9,16 +9,16 @@
 
 from typing import Any
 
-from marbleworks.budgets.holder import Holder, told_of
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import Plan, Whole
-from marbleworks.budgets.purse import Purse
-from marbleworks.budgets.wire import FORMAT, Answer, Report, decode, encode_answer, encode_report
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import Plan, Whole
+from marbleworks.budgets.codec import FORMAT, Answer, Report, decode, encode_answer, encode_report
+from marbleworks.budgets.enforcement import Holder, told_of
+from marbleworks.budgets.local_budget import Purse
+from marbleworks.membership.codec import Unreadable, group_of
+from marbleworks.membership.node import Heed
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.desk import Desk
-from marbleworks.net.peers import Kind, Peers
-from marbleworks.peers.fellow import Heed
-from marbleworks.peers.wire import Unreadable, group_of
+from marbleworks.net.datagrams import Kind, Peers
+from marbleworks.net.dispatcher import Desk
 
 EVERY = 0.2  # seconds between reports
 SOONEST = 0.05  # and where something waits
--- a/marbleworks/cells/level.py
+++ b/marbleworks/cells/budget_leases.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, replace
 from types import MappingProxyType
 
-from marbleworks.budgets.ledger import Account, Backing, Book, Ledger, Members, Sums
-from marbleworks.budgets.plan import HIGHEST, Whole
-from marbleworks.budgets.purse import Pocket, Purse
-from marbleworks.budgets.wire import FORMAT, Answer, Entry, Report
-from marbleworks.budgets.wire import decode as decode_budgets
-from marbleworks.peers.rights import DRIFT
-from marbleworks.peers.wire import count, read_strictly, seal, unseal
+from marbleworks.budgets.allocation_ledger import Account, Backing, Book, Ledger, Members, Sums
+from marbleworks.budgets.budget_catalog import HIGHEST, Whole
+from marbleworks.budgets.codec import FORMAT, Answer, Entry, Report
+from marbleworks.budgets.codec import decode as decode_budgets
+from marbleworks.budgets.local_budget import Pocket, Purse
+from marbleworks.membership.codec import count, read_strictly, seal, unseal
+from marbleworks.membership.leader_election import DRIFT
 
 SILENT = 1.2  # seconds without an answer after which a leader looks for whoever has the right above
 ASKS = 0.2  # seconds between its questions for that
--- a/marbleworks/cells/homes.py
+++ b/marbleworks/cells/home_leases.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from marbleworks.peers.rights import DRIFT
+from marbleworks.membership.leader_election import DRIFT
 
 MOST_PLANS = 16  # adopted since one that was clear, that a holder remembers
 MOST_ASKS = 64  # that may be out
--- a/marbleworks/cells/terms.py
+++ b/marbleworks/cells/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from marbleworks.operator.kinds import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Kind, Section, Setting
 
 EXACT = 0.001  # by which the regions' shares may miss the whole
 SPLITS = 2.5  # a cell that splits leaves two of at least 1 / SPLITS of the most that it may have
--- a/marbleworks/cells/planner.py
+++ b/marbleworks/cells/planner/revision.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from marbleworks.cells.plan import FULL, WHOLE, Cell, Loan, Part, Plan, PlanError, rendezvous
-from marbleworks.deployment import Deployment
+from marbleworks.settings import Deployment
 
 BALANCE = 0.15  # part by which what a cell has of one kind may differ from the mean of its region
 SPREAD = 0.30  # and of one kind in one zone
--- a/marbleworks/door/door.py
+++ b/marbleworks/fair_queue/admission.py
@@ -13,11 +13,11 @@
 from enum import Enum
 from typing import Protocol
 
-from marbleworks.door.bookings import EARLY, Bookings
-from marbleworks.door.fair import Fair, Ticket
-from marbleworks.door.members import Members
-from marbleworks.door.shares import EVERY, Shares, name_hash
-from marbleworks.door.window import Window
+from marbleworks.fair_queue.concurrency_limit import Window
+from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.fair_queue.peer_usage import EVERY, Shares, name_hash
+from marbleworks.fair_queue.retry_promises import EARLY, Bookings
+from marbleworks.fair_queue.start_time_fair_queue import Fair, Ticket
 
 TICKET = 2000  # bytes that a waiting command takes besides its statement
 RATE_OVER = 1.0  # seconds over which the work that gets done is measured
--- a/marbleworks/door/terms.py
+++ b/marbleworks/fair_queue/options.py
@@ -2,7 +2,7 @@
 
 import ipaddress
 
-from marbleworks.operator.kinds import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Kind, Section, Setting
 
 
 def _network(text: str) -> str | None:
--- a/marbleworks/door/porter.py
+++ b/marbleworks/fair_queue/service.py
@@ -14,15 +14,15 @@
 import xxhash
 from gevent.event import Event
 
-from marbleworks.decide import CLOSE
-from marbleworks.deployment import Deployment
-from marbleworks.door.door import Arrival, Bounds, Door, Why
-from marbleworks.door.members import Members
-from marbleworks.door.shares import EVERY, MAGIC, MOST
+from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
+from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.fair_queue.peer_usage import EVERY, MAGIC, MOST
 from marbleworks.net.actor import LOG, clock, start
-from marbleworks.net.calls import Open
-from marbleworks.net.desk import Desk
-from marbleworks.net.peers import Kind, Peers
+from marbleworks.net.datagrams import Kind, Peers
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.messages import Open
+from marbleworks.scheduling.scheduler import CLOSE
+from marbleworks.settings import Deployment
 
 TICK = 0.05  # seconds between looks at what waits
 AT_EASE = 1.5  # times its time alone that a command is thought to take past the door
--- a/marbleworks/lab/assignments.py
+++ b/marbleworks/lab/assignments.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 
 from marbleworks.cells.plan import WHOLE, Plan
-from marbleworks.cells.planner import BALANCE, Member, Need, Revision, Rules, revise, revised
+from marbleworks.cells.planner.revision import BALANCE, Member, Need, Revision, Rules, revise, revised
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.home_moves import exhaust, stroll
 from marbleworks.lab.report import Report, spread
--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -18,9 +18,9 @@
 import gevent
 import numpy as np
 
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.purse import Purse
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.local_budget import Purse
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -17,12 +17,12 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.purse import Purse
-from marbleworks.budgets.wire import Answer, Entry, encode_answer, encode_report
-from marbleworks.budgets.wire import Report as Told
-from marbleworks.cells.level import (
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.codec import Answer, Entry, encode_answer, encode_report
+from marbleworks.budgets.codec import Report as Told
+from marbleworks.budgets.local_budget import Purse
+from marbleworks.cells.budget_leases import (
     Hello,
     Lessee,
     Lessor,
@@ -38,7 +38,7 @@
 from marbleworks.lab.purses import ENDS
 from marbleworks.lab.report import Report, percentile
 from marbleworks.lab.slopes import Slope, fitted
-from marbleworks.peers.wire import State
+from marbleworks.membership.codec import State
 
 CELL, SPARE = 20, 2  # routers in a cell, and places for more
 MACHINES = 7
--- a/marbleworks/lab/door.py
+++ b/marbleworks/lab/door.py
@@ -18,8 +18,8 @@
 import gevent
 import numpy as np
 
-from marbleworks.door.door import Arrival, Bounds, Door, Why
-from marbleworks.door.members import Members
+from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
+from marbleworks.fair_queue.flow_classifier import Members
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
 from marbleworks.lab.report import Report, percentile, spread
--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -37,7 +37,7 @@
     product,
     slope,
 )  # fmt: skip
-from marbleworks.peers.wire import MOST_ROUTERS
+from marbleworks.membership.codec import MOST_ROUTERS
 
 FLAT, CELLS = Variant.FLAT, Variant.CELLS
 
--- a/marbleworks/lab/explore.py
+++ b/marbleworks/lab/explore.py
@@ -17,8 +17,8 @@
 from typing import Any, Protocol, TypeVar
 
 from marbleworks.lab.group import Group, Terms
-from marbleworks.peers.rights import DRIFT, Rights
-from marbleworks.peers.wire import Message
+from marbleworks.membership.codec import Message
+from marbleworks.membership.leader_election import DRIFT, Rights
 
 SLACK = 1e-9
 
--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -17,7 +17,7 @@
 
 from marbleworks.lab.group import Group, Router, Weather
 from marbleworks.lab.meter import OWN, PACE, state, uncollected
-from marbleworks.peers.wire import State
+from marbleworks.membership.codec import State
 
 LOOK, SOON = 0.02, 0.002  # seconds between looks at whether a group has come to something, or has started
 WITHIN = 30.0  # seconds in which it must
--- a/marbleworks/lab/group.py
+++ b/marbleworks/lab/group.py
@@ -13,10 +13,10 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from marbleworks.peers.fellow import Fellow
-from marbleworks.peers.members import Out
-from marbleworks.peers.rights import Standing
-from marbleworks.peers.wire import decode, encode
+from marbleworks.membership.codec import decode, encode
+from marbleworks.membership.failure_detector import Out
+from marbleworks.membership.leader_election import Standing
+from marbleworks.membership.node import Fellow
 
 GROUP = 7
 
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -33,8 +33,8 @@
 from marbleworks.lab.slopes import Slope, fitted
 from marbleworks.lab.stage import settings, until
 from marbleworks.lab.standins import HOST, configuration, dns_answer
-from marbleworks.net.directory import MOST_ANSWER
-from marbleworks.peers.wire import State
+from marbleworks.membership.codec import State
+from marbleworks.net.discovery import MOST_ANSWER
 
 MOST_PROCESSES, MOST_ROUTERS = 6, 200  # at once
 LONGEST = 280  # seconds that a process lives
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -35,16 +35,16 @@
 from gevent.lock import BoundedSemaphore
 
 # Whatever a router imports late is here before the first begins, so that memory grows by routers alone.
-from marbleworks.budgets import treasurer as _treasurer  # noqa: F401
-from marbleworks.budgets.wire import FORMAT as BUDGETS
-from marbleworks.house.fittings import Fitted
-from marbleworks.house.sections import read_book
-from marbleworks.net import serve
-from marbleworks.net.desk import Desk
-from marbleworks.net.directory import Directory
-from marbleworks.net.engines import places
-from marbleworks.net.peers import NEWS, Peers
-from marbleworks.peers.wire import MARK
+from marbleworks.budgets import service as _treasurer  # noqa: F401
+from marbleworks.budgets.codec import FORMAT as BUDGETS
+from marbleworks.membership.codec import MARK
+from marbleworks.net import server as serve
+from marbleworks.net.datagrams import NEWS, Peers
+from marbleworks.net.discovery import Directory
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.engine_client import places
+from marbleworks.subsystems.registry import read_book
+from marbleworks.subsystems.wiring import Fitted
 
 MOST_ROUTERS = 200  # in one process
 MOST_MEMORY = 2 << 30  # bytes of one process; six of them are half of a machine of 24 GB
--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from marbleworks.cells.homes import Ask, Grant, Granter, Here, Leader, Router
+from marbleworks.cells.home_leases import Ask, Grant, Granter, Here, Leader, Router
 from marbleworks.lab.explore import Broken, every_order
-from marbleworks.peers.rights import DRIFT
+from marbleworks.membership.leader_election import DRIFT
 
 LEASE, SETTLE = 1.0, 0.8
 DOUBT = 0.3  # seconds for which an engine may go on with a load that ended in doubt
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -14,14 +14,14 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.purse import Purse
-from marbleworks.budgets.wire import Answer, Report
-from marbleworks.cells.level import Hello, Lessee, Lessor, Places, Said, Welcome, lifted
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.codec import Answer, Report
+from marbleworks.budgets.local_budget import Purse
+from marbleworks.cells.budget_leases import Hello, Lessee, Lessor, Places, Said, Welcome, lifted
 from marbleworks.lab.explore import every_order
 from marbleworks.lab.purses import LEASE, WEIGHTS, Fleet, drawn
-from marbleworks.peers.rights import DRIFT
+from marbleworks.membership.leader_election import DRIFT
 
 ABOVE = 1.5  # seconds of a cell's lease
 CELLS, PLACES = 2, 4  # routers leave a place free, to move to
--- a/marbleworks/lab/meter.py
+++ b/marbleworks/lab/meter.py
@@ -7,7 +7,7 @@
 
 State is the sum of `sys.getsizeof` over all that can be reached, each object once: unlike resident memory or
 a trace of allocations it has no free lists, no rounding to pages and no share of what the measuring itself
-took, and it is the same at each run. What the allocator loses besides is not in it; tests/test_slopes.py sets
+took, and it is the same at each run. What the allocator loses besides is not in it; its tests set
 it against `tracemalloc`.
 """
 
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -14,9 +14,6 @@
 import numpy as np
 from gevent import Timeout
 
-from marbleworks.decide import Gateway
-from marbleworks.deployment import Deployment
-from marbleworks.interface import EngineEntry, Listed, Port
 from marbleworks.lab.explore import Broken, exhaust, object_to, stroll, walk
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.group import Group, Weather
@@ -24,7 +21,11 @@
 from marbleworks.lab.report import Report, percentile, spread
 from marbleworks.lab.stage import TENANTS, Stage, settings
 from marbleworks.lab.standins import RpcClient
-from marbleworks.peers.wire import State
+from marbleworks.membership.codec import State
+from marbleworks.model import EngineEntry, Listed
+from marbleworks.ports import Port
+from marbleworks.scheduling.scheduler import Gateway
+from marbleworks.settings import Deployment
 
 ROUTERS, OPERATOR = 7, "(peers)"
 LOOK_UPS = 25.0  # a second, at each router
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -13,12 +13,12 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.purse import Pocket, Purse
-from marbleworks.budgets.wire import Answer, Report
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.codec import Answer, Report
+from marbleworks.budgets.local_budget import Pocket, Purse
 from marbleworks.lab.explore import Broken, every_order
-from marbleworks.peers.rights import DRIFT
+from marbleworks.membership.leader_election import DRIFT
 
 ENDS = DOUBT - 0.3  # seconds after which an engine ends what nobody asks for
 LEASE = 1.0
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -25,20 +25,20 @@
 import gevent
 from gevent import socket
 
-from marbleworks.budgets.ledger import Ledger
-from marbleworks.budgets.plan import DOUBT, Whole
-from marbleworks.budgets.purse import Purse
-from marbleworks.budgets.wire import Answer, Report, decode, encode_answer, encode_report
-from marbleworks.decide import Command, Gateway
-from marbleworks.deployment import Deployment
-from marbleworks.door.door import Arrival, Bounds, Door, Why
-from marbleworks.door.members import Members
-from marbleworks.interface import EngineEntry, Listed
+from marbleworks.budgets.allocation_ledger import Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.codec import Answer, Report, decode, encode_answer, encode_report
+from marbleworks.budgets.local_budget import Purse
+from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
+from marbleworks.fair_queue.flow_classifier import Members
 from marbleworks.lab.meter import PACE, medians, processor, state, yards
 from marbleworks.lab.stage import RouterProcess, free_port, held_port, settings
 from marbleworks.lab.standins import HOST, RpcClient, configuration
+from marbleworks.model import EngineEntry, Listed
 from marbleworks.net.actor import clock
-from marbleworks.net.directory import SERVICE, Directory
+from marbleworks.net.discovery import SERVICE, Directory
+from marbleworks.scheduling.scheduler import Command, Gateway
+from marbleworks.settings import Deployment
 
 STATEMENTS = 609.0  # a second at one router, by the operators' figures
 ZONES, KINDS = 17, (8, 16, 32)  # zones, and cores by kind of machine
--- a/marbleworks/peers/members.py
+++ b/marbleworks/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from marbleworks.peers.wire import Message, News, State, What
+from marbleworks.membership.codec import Message, News, State, What
 
 ROUNDS = 3  # routers that are asked to probe for us
 ANSWER_WITHIN = 0.4  # part of a period in which a probe's answer is expected, by a healthy router
--- a/marbleworks/peers/rights.py
+++ b/marbleworks/membership/leader_election.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from marbleworks.peers.wire import Division, Message, What
+from marbleworks.membership.codec import Division, Message, What
 
 DRIFT = 0.02  # bound on how much faster or slower than another's a router's clock may run
 EAGER = 4  # votes asked for in one term
--- a/marbleworks/peers/fellow.py
+++ b/marbleworks/membership/node.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marbleworks.peers.members import Change, Members, Out
-from marbleworks.peers.rights import Rights, Standing
-from marbleworks.peers.wire import Message, State, What
+from marbleworks.membership.codec import Message, State, What
+from marbleworks.membership.failure_detector import Change, Members, Out
+from marbleworks.membership.leader_election import Rights, Standing
 
 
 @dataclass(frozen=True)
--- a/marbleworks/peers/terms.py
+++ b/marbleworks/membership/options.py
@@ -1,6 +1,6 @@
 """What the operator may say of routers that know each other."""
 
-from marbleworks.operator.kinds import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Kind, Section, Setting
 
 PEERS = Section(
     "peers",
--- a/marbleworks/peers/steward.py
+++ b/marbleworks/membership/service.py
@@ -13,11 +13,11 @@
 from dataclasses import replace
 from typing import Any
 
+from marbleworks.membership.codec import MARK, State, Unreadable, decode, encode, group_of
+from marbleworks.membership.failure_detector import Out
+from marbleworks.membership.node import Fellow, Heed
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.peers import Kind, Peers
-from marbleworks.peers.fellow import Fellow, Heed
-from marbleworks.peers.members import Out
-from marbleworks.peers.wire import MARK, State, Unreadable, decode, encode, group_of
+from marbleworks.net.datagrams import Kind, Peers
 
 SAID = 10.0  # seconds between log lines on what one peer sends that can't be read
 SOONEST = 0.01  # seconds between two ticks at least
--- a/marbleworks/net/front.py
+++ b/marbleworks/net/client_listener.py
@@ -19,13 +19,13 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.deployment import Deployment
-from marbleworks.interface import Shelf
 from marbleworks.net.actor import LOG, TURN, Actor, clock, start
-from marbleworks.net.calls import Open
-from marbleworks.net.desk import Desk
-from marbleworks.net.statement import table_group
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.messages import Open
+from marbleworks.net.statement_parser import table_group
 from marbleworks.net.stream import Ended, Reason, Stream
+from marbleworks.ports import Shelf
+from marbleworks.settings import Deployment
 
 ANSWER = 1  # the kind of message that is ours; 0 is a call and 2 a notice
 MOST_OPEN = 32  # calls on a connection, by the protocol
--- a/marbleworks/net/directory.py
+++ b/marbleworks/net/discovery.py
@@ -17,10 +17,10 @@
 import gevent
 from gevent import socket
 
-from marbleworks.deployment import Deployment, DeploymentError
-from marbleworks.interface import EngineEntry, Listed
+from marbleworks.model import EngineEntry, Listed
 from marbleworks.net.actor import LOG, Actor, clock, start
-from marbleworks.net.desk import Desk
+from marbleworks.net.dispatcher import Desk
+from marbleworks.settings import Deployment, DeploymentError
 
 SERVICE = "_rpc._tcp.mesh.local."
 MOST_ANSWER = 8000  # bytes, by the protocol
--- a/marbleworks/net/desk.py
+++ b/marbleworks/net/dispatcher.py
@@ -8,11 +8,12 @@
 
 from collections.abc import Callable
 
-from marbleworks.decide import Gateway
-from marbleworks.deployment import Deployment
-from marbleworks.interface import Doorkeeper, Ending, EngineEntry, LoadReport
+from marbleworks.model import Ending, EngineEntry, LoadReport
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.calls import Good, Open, Place, Send
+from marbleworks.net.messages import Good, Open, Place, Send
+from marbleworks.ports import Doorkeeper
+from marbleworks.scheduling.scheduler import Gateway
+from marbleworks.settings import Deployment
 
 MakePlace = Callable[["Desk", str, tuple[str, int]], Place]  # an engine's actor, by its name and address
 
--- a/marbleworks/net/engines.py
+++ b/marbleworks/net/engine_client.py
@@ -19,14 +19,15 @@
 from gevent.event import AsyncResult
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.deployment import Deployment
-from marbleworks.interface import Ending, LoadReport, NotKept, Sheet
+from marbleworks.model import Ending, LoadReport
 from marbleworks.net.actor import LOG, Actor, clock, start
-from marbleworks.net.calls import Good, Send
+from marbleworks.net.messages import Good, Send
 from marbleworks.net.stream import Ended, Reason, Stream, connect
+from marbleworks.ports import NotKept, Sheet
+from marbleworks.settings import Deployment
 
 if TYPE_CHECKING:
-    from marbleworks.net.desk import Desk
+    from marbleworks.net.dispatcher import Desk
 
 MOST_RESULT = 48_000  # bytes of a whole result, by the protocol
 MOST_PAGE = 6_000  # and of a page
--- a/marbleworks/net/calls.py
+++ b/marbleworks/net/messages.py
@@ -13,9 +13,10 @@
 
 import gevent
 
-from marbleworks.decide import Command
-from marbleworks.interface import LoadReport, Tray
+from marbleworks.model import LoadReport
 from marbleworks.net.stream import Reason, Stream
+from marbleworks.ports import Tray
+from marbleworks.scheduling.scheduler import Command
 
 
 class Asker(Protocol):
--- a/marbleworks/net/serve.py
+++ b/marbleworks/net/server.py
@@ -19,15 +19,15 @@
 import structlog
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.deployment import Deployment, DeploymentError
-from marbleworks.early import Early
-from marbleworks.interface import Shelf
 from marbleworks.net.actor import LOG, clock
-from marbleworks.net.desk import Desk
-from marbleworks.net.directory import Directory
-from marbleworks.net.engines import places
-from marbleworks.net.front import Front
-from marbleworks.net.peers import NEWS, Peers
+from marbleworks.net.client_listener import Front
+from marbleworks.net.datagrams import NEWS, Peers
+from marbleworks.net.discovery import Directory
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.engine_client import places
+from marbleworks.ports import Shelf
+from marbleworks.settings import Deployment, DeploymentError
+from marbleworks.startup_signals import Early
 
 OWN_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files opened in passing
 STILL_COMES = 0.6  # seconds after SIGTERM in which clients may still come, by the protocol
--- a/marbleworks/operator/book.py
+++ b/marbleworks/operator_config/document.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from marbleworks.operator.form import Form, Misread, read_forms
-from marbleworks.operator.kinds import Section
+from marbleworks.operator_config.sexpr import Form, Misread, read_forms
+from marbleworks.operator_config.value_types import Section
 
 Values = dict[str, Any]
 Sections = Mapping[str, Section]
--- a/marbleworks/operator/kinds.py
+++ b/marbleworks/operator_config/value_types.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from marbleworks.operator.form import Atom, Form, Misread
+from marbleworks.operator_config.sexpr import Atom, Form, Misread
 
 SIZES = {
     "B": 1.0,
--- a/marbleworks/decide.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -12,17 +12,8 @@
 import zlib
 from collections import deque
 
-from marbleworks.interface import (
-    Allotment,
-    Effect,
-    Ending,
-    EngineEntry,
-    Fleet,
-    HouseRules,
-    LoadReport,
-    Port,
-    Profile,
-)  # fmt: skip
+from marbleworks.model import Effect, Ending, EngineEntry, Fleet, HouseRules, LoadReport, Profile
+from marbleworks.ports import Allotment, Port
 
 Need = tuple[float, float]  # work and memory
 Seen = tuple[float, float]  # when, and what
--- a/marbleworks/deployment.py
+++ b/marbleworks/settings.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from marbleworks.interface import Effect, EngineEntry, Fleet, HouseRules, Listed, LoadReport, Profile
+from marbleworks.model import Effect, EngineEntry, Fleet, HouseRules, Listed, LoadReport, Profile
 
 EFFECTS = {
     "read_like": Effect.REPLAYABLE,
--- a/marbleworks/drill/__main__.py
+++ b/marbleworks/simulation/__main__.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from marbleworks.decide import Command, Gateway
-from marbleworks.deployment import Deployment, DeploymentError
-from marbleworks.drill.wire import ENDINGS, Line, WireError, action, batches, entry, ms, need, report
+from marbleworks.scheduling.scheduler import Command, Gateway
+from marbleworks.settings import Deployment, DeploymentError
+from marbleworks.simulation.wire import ENDINGS, Line, WireError, action, batches, entry, ms, need, report
 
 
 def deployment(line: Line) -> Deployment:
@@ -224,14 +224,14 @@
 def main(argv: list[str]) -> int:
     if argv:
         print(
-            f"usage: python -m marbleworks.drill  (reads batches, takes no argument {argv[0]!r})",
+            f"usage: python -m marbleworks.simulation  (reads batches, takes no argument {argv[0]!r})",
             file=sys.stderr,
         )
         return 2
     try:
         run(sys.stdin, sys.stdout)
     except WireError as err:
-        print(f"marbleworks.drill: {err}", file=sys.stderr)
+        print(f"marbleworks.simulation: {err}", file=sys.stderr)
         return 1
     return 0
 
--- a/marbleworks/drill/wire.py
+++ b/marbleworks/simulation/wire.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from marbleworks.deployment import Deployment
-from marbleworks.interface import Ending, EngineEntry, Listed, LoadReport
+from marbleworks.model import Ending, EngineEntry, Listed, LoadReport
+from marbleworks.settings import Deployment
 
 ENDINGS = {
     "app_error": Ending.ERRED,
--- a/marbleworks/spool/tool.py
+++ b/marbleworks/spool/maintenance.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record import Entry, Found, Kind
-from marbleworks.spool.store import Store
+from marbleworks.spool.record_codec import Entry, Found, Kind
+from marbleworks.spool.segment_store import Store
 
 
 def listed(folder: str) -> Iterator[str]:
--- a/marbleworks/spool/recovery.py
+++ b/marbleworks/spool/recovery.py
@@ -14,8 +14,8 @@
 import xxhash
 import zstandard
 
-from marbleworks.spool.catalogue import Result, place, where
-from marbleworks.spool.record import Entry, Found, Kind, Spoilt, packed, unpacked
+from marbleworks.spool.catalog import Result, place, where
+from marbleworks.spool.record_codec import Entry, Found, Kind, Spoilt, packed, unpacked
 
 VERSION = 1
 MOST_STATE = 1 << 30  # bytes of a checkpoint, unpacked
--- a/marbleworks/spool/store.py
+++ b/marbleworks/spool/segment_store.py
@@ -14,9 +14,9 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from marbleworks.spool.catalogue import Result, place, where
+from marbleworks.spool.catalog import Result, place, where
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record import Entry, Found, Kind, Spoilt, decode, scan, unpacked
+from marbleworks.spool.record_codec import Entry, Found, Kind, Spoilt, decode, scan, unpacked
 from marbleworks.spool.recovery import Rebuild, State
 
 LOCK, CHECKPOINT, FRESH = "lock", "checkpoint", "checkpoint.new"
--- a/marbleworks/spool/keeper.py
+++ b/marbleworks/spool/service.py
@@ -19,16 +19,16 @@
 from gevent.event import AsyncResult, Event
 from gevent.lock import BoundedSemaphore
 
+from marbleworks.background.task_runner import Aside, Chores, Steps, Wait
 from marbleworks.background.threads import Threads
-from marbleworks.background.worker import Aside, Chores, Steps, Wait
-from marbleworks.interface import NotKept
 from marbleworks.net.actor import LOG, clock, start
-from marbleworks.spool.admission import Ledger, Reservation
-from marbleworks.spool.catalogue import USABLE, Catalogue, Lifetimes, Result, digest, place
+from marbleworks.ports import NotKept
+from marbleworks.spool.catalog import USABLE, Catalogue, Lifetimes, Result, digest, place
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record import HEAD_SIZE, Entry, Found, Kind, Spoilt, packed
+from marbleworks.spool.record_codec import HEAD_SIZE, Entry, Found, Kind, Spoilt, packed
 from marbleworks.spool.recovery import State, end_of
-from marbleworks.spool.store import Spot, Store
+from marbleworks.spool.segment_store import Spot, Store
+from marbleworks.spool.space_allocator import Ledger, Reservation
 
 PENDING = 2  # pages of one result that are written at a time
 GROUP = 1 << 20  # bytes that are written and made durable together, about
--- a/marbleworks/house/sections.py
+++ b/marbleworks/subsystems/registry.py
@@ -8,12 +8,12 @@
 
 from functools import partial
 
-from marbleworks.background.terms import BACKGROUND
-from marbleworks.budgets.terms import BUDGETS
-from marbleworks.door.terms import DOOR
-from marbleworks.operator import book
-from marbleworks.peers.terms import PEERS
-from marbleworks.spool.terms import SPOOL
+from marbleworks.background.options import BACKGROUND
+from marbleworks.budgets.options import BUDGETS
+from marbleworks.fair_queue.options import DOOR
+from marbleworks.membership.options import PEERS
+from marbleworks.operator_config import document as book
+from marbleworks.spool.options import SPOOL
 
 SECTIONS = {section.name: section for section in (BACKGROUND, SPOOL, DOOR, PEERS, BUDGETS)}
 read_book = partial(book.Book.read, SECTIONS)  # raises OperatorError
--- a/marbleworks/house/fittings.py
+++ b/marbleworks/subsystems/wiring.py
@@ -8,22 +8,22 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, cast
 
-from marbleworks.deployment import Deployment, DeploymentError
-from marbleworks.house.sections import read_book
 from marbleworks.net.actor import LOG
-from marbleworks.operator.book import Book, OperatorError, changes
+from marbleworks.operator_config.document import Book, OperatorError, changes
+from marbleworks.settings import Deployment, DeploymentError
+from marbleworks.subsystems.registry import read_book
 
 if TYPE_CHECKING:
-    from marbleworks.background.worker import Chores
-    from marbleworks.budgets.plan import Plan
-    from marbleworks.budgets.treasurer import Treasurer
-    from marbleworks.door.porter import Porter
-    from marbleworks.interface import Shelf
-    from marbleworks.net.calls import Place
-    from marbleworks.net.desk import Desk
-    from marbleworks.net.peers import Peers
-    from marbleworks.peers.steward import Steward
-    from marbleworks.spool.keeper import Keeper
+    from marbleworks.background.task_runner import Chores
+    from marbleworks.budgets.budget_catalog import Plan
+    from marbleworks.budgets.service import Treasurer
+    from marbleworks.fair_queue.service import Porter
+    from marbleworks.membership.service import Steward
+    from marbleworks.net.datagrams import Peers
+    from marbleworks.net.dispatcher import Desk
+    from marbleworks.net.messages import Place
+    from marbleworks.ports import Shelf
+    from marbleworks.spool.service import Keeper
 
 
 class Fitted:
@@ -41,7 +41,7 @@
     def join(self, desk: Desk, deployment: Deployment, peers: Peers, name: str) -> None:
         """Starts what the file names; raises DeploymentError in a line where that can't be done."""
         if self.book.has("peers") and deployment.rules.peers:
-            from marbleworks.peers.steward import Steward
+            from marbleworks.membership.service import Steward
 
             def divided(*told: float) -> None:
                 desk.post(desk.gateway.divide, *told)
@@ -51,7 +51,7 @@
         if self.book.has("budgets"):
             self._budgets(desk, deployment, peers)
         if self.book.has("door"):
-            from marbleworks.door.porter import Porter
+            from marbleworks.fair_queue.service import Porter
 
             desk.door = self.porter = Porter(self.book["door"], desk, deployment, peers)
             if self.steward is not None:
@@ -59,8 +59,8 @@
                 self.steward.viewed.append(lambda starts: desk.post(shares.viewed, starts))
         if not self.book.has("spool"):
             return
-        from marbleworks.background.worker import BEHIND, Chores
-        from marbleworks.spool.keeper import FolderHeld, Keeper
+        from marbleworks.background.task_runner import BEHIND, Chores
+        from marbleworks.spool.service import FolderHeld, Keeper
 
         terms = self.book["background"]
         self.chores = Chores(
@@ -74,8 +74,8 @@
             raise DeploymentError(f"{self.book['spool']['folder']}: {err.strerror}") from None
 
     def _budgets(self, desk: Desk, deployment: Deployment, peers: Peers) -> None:
-        from marbleworks.budgets.holder import Counted
-        from marbleworks.budgets.treasurer import Treasurer
+        from marbleworks.budgets.enforcement import Counted
+        from marbleworks.budgets.service import Treasurer
 
         fleet, plan = deployment.fleet, self._plan(deployment)
         group = peers if self.steward is not None else None
@@ -98,7 +98,7 @@
         self.about = self._about
 
     def _plan(self, deployment: Deployment) -> Plan:
-        from marbleworks.budgets.plan import Plan
+        from marbleworks.budgets.budget_catalog import Plan
 
         terms = self.book["budgets"]
         plan = Plan(terms, deployment.profiles, deployment.tenants, deployment.rules.tenant_rates)
--- /dev/null
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the project, by package."""
--- a/tests/test_background.py
+++ b/tests/background/test_background.py
@@ -7,9 +7,9 @@
 import pytest
 from gevent.event import AsyncResult, Event
 
-from marbleworks.background import worker
-from marbleworks.background.order import Chore, Order
-from marbleworks.background.worker import Aside, Chores, Steps, Wait
+from marbleworks.background import task_runner as worker
+from marbleworks.background.task_queue import Chore, Order
+from marbleworks.background.task_runner import Aside, Chores, Steps, Wait
 
 
 def played(
--- a/tests/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -6,27 +6,36 @@
 from typing import Any
 
 import pytest
-from bench import SETTINGS
 from gevent.lock import BoundedSemaphore
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.budgets import ledger as ledger_module
-from marbleworks.budgets import purse as purse_module
-from marbleworks.budgets.holder import Counted, Holder
-from marbleworks.budgets.ledger import Book, Ledger
-from marbleworks.budgets.needs import Need, divided
-from marbleworks.budgets.plan import DOUBT, Plan, Whole
-from marbleworks.budgets.purse import Pocket, Purse
-from marbleworks.budgets.wire import Answer, Entry, Grant, Report, decode, encode_answer, encode_report, parts
-from marbleworks.decide import Gateway
-from marbleworks.deployment import Deployment
-from marbleworks.house.sections import sections_of
-from marbleworks.interface import Ending, EngineEntry, Listed
+from marbleworks.budgets import allocation_ledger as ledger_module
+from marbleworks.budgets import local_budget as purse_module
+from marbleworks.budgets.allocation_ledger import Book, Ledger
+from marbleworks.budgets.budget_catalog import DOUBT, Plan, Whole
+from marbleworks.budgets.codec import (
+    Answer,
+    Entry,
+    Grant,
+    Report,
+    decode,
+    encode_answer,
+    encode_report,
+    parts,
+)
+from marbleworks.budgets.enforcement import Counted, Holder
+from marbleworks.budgets.fair_division import Need, divided
+from marbleworks.budgets.local_budget import Pocket, Purse
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
-from marbleworks.operator.form import Misread
-from marbleworks.peers.wire import MOST, Unreadable
+from marbleworks.membership.codec import MOST, Unreadable
+from marbleworks.model import Ending, EngineEntry, Listed
+from marbleworks.operator_config.sexpr import Misread
+from marbleworks.scheduling.scheduler import Gateway
+from marbleworks.settings import Deployment
+from marbleworks.subsystems.registry import sections_of
+from tests.support.stand_ins import SETTINGS
 
 COUNT, UNITS = st.integers(0, (1 << 40) - 1), st.integers(0, 1 << 24)
 ENTRIES = st.builds(
@@ -447,7 +456,7 @@
 @pytest.fixture
 def still(monkeypatch: pytest.MonkeyPatch) -> None:
     """Time passes only where a test says so."""
-    monkeypatch.setattr("marbleworks.budgets.holder.clock", lambda: Desk.current.clock)
+    monkeypatch.setattr("marbleworks.budgets.enforcement.clock", lambda: Desk.current.clock)
 
 
 def test_no_engine_is_sent_more_than_its_budget_and_the_rest_waits(still: None) -> None:
--- a/tests/test_cells_levels.py
+++ b/tests/cells/test_budget_leases.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.budgets.ledger import Ledger, Members
-from marbleworks.budgets.plan import DOUBT, HIGHEST, Whole
-from marbleworks.budgets.purse import Purse
-from marbleworks.budgets.wire import Answer, Entry, Grant, Report, encode_report
-from marbleworks.cells import level as level_module
-from marbleworks.cells.level import (
+from marbleworks.budgets.allocation_ledger import Ledger, Members
+from marbleworks.budgets.budget_catalog import DOUBT, HIGHEST, Whole
+from marbleworks.budgets.codec import Answer, Entry, Grant, Report, encode_report
+from marbleworks.budgets.local_budget import Purse
+from marbleworks.cells import budget_leases as level_module
+from marbleworks.cells.budget_leases import (
     Cells,
     Hello,
     Lease,
@@ -28,7 +28,7 @@
 from marbleworks.lab import levels
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.levels import World, begun, exhaust, stroll, warm
-from marbleworks.peers.wire import MOST, Unreadable
+from marbleworks.membership.codec import MOST, Unreadable
 
 WALKS, ACTS = 400, 300
 
--- a/tests/test_cells_homes.py
+++ b/tests/cells/test_home_leases.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from marbleworks.cells import homes
-from marbleworks.cells.homes import Ask, Elsewhere, Granter, Here, Holder, Leader, Nobody, Router
+from marbleworks.cells import home_leases as homes
+from marbleworks.cells.home_leases import Ask, Elsewhere, Granter, Here, Holder, Leader, Nobody, Router
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.home_moves import LEASE, SETTLE, Homes, World, exhaust, paces, settled, stroll
 
--- a/tests/test_cells_planner.py
+++ b/tests/cells/test_planner.py
@@ -8,8 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from marbleworks.cells.options import CELLS, unfit
 from marbleworks.cells.plan import FULL, WHOLE, Cell, Part, Plan
-from marbleworks.cells.planner import (
+from marbleworks.cells.planner.revision import (
     BALANCE,
     Lack,
     Member,
@@ -20,11 +21,10 @@
     revise,
     revised,
 )  # fmt: skip
-from marbleworks.cells.terms import CELLS, unfit
-from marbleworks.deployment import Deployment
-from marbleworks.operator.book import sections_of
-from marbleworks.operator.form import Misread
-from tests.bench import SETTINGS
+from marbleworks.operator_config.document import sections_of
+from marbleworks.operator_config.sexpr import Misread
+from marbleworks.settings import Deployment
+from tests.support.stand_ins import SETTINGS
 
 KINDS = ("large", "small", "burst")
 NEEDS = (Need("any", None, None), Need("load", None, frozenset({"large"})))
--- a/tests/test_door.py
+++ b/tests/fair_queue/test_admission.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from marbleworks.door.bookings import EARLY, PART, SLOT, WINDOW, Bookings
-from marbleworks.door.door import Arrival, Bounds, Door, Why
-from marbleworks.door.fair import Fair, Ticket
-from marbleworks.door.members import HAND, Members
-from marbleworks.door.shares import HEAVIEST, MOST, Shares, name_hash
-from marbleworks.door.window import BUSY, FALLS, LEAST, Window
-from marbleworks.door.window import MOST as MOST_WIDTH
+from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
+from marbleworks.fair_queue.concurrency_limit import BUSY, FALLS, LEAST, Window
+from marbleworks.fair_queue.concurrency_limit import MOST as MOST_WIDTH
+from marbleworks.fair_queue.flow_classifier import HAND, Members
+from marbleworks.fair_queue.peer_usage import HEAVIEST, MOST, Shares, name_hash
+from marbleworks.fair_queue.retry_promises import EARLY, PART, SLOT, WINDOW, Bookings
+from marbleworks.fair_queue.start_time_fair_queue import Fair, Ticket
 from marbleworks.lab.door import Yard, arrival
 
 BOUNDS = Bounds(count=200, size=1e6, bookings=1000, share=False, trace=True)
--- a/tests/test_porter.py
+++ b/tests/fair_queue/test_service.py
@@ -8,23 +8,23 @@
 
 import gevent
 import pytest
-from bench import SETTINGS
 from gevent.lock import BoundedSemaphore
 from typer.testing import CliRunner
 
 from marbleworks.__main__ import app
-from marbleworks.decide import CLOSE
-from marbleworks.deployment import Deployment
-from marbleworks.door.explain import explained
-from marbleworks.door.porter import Porter
-from marbleworks.door.shares import Shares, name_hash
-from marbleworks.house.sections import sections_of
-from marbleworks.interface import EngineEntry, Listed
+from marbleworks.fair_queue.peer_usage import Shares, name_hash
+from marbleworks.fair_queue.service import Porter
+from marbleworks.fair_queue.trace_report import explained
 from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer
+from marbleworks.model import EngineEntry, Listed
 from marbleworks.net.actor import clock
-from marbleworks.net.desk import Desk
-from marbleworks.net.engines import places
-from marbleworks.net.front import Front
+from marbleworks.net.client_listener import Front
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.engine_client import places
+from marbleworks.scheduling.scheduler import CLOSE
+from marbleworks.settings import Deployment
+from marbleworks.subsystems.registry import sections_of
+from tests.support.stand_ins import SETTINGS
 
 KINDS = {**SETTINGS["specifics"], "cores_by_kind": [2]}
 SMALL = Deployment(
--- a/tests/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -12,21 +12,21 @@
 from typer.testing import CliRunner
 
 from marbleworks.__main__ import app
-from marbleworks.budgets.plan import DOUBT
-from marbleworks.budgets.terms import BUDGETS
-from marbleworks.budgets.treasurer import EVERY
-from marbleworks.budgets.wire import ENTRIES, Entry, parts
-from marbleworks.decide import MOST_HOMES
+from marbleworks.budgets.budget_catalog import DOUBT
+from marbleworks.budgets.codec import ENTRIES, Entry, parts
+from marbleworks.budgets.options import BUDGETS
+from marbleworks.budgets.service import EVERY
 from marbleworks.lab import duties, page, target
 from marbleworks.lab.duties import Duty, Role, Status
 from marbleworks.lab.page import OFF, OVER, UNRUN, Book, PageError, Results, problems, written
 from marbleworks.lab.slopes import Slope, Slopes
 from marbleworks.lab.target import Allowance, Use, Variant, cell_size, worked
-from marbleworks.net.directory import ASK_EVERY, MOST_ANSWER, TOLD_AFTER
-from marbleworks.peers.rights import DRIFT
-from marbleworks.peers.terms import PEERS
+from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.options import PEERS
+from marbleworks.net.discovery import ASK_EVERY, MOST_ANSWER, TOLD_AFTER
+from marbleworks.scheduling.scheduler import MOST_HOMES
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 SIZES = (10.0, 20.0, 40.0, 80.0, 160.0, 320.0)
 # Base, factor, exponent. Made up for the tests: none of it was measured.
 MADE_UP = {
--- a/tests/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -30,8 +30,8 @@
 from marbleworks.lab.hollow_process import KINDS, Wire
 from marbleworks.lab.stage import free_port, settings, until
 from marbleworks.lab.standins import HOST, configuration
-from marbleworks.peers.members import Change
-from marbleworks.peers.wire import State
+from marbleworks.membership.codec import State
+from marbleworks.membership.failure_detector import Change
 
 FAST = "(peers (period 100 ms) (suspicion 400 ms) (term 1 s) (lease 600 ms)) (budgets)"
 COUNT, WITHIN = 5, 30.0  # seconds for anything: a busy machine is slow, and the verdict is the same
--- a/tests/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -15,7 +15,7 @@
 from marbleworks.lab.meter import SHARED, medians, processor, state
 from marbleworks.lab.report import Report
 from marbleworks.lab.slopes import Slopes, fitted
-from marbleworks.peers.wire import decode
+from marbleworks.membership.codec import decode
 
 SIZES = (10.0, 20.0, 40.0, 80.0, 160.0, 320.0, 640.0)
 
--- a/tests/test_peers.py
+++ b/tests/membership/test_membership.py
@@ -13,10 +13,20 @@
 from marbleworks.lab import explore
 from marbleworks.lab.explore import Broken, exhaust, object_to, stroll, walk
 from marbleworks.lab.group import GROUP, Group, Weather
-from marbleworks.peers import rights as rights_module
-from marbleworks.peers.members import AHEAD, Members
-from marbleworks.peers.rights import Cut, Rights
-from marbleworks.peers.wire import MOST, Division, Message, News, State, Unreadable, What, decode, encode
+from marbleworks.membership import leader_election as rights_module
+from marbleworks.membership.codec import (
+    MOST,
+    Division,
+    Message,
+    News,
+    State,
+    Unreadable,
+    What,
+    decode,
+    encode,
+)
+from marbleworks.membership.failure_detector import AHEAD, Members
+from marbleworks.membership.leader_election import Cut, Rights
 
 COUNT = st.integers(0, (1 << 40) - 1)
 NEWS = st.builds(News, COUNT, COUNT, st.sampled_from(State), st.integers(0, 6))
--- a/tests/test_peers_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -13,8 +13,8 @@
 from marbleworks.lab.load import Caller
 from marbleworks.lab.stage import Stage
 from marbleworks.lab.standins import RpcClient
-from marbleworks.peers.show import table
-from marbleworks.peers.wire import Message, News, State, What, encode, group_of
+from marbleworks.membership.codec import Message, News, State, What, encode, group_of
+from marbleworks.membership.report import table
 
 ROUTERS, ALL = 5, range(5)
 OPERATOR = "(peers (period 100 ms) (suspicion 600 ms) (term 1500 ms) (lease 1 s))"
--- a/tests/test_directory.py
+++ b/tests/net/test_discovery.py
@@ -12,13 +12,13 @@
 import dns.message
 import dns.rrset
 import pytest
-from bench import DEPLOYMENT, Listener
-from test_net import bounded, until
-from test_orders import name_server
 
-from marbleworks.interface import Listed
 from marbleworks.lab.standins import HOST
-from marbleworks.net.directory import MOST_ANSWER, SERVICE, Directory
+from marbleworks.model import Listed
+from marbleworks.net.discovery import MOST_ANSWER, SERVICE, Directory
+from tests.net.test_event_orders import name_server
+from tests.net.test_router import bounded, until
+from tests.support.stand_ins import DEPLOYMENT, Listener
 
 __all__ = ["bounded"]
 
--- a/tests/test_orders.py
+++ b/tests/net/test_event_orders.py
@@ -15,20 +15,20 @@
 import gevent
 import msgpack
 import pytest
-from bench import DEPLOYMENT, SETTINGS, Listener
 from gevent import socket
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
-from test_net import GOOD, Outcomes, Router, bounded, closed_port, command, row, until
 
-import marbleworks.net.engines as engines
-from marbleworks.interface import Ending
+import marbleworks.net.engine_client as engines
 from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer, configuration, dns_answer
+from marbleworks.model import Ending
 from marbleworks.net.actor import clock
-from marbleworks.net.calls import Send
-from marbleworks.net.directory import Directory
-from marbleworks.net.engines import Engine
-from marbleworks.net.front import Client
+from marbleworks.net.client_listener import Client
+from marbleworks.net.discovery import Directory
+from marbleworks.net.engine_client import Engine
+from marbleworks.net.messages import Send
+from tests.net.test_router import GOOD, Outcomes, Router, bounded, closed_port, command, row, until
+from tests.support.stand_ins import DEPLOYMENT, SETTINGS, Listener
 
 __all__ = ["bounded"]
 
--- a/tests/test_net.py
+++ b/tests/net/test_router.py
@@ -13,20 +13,20 @@
 import gevent
 import msgpack
 import pytest
-from bench import DEPLOYMENT, SETTINGS, Listener
 from gevent import socket, subprocess
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.interface import Ending, EngineEntry, Listed
 from marbleworks.lab.standins import HOST, Reply, RpcClient, SqlEngine, answer, configuration, dns_answer
-from marbleworks.net.calls import Send
-from marbleworks.net.desk import Desk
-from marbleworks.net.directory import Directory
-from marbleworks.net.engines import Engine, places
-from marbleworks.net.front import Front
-from marbleworks.net.peers import NEWS, Kind, Peers
-from marbleworks.net.statement import table_group
+from marbleworks.model import Ending, EngineEntry, Listed
+from marbleworks.net.client_listener import Front
+from marbleworks.net.datagrams import NEWS, Kind, Peers
+from marbleworks.net.discovery import Directory
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.engine_client import Engine, places
+from marbleworks.net.messages import Send
+from marbleworks.net.statement_parser import table_group
 from marbleworks.net.stream import Ended, connect
+from tests.support.stand_ins import DEPLOYMENT, SETTINGS, Listener
 
 
 def row(text: str) -> bytes:
--- a/tests/test_forms.py
+++ b/tests/net/test_wire_forms.py
@@ -8,13 +8,13 @@
 
 import pytest
 from gevent import socket
-from test_net import Router, bounded, row
 
 from marbleworks.lab.standins import RpcClient, SqlEngine, answer
 from marbleworks.net.actor import clock
-from marbleworks.net.calls import Good
-from marbleworks.net.engines import MOST_ANSWER, Connection
+from marbleworks.net.engine_client import MOST_ANSWER, Connection
+from marbleworks.net.messages import Good
 from marbleworks.net.stream import Ended, Reason, connect
+from tests.net.test_router import Router, bounded, row
 
 __all__ = ["bounded"]
 
--- a/tests/test_operator.py
+++ b/tests/operator_config/test_operator_config.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.house.sections import SECTIONS, described, read_book, sections_of
-from marbleworks.operator.book import OperatorError, changes
-from marbleworks.operator.form import Atom, Form, Misread, read_forms
-from marbleworks.operator.kinds import Kind
+from marbleworks.operator_config.document import OperatorError, changes
+from marbleworks.operator_config.sexpr import Atom, Form, Misread, read_forms
+from marbleworks.operator_config.value_types import Kind
+from marbleworks.subsystems.registry import SECTIONS, described, read_book, sections_of
 
 GOOD = '(spool (folder "/a") (room 2 GB))'
 
--- a/tests/test_model.py
+++ b/tests/scheduling/test_random_walks.py
@@ -2,14 +2,14 @@
 
 from typing import Any
 
-from bench import FLEET, PROFILES, RULES, Recorder, engine
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.decide import Command, Gateway
-from marbleworks.door.door import Arrival, Bounds, Door, Why
-from marbleworks.door.members import Members
-from marbleworks.interface import Effect, Ending, Listed
+from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
+from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.model import Effect, Ending, Listed
+from marbleworks.scheduling.scheduler import Command, Gateway
+from tests.support.stand_ins import FLEET, PROFILES, RULES, Recorder, engine
 
 STEP = st.one_of(
     st.tuples(
--- a/tests/test_decide.py
+++ b/tests/scheduling/test_scheduler.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 import pytest
-from bench import BOUND, FREE, LOAD, ORDERED, RULES, UNIQUED, Stage, engine
 
-from marbleworks.decide import Command
-from marbleworks.interface import Ending, Fleet, Listed, LoadReport
+from marbleworks.model import Ending, Fleet, Listed, LoadReport
+from marbleworks.scheduling.scheduler import Command
+from tests.support.stand_ins import BOUND, FREE, LOAD, ORDERED, RULES, UNIQUED, Stage, engine
 
 
 def test_a_command_that_no_engine_may_take_is_shed_before_its_time_is_up() -> None:
--- a/tests/test_wtpg.py
+++ b/tests/scheduling/test_wtpg.py
@@ -2,7 +2,7 @@
 
 import math
 
-from marbleworks.decide import Wtpg
+from marbleworks.scheduling.scheduler import Wtpg
 
 
 def figure_6() -> Wtpg:
--- a/tests/test_drill.py
+++ b/tests/simulation/test_simulation.py
@@ -5,14 +5,14 @@
 import sys
 
 import pytest
-from bench import SETTINGS
 
-from marbleworks.drill.__main__ import Drill
-from marbleworks.drill.wire import batches
+from marbleworks.simulation.__main__ import Drill
+from marbleworks.simulation.wire import batches
+from tests.support.stand_ins import SETTINGS
 
 
 def drill(text: str, *args: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "marbleworks.drill", *args]
+    command = [sys.executable, "-m", "marbleworks.simulation", *args]
     return subprocess.run(command, input=text, capture_output=True, text=True, timeout=30, check=False)
 
 
--- a/tests/test_spool_store.py
+++ b/tests/spool/test_segment_store.py
@@ -7,17 +7,17 @@
 
 import gevent
 import pytest
-from faulty import ByHand, FaultyDisk, InStep
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.house.sections import sections_of
-from marbleworks.interface import NotKept
-from marbleworks.spool import keeper as keeper_module
-from marbleworks.spool import store as store_module
-from marbleworks.spool.keeper import Keeper
-from marbleworks.spool.record import Entry, Found, Kind, Spoilt, decode, packed, scan, unpacked
+from marbleworks.ports import NotKept
+from marbleworks.spool import segment_store as store_module
+from marbleworks.spool import service as keeper_module
+from marbleworks.spool.record_codec import Entry, Found, Kind, Spoilt, decode, packed, scan, unpacked
 from marbleworks.spool.recovery import State
+from marbleworks.spool.service import Keeper
+from marbleworks.subsystems.registry import sections_of
+from tests.support.faulty_disk import ByHand, FaultyDisk, InStep
 
 TERMS = sections_of(
     '(spool (folder "/x") (room 4 MB) (segment 100 KB) (page 6 KB) (share 100 %) (keep 20 s) (unread 20 s)'
--- a/tests/test_admission.py
+++ b/tests/spool/test_space_allocator.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.spool.admission import EARLY, WINDOW, Ledger, Reservation
-from marbleworks.spool.catalogue import Catalogue, Lifetimes, Result, digest
+from marbleworks.spool.catalog import Catalogue, Lifetimes, Result, digest
+from marbleworks.spool.space_allocator import EARLY, WINDOW, Ledger, Reservation
 
 
 class World:
--- a/tests/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -14,22 +14,22 @@
 
 import gevent
 import pytest
-from bench import DEPLOYMENT, SETTINGS
 from gevent import socket, subprocess
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.background.worker import Chores
-from marbleworks.house.fittings import Fitted
-from marbleworks.house.sections import read_book, sections_of
-from marbleworks.interface import EngineEntry, Listed
+from marbleworks.background.task_runner import Chores
 from marbleworks.lab.kills import rounds
 from marbleworks.lab.stage import Stage
 from marbleworks.lab.standins import HOST, Reply, RpcClient, SqlEngine, answer, configuration
-from marbleworks.net.desk import Desk
-from marbleworks.net.engines import places
-from marbleworks.net.front import Front
+from marbleworks.model import EngineEntry, Listed
+from marbleworks.net.client_listener import Front
+from marbleworks.net.dispatcher import Desk
+from marbleworks.net.engine_client import places
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.keeper import FolderHeld, Keeper
+from marbleworks.spool.service import FolderHeld, Keeper
+from marbleworks.subsystems.registry import read_book, sections_of
+from marbleworks.subsystems.wiring import Fitted
+from tests.support.stand_ins import DEPLOYMENT, SETTINGS
 
 ROW = b"%05d\tvan\tpiano\n"
 PAGES = [b"".join(ROW % (300 * page + i) for i in range(300)) for page in range(20)]  # 4,800 bytes each
@@ -489,7 +489,7 @@
         client.send(0, call, method, [{"spool": "x", "page": "1", "tenant": "acme"}])
         assert client.hear() == [1, call, ["Invalid", {"why": "unknown method"}], None]
     code = (
-        "import sys, marbleworks.__main__, marbleworks.net.serve\n"
+        "import sys, marbleworks.__main__, marbleworks.net.server\n"
         "ours = tuple('marbleworks.' + part for part in ('operator', 'spool', 'background', 'door', 'lab'))\n"
         "theirs = 'lark', 'zstandard', 'xxhash', 'pytricia', 'numpy'\n"
         "print([m for m in sys.modules if m.startswith((*ours, *theirs))])"
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins that several tests share."""
--- a/tests/faulty.py
+++ b/tests/support/faulty_disk.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from marbleworks.background.worker import Steps, at_once
+from marbleworks.background.task_runner import Steps, at_once
 from marbleworks.spool.disk import Disk
 
 
--- a/tests/bench.py
+++ b/tests/support/stand_ins.py
@@ -12,9 +12,9 @@
 
 from gevent.event import Event
 
-from marbleworks.decide import Command, Gateway
-from marbleworks.deployment import Deployment
-from marbleworks.interface import Effect, EngineEntry, Fleet, HouseRules, Listed, Profile
+from marbleworks.model import Effect, EngineEntry, Fleet, HouseRules, Listed, Profile
+from marbleworks.scheduling.scheduler import Command, Gateway
+from marbleworks.settings import Deployment
 
 READ = Profile(
     benefit=1.0, target=1.0, stretch=2.0, effect=Effect.REPLAYABLE, scope="all", window=5.0,
