--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -16,22 +16,22 @@
 
 import pytest
 import zstandard
-from bench import RULES, Stage
 
-from marbleworks.background.worker import Chores
-from marbleworks.budgets import wire as budgets
+from marbleworks.background.task_runner import Chores
+from marbleworks.budgets import codec as budgets
 from marbleworks.cells.plan import Cell, Loan, Part, Plan
-from marbleworks.door.shares import Shares, name_hash
-from marbleworks.interface import LoadReport
-from marbleworks.peers import wire as peers
-from marbleworks.spool import record
-from marbleworks.spool.catalogue import Catalogue, Lifetimes, Result, digest
+from marbleworks.fair_queue.peer_usage import Shares, name_hash
+from marbleworks.membership import codec as peers
+from marbleworks.model import LoadReport
+from marbleworks.spool import record_codec as record
+from marbleworks.spool.catalog import Catalogue, Lifetimes, Result, digest
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.keeper import Keeper
+from marbleworks.spool.maintenance import checked, listed
+from marbleworks.spool.options import SPOOL
 from marbleworks.spool.recovery import State, end_of
-from marbleworks.spool.store import Store
-from marbleworks.spool.terms import SPOOL
-from marbleworks.spool.tool import checked, listed
+from marbleworks.spool.segment_store import Store
+from marbleworks.spool.service import Keeper
+from tests.support.stand_ins import RULES, Stage
 
 GROUP, ROUTERS = 0xC0FFEE12, 40
 KEY = b"a key of 24 bytes, plain"
