--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -9,12 +9,12 @@
 import typer
 
 from marbleworks import VERSION
-from marbleworks.settings import DeploymentError
-from marbleworks.startup_signals import Early
+from marbleworks.settings import SettingsError
+from marbleworks.startup_signals import StartupSignals
 
 if TYPE_CHECKING:
-    from marbleworks.net.server import Station
-    from marbleworks.subsystems.wiring import Fitted
+    from marbleworks.net.server import RouterConfig
+    from marbleworks.subsystems.wiring import Subsystems
 
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, rich_markup_mode=None
@@ -34,41 +34,41 @@
     return typer.Exit(1)
 
 
-def _fitted(path: str) -> Fitted | None:
+def _fitted(path: str) -> Subsystems | None:
     """What the operator's file turns on; nothing of it is imported without one."""
     if not path:
         return None
-    from marbleworks.operator_config.document import OperatorError
+    from marbleworks.operator_config.document import OperatorConfigError
     from marbleworks.subsystems.registry import read_book
-    from marbleworks.subsystems.wiring import Fitted
+    from marbleworks.subsystems.wiring import Subsystems
 
     try:
-        return Fitted(read_book(path))
-    except OperatorError as err:
+        return Subsystems(read_book(path))
+    except OperatorConfigError as err:
         raise _say_and_exit(err) from None
 
 
-def _station(path: str) -> Station:
-    from marbleworks.net.server import Station
+def _station(path: str) -> RouterConfig:
+    from marbleworks.net.server import RouterConfig
 
     try:
         if not path:
-            raise DeploymentError("no configuration: name one by --config or RELAY_CONFIG")
-        return Station.read(path)
-    except DeploymentError as err:
+            raise SettingsError("no configuration: name one by --config or RELAY_CONFIG")
+        return RouterConfig.read(path)
+    except SettingsError as err:
         raise _say_and_exit(err) from None
 
 
 @app.command()
 def serve(config: str = CONFIGURATION, operator: str = OPERATOR) -> None:
     """Run one router until SIGTERM."""
-    early = Early()
+    early = StartupSignals()
     from marbleworks.net.server import serve as run
 
     station = _station(config)
     try:
         run(station, config, _fitted(operator), early)
-    except (DeploymentError, OSError) as err:
+    except (SettingsError, OSError) as err:
         raise _say_and_exit(err) from None
 
 
@@ -78,7 +78,7 @@
     station, fitted = _station(config), _fitted(operator)
     if fitted is not None:
         typer.echo(f"{operator}: {', '.join(fitted.book.sections) or 'no section'}: fit to serve")
-    typer.echo(f"{station.name}: {len(station.deployment.profiles)} profiles, {config}: fit to serve")
+    typer.echo(f"{station.name}: {len(station.settings.class_index)} profiles, {config}: fit to serve")
 
 
 @app.command()
@@ -129,12 +129,12 @@
 @peers.command("show")
 def peers_show(address: str = ADDRESS) -> None:
     """Print a router's view, doubts and rights as a table."""
-    from marbleworks.membership.report import Unasked, asked, table
+    from marbleworks.membership.report import HealthQueryError, asked, table
 
     try:
         for line in table(asked(address)):
             typer.echo(line)
-    except Unasked as err:
+    except HealthQueryError as err:
         raise _say_and_exit(f"{address}: {err}") from None
 
 
@@ -145,12 +145,12 @@
     times: int = typer.Option(0, min=0, help="So many looks; 0: until interrupted."),
 ) -> None:
     """Print a line for each change of a router's view or standing."""
-    from marbleworks.membership.report import Unasked, watched
+    from marbleworks.membership.report import HealthQueryError, watched
 
     try:
         for line in watched(address, every, times):
             typer.echo(line)
-    except Unasked as err:
+    except HealthQueryError as err:
         raise _say_and_exit(f"{address}: {err}") from None
     except KeyboardInterrupt:
         pass
@@ -170,12 +170,12 @@
 def budgets_show(addresses: list[str] = ADDRESSES) -> None:
     """Print each budget: whole, held, used, free, unreachable, by router."""
     from marbleworks.budgets.report import shown
-    from marbleworks.membership.report import Unasked
+    from marbleworks.membership.report import HealthQueryError
 
     try:
         for line in shown(addresses):
             typer.echo(line)
-    except Unasked as err:
+    except HealthQueryError as err:
         raise _say_and_exit(err) from None
 
 
--- a/marbleworks/background/task_queue.py
+++ b/marbleworks/background/task_queue.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(eq=False)
-class Chore:
+class Task:
     """One piece of work in steps. A smaller priority goes first; deadline: when it must have begun."""
 
     name: str
@@ -42,7 +42,7 @@
         return now if left > 0 else now - left / self.pace + 1e-6
 
 
-class Order:
+class TaskQueue:
     """The chores that wait, and the two budgets: time on the core (share) and bytes a second.
 
     A chore whose deadline has passed goes first, the earliest of them. Else the least priority less its age
@@ -52,23 +52,23 @@
 
     def __init__(self, core: float, pace: float, patience: float) -> None:
         self.core, self.bytes, self.patience = Budget(core), Budget(pace), patience
-        self.waiting: list[Chore] = []
+        self.waiting: list[Task] = []
 
     def change(self, core: float, pace: float, patience: float) -> None:
         self.core.pace, self.bytes.pace, self.patience = core, pace, patience
 
-    def add(self, chore: Chore) -> bool:
+    def add(self, chore: Task) -> bool:
         """Whether there was room for it among those that wait."""
         if len(self.waiting) >= MOST_WAITING:
             return False
         self.waiting.append(chore)
         return True
 
-    def remove(self, chore: Chore) -> None:
+    def remove(self, chore: Task) -> None:
         if chore in self.waiting:
             self.waiting.remove(chore)
 
-    def next(self, now: float, behind: bool) -> Chore | None:
+    def next(self, now: float, behind: bool) -> Task | None:
         """The chore whose step goes now; it stays among those that wait until removed."""
         if self.core.filled(now) <= 0 or self.bytes.filled(now) <= 0:
             return None
@@ -78,7 +78,7 @@
         ready = [c for c in self.waiting if not behind or now - c.since >= self.patience]
         return min(ready, key=lambda c: c.priority - (now - c.since) / self.patience) if ready else None
 
-    def spent(self, chore: Chore, now: float, seconds: float, count: float) -> None:
+    def spent(self, chore: Task, now: float, seconds: float, count: float) -> None:
         """A step of it took so much time on the core and so many bytes."""
         chore.since = now
         self.core.filled(now)
--- a/marbleworks/background/task_runner.py
+++ b/marbleworks/background/task_runner.py
@@ -14,16 +14,16 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from marbleworks.background.task_queue import Chore, Order
+from marbleworks.background.task_queue import Task, TaskQueue
 from marbleworks.background.threads import Threads
-from marbleworks.net.actor import LOG, clock, start
+from marbleworks.net.actor import LOG, clock, spawn
 
 LONGEST_SLEEP = 0.5  # seconds; `behind` is looked at again by then
 BEHIND = 16  # mails that wait for the desk
 
 
 @dataclass(frozen=True)
-class Aside:
+class OffloadedCall:
     """Called on the chores' thread; the step gets what it returns or raises. count: bytes read and
     written."""
 
@@ -39,11 +39,11 @@
     count: int = 0
 
 
-Steps = Generator[Aside | Wait | None, Any, None]
+Steps = Generator[OffloadedCall | Wait | None, Any, None]
 
 
 @dataclass(eq=False)
-class Round:
+class PeriodicTask:
     """A chore that comes back: period after its end; it counts as late when it has not begun within."""
 
     name: str
@@ -60,13 +60,13 @@
     called: Event = field(default_factory=Event)  # where it runs apart
 
 
-class Chores:
+class TaskRunner:
     def __init__(self, core: float, pace: float, patience: float, behind: Callable[[], bool]) -> None:
-        self.order, self.behind = Order(core, pace, patience), behind
-        self.rounds: list[Round] = []
-        self.chores: dict[Chore, Round] = {}
+        self.order, self.behind = TaskQueue(core, pace, patience), behind
+        self.rounds: list[PeriodicTask] = []
+        self.chores: dict[Task, PeriodicTask] = {}
         self.pool, self.stopped, self.called = Threads(1), False, Event()
-        self.greenlet = start(self._run)
+        self.greenlet = spawn(self._run)
 
     def every(
         self,
@@ -79,9 +79,9 @@
     ) -> None:
         """A chore for as long as the router runs; its generator's yields are the ends of its steps. apart: it
         is short and others rest on it, so it waits neither for them nor for the budgets."""
-        self.rounds.append(Round(name, priority, period, steps, within, clock() + period(), apart))
+        self.rounds.append(PeriodicTask(name, priority, period, steps, within, clock() + period(), apart))
         if apart:
-            start(self._run_apart, self.rounds[-1])
+            spawn(self._run_apart, self.rounds[-1])
 
     def hurry(self, name: str) -> None:
         """That chore is due now, or again at its end; it goes when its turn comes."""
@@ -102,7 +102,7 @@
             now = clock()
             for r in self.rounds:
                 if r.running is None and r.due <= now and not r.apart:
-                    chore = Chore(r.name, r.priority, now, now + r.within)
+                    chore = Task(r.name, r.priority, now, now + r.within)
                     if self.order.add(chore):
                         r.running, r.value, r.error, self.chores[chore] = r.steps(), None, None, r
             behind = self.behind()
@@ -116,7 +116,7 @@
             self.called.clear()
             self.called.wait(min(max(min(times, default=now + LONGEST_SLEEP) - now, 0.001), LONGEST_SLEEP))
 
-    def _run_apart(self, r: Round) -> None:
+    def _run_apart(self, r: PeriodicTask) -> None:
         threads = Threads(1)
         while not self.stopped:
             r.called.clear()
@@ -131,7 +131,7 @@
                 gevent.sleep(LONGEST_SLEEP)
             r.due = min(r.due, clock() + r.period())
 
-    def _step(self, chore: Chore) -> None:
+    def _step(self, chore: Task) -> None:
         r, spent, count = self.chores[chore], 0.0, 0
         began, over = time.thread_time(), False
         assert r.running is not None
@@ -146,7 +146,7 @@
         if asked is not None:
             count = asked.count
             try:
-                if isinstance(asked, Aside):
+                if isinstance(asked, OffloadedCall):
                     seconds, r.value = self.pool.call(_timed, asked.work)
                     spent += seconds
                 else:
@@ -172,7 +172,7 @@
             return
         value = error = None
         try:
-            if isinstance(asked, Aside):
+            if isinstance(asked, OffloadedCall):
                 value = threads.call(asked.work)
             elif asked is not None:
                 value = asked.outcome.get()
--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from marbleworks.budgets.budget_catalog import HIGHEST, Whole
+from marbleworks.budgets.budget_catalog import HIGHEST, Budget
 from marbleworks.budgets.codec import Answer, Entry, Grant, Report
 from marbleworks.budgets.fair_division import Need, divided
 from marbleworks.membership.leader_election import DRIFT
@@ -31,7 +31,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Account:
+class MemberAccount:
     """What one member has of one budget, beyond its base."""
 
     held: int = 0  # by its last report
@@ -52,7 +52,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Book:
+class BudgetAllocation:
     """One budget. settle: seconds after a lease in which what was out beyond a base ends; quiet: seconds
     after the end of a process in which what it had in use does. What is derived (whole, bases, total, shares)
     is worked out anew ten times a second, and when a report changes it."""
@@ -64,8 +64,8 @@
     whole: int = 0
     bases: int = 0
     total: int = 0  # of all accounts
-    accounts: dict[int, Account] = field(default_factory=dict)
-    old: list[Account] = field(default_factory=list)  # of processes that have been followed
+    accounts: dict[int, MemberAccount] = field(default_factory=dict)
+    old: list[MemberAccount] = field(default_factory=list)  # of processes that have been followed
     owned_up: int = 0  # held by those who reported for the first time, of whom ...
     over_at: float = -math.inf  # ... all that processes had which they have followed is over then
     shares: dict[int, int] = field(default_factory=dict)
@@ -87,11 +87,11 @@
         """Units that one router always may use."""
         return int(self.kept * whole) // self.shares
 
-    def largest(self, book: Book) -> int:
+    def largest(self, book: BudgetAllocation) -> int:
         """The largest base that one of those may have who have not told theirs."""
         return max(self.base(whole) for whole in book.seen)
 
-    def bases(self, book: Book) -> int:
+    def bases(self, book: BudgetAllocation) -> int:
         """Units of all bases: as told, and for those that have not told theirs the most that it may be."""
         told = sum(account.base for account in book.accounts.values())
         return told + self.largest(book) * (self.count - len(book.accounts))
@@ -108,18 +108,20 @@
         """Whether the member doesn't know itself what it may have out."""
         return False
 
-    def ended(self, book: Book, lease: float, now: float) -> float:
+    def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
         """When all is over that a member had which is followed by another at `now`."""
         return now + book.quiet * (1 + DRIFT)
 
-    def over_at(self, book: Book, lease: float, age: float, now: float) -> float:
+    def over_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
         """When all is over that those had whom a member has followed which is that old."""
         return self.ended(book, lease, now) - age * (1 - DRIFT)
 
-    def follow(self, book: Book, account: Account, before: bool, lease: float, now: float) -> None:
+    def follow(
+        self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
+    ) -> None:
         """Another of a name begins. before: the earlier one has told us of itself."""
         if before and account.most and now < account.until:
-            gone = Account(account.held, dict(account.told))
+            gone = MemberAccount(account.held, dict(account.told))
             gone.until = min(account.until, self.ended(book, lease, now))
             book.old.append(gone)
         account.held = account.units = account.serial = 0
@@ -130,19 +132,19 @@
 class Backing:
     """What there is to divide: the whole, by the operator's file."""
 
-    def units(self, book: Book, now: float) -> int:
+    def units(self, book: BudgetAllocation, now: float) -> int:
         """Beyond all bases."""
         return book.whole - book.bases
 
-    def agreed(self, book: Book) -> int:
+    def agreed(self, book: BudgetAllocation) -> int:
         """The whole that no base may be larger for."""
         return book.whole
 
-    def renews(self, book: Book, now: float) -> bool:
+    def renews(self, book: BudgetAllocation, now: float) -> bool:
         """Whether a part may be given, or given for longer."""
         return True
 
-    def before(self, book: Book, members: Members) -> int:
+    def before(self, book: BudgetAllocation, members: Members) -> int:
         """The most that whoever divided before us may have given out."""
         return max(members.beyond(whole) for whole in book.seen)
 
@@ -161,26 +163,34 @@
     base: int
 
 
-class Ledger:
+class AllocationLedger:
     """Made anew each time that our router gains the right, at `now`; reign counts those times. start: ours.
     seen: wholes of each budget that our file had lately."""
 
     def __init__(
-        self, me: int, count: int, start: int, reign: int, kept: float, lease: float, now: float,
-        seen: Mapping[int, set[int]] = MappingProxyType({}), members: Members | None = None,
+        self,
+        me: int,
+        count: int,
+        start: int,
+        reign: int,
+        kept: float,
+        lease: float,
+        now: float,
+        seen: Mapping[int, set[int]] = MappingProxyType({}),
+        members: Members | None = None,
         backing: Backing | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.me, self.count, self.start, self.reign = me, count, start, reign
         self.lease, self.began, self.seen = lease, now, seen
         self.members, self.backing = members or Members(count, kept), backing or Backing()
-        self.books: dict[int, Book] = {}
-        self.wholes: dict[int, Whole] = {}
+        self.books: dict[int, BudgetAllocation] = {}
+        self.wholes: dict[int, Budget] = {}
         self.starts: dict[int, int] = {}
         self.versions: dict[int, tuple[int, int]] = {}  # by router: of its file
         self.leaving: set[int] = set()
         self.serials = 0
 
-    def planned(self, wholes: list[Whole]) -> None:
+    def planned(self, wholes: list[Budget]) -> None:
         """By our own file, now."""
         self.wholes = {whole.number: whole for whole in wholes}
         for number, book in self.books.items():
@@ -192,7 +202,7 @@
 
     # What is free.
 
-    def _work_out(self, number: int, book: Book, now: float) -> None:
+    def _work_out(self, number: int, book: BudgetAllocation, now: float) -> None:
         """Forgets what has run out. The whole is the smallest that any router tells that is there: a smaller
         one holds as soon as one tells it, a larger once all do."""
         book.old = [a for a in book.old if now < a.until]
@@ -206,7 +216,7 @@
         book.bases = self.members.bases(book)
         book.total = sum(a.most for a in book.accounts.values()) + sum(a.most for a in book.old)
 
-    def _unknown(self, book: Book, now: float) -> int:
+    def _unknown(self, book: BudgetAllocation, now: float) -> int:
         """What those may hold who have not reported since we began: no more than the one before us divided,
         less what the others own up to; nothing once it must have run out."""
         if now >= self._settled(book, self.began):
@@ -215,14 +225,14 @@
             return 0  # all have told, for themselves and for those that they have followed
         return max(self.backing.before(book, self.members) - book.owned_up, 0)
 
-    def _settled(self, book: Book, now: float) -> float:
+    def _settled(self, book: BudgetAllocation, now: float) -> float:
         """When all has ended that is given by then and not renewed."""
         return now + (self.lease + book.settle) * (1 + DRIFT)
 
-    def free(self, book: Book, now: float) -> int:
+    def free(self, book: BudgetAllocation, now: float) -> int:
         return self.backing.units(book, now) - self._unknown(book, now) - book.total
 
-    def sums(self, book: Book, now: float) -> Sums:
+    def sums(self, book: BudgetAllocation, now: float) -> Sums:
         self._work_out(book.number, book, now)
         there = [a for a in book.accounts.values() if now < a.heard + QUIET]
         wants = [(max(a.need.units - a.need.base, 0.0), a.need.worth) for a in there]
@@ -274,13 +284,13 @@
             own = self.wholes.get(e.number)
             seen = {e.whole, *self.seen.get(e.number, ()), *([own.units] if own is not None else ())}
             times = (own.settle, own.quiet) if own is not None else (LONG, LONG)
-            book = self.books[e.number] = Book(*times, seen)
+            book = self.books[e.number] = BudgetAllocation(*times, seen)
             book.number = e.number
         account, unsure, members = book.accounts.get(by), self.members.unsure(report), self.members
         if account is None:
             if unsure and now < self._settled(book, self.began):
                 return None  # neither of us knows what it may have out
-            account = book.accounts[by] = Account()
+            account = book.accounts[by] = MemberAccount()
             account.until = self._settled(book, now)
             book.owned_up += max(e.held, e.had)
             over_at = members.over_at(book, self.lease, report.age / 1000.0, now)
@@ -324,7 +334,7 @@
         book.total += account.most - before
         return Grant(e.number, account.serial, units, agreed)
 
-    def _divide(self, number: int, book: Book, now: float) -> None:
+    def _divide(self, number: int, book: BudgetAllocation, now: float) -> None:
         self._work_out(number, book, now)
         needs = {
             n: a.need for n, a in book.accounts.items() if now < a.heard + QUIET and n not in self.leaving
@@ -347,10 +357,13 @@
             self._work_out(number, book, now)
             quiet = [a for a in book.accounts.values() if now >= a.heard + QUIET]
             row = {
-                "whole": book.whole, "bases": book.bases, "held": book.total,
+                "whole": book.whole,
+                "bases": book.bases,
+                "held": book.total,
                 "used": sum(a.used for a in book.accounts.values() if now < a.heard + QUIET),
-                "free": self.free(book, now), "unknown": self._unknown(book, now),
+                "free": self.free(book, now),
+                "unknown": self._unknown(book, now),
                 "unreachable": sum(a.most for a in [*quiet, *book.old]),
-            }  # fmt: skip
+            }
             rows[number] = row | {f"held {n}": a.most for n, a in sorted(book.accounts.items())}
         return rows
--- a/marbleworks/budgets/budget_catalog.py
+++ b/marbleworks/budgets/budget_catalog.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Budget:
     """One budget. span: seconds for which a unit of a rate is in use, which is also how long a burst may be
     saved up; 0: a unit is in use until its command has ended. settle: seconds after a part ran out at its
     holder by which all that was out beyond it has ended for sure."""
@@ -53,7 +53,7 @@
 class Named:
     """A budget that the operator names: for a profile or a tenant, by index; -1: any."""
 
-    whole: Whole
+    whole: Budget
     profile: int
     tenant: int
 
@@ -61,7 +61,7 @@
         return self.profile in (-1, profile) and self.tenant in (-1, tenant)
 
 
-class Plan:
+class BudgetCatalog:
     """terms: the section budgets. profiles, tenants: names to indices; rates: commands a second within each
     tenant's share, by index."""
 
@@ -84,39 +84,39 @@
             if (told["profile"] and profile < 0) or (told["tenant"] and tenant < 0):
                 self.unknown.append(name)
                 continue
-            level = Whole(f"named {name}", int(told["out"]), 0.0, self.settle + DOUBT)
+            level = Budget(f"named {name}", int(told["out"]), 0.0, self.settle + DOUBT)
             whole = level if told["out"] else self._rate(f"named {name}", told["rate"])
             self.named.append(Named(whole, profile, tenant))
-        self.tenants: dict[int, Whole] = {}
+        self.tenants: dict[int, Budget] = {}
         if terms["tenants"]:
             named = {index: name for name, index in tenants.items()}
             for index, rate in enumerate(rates):
                 if rate > 0:
                     self.tenants[index] = self._rate(f"tenant {named[index]}", rate)
 
-    def _rate(self, name: str, rate: float) -> Whole:
+    def _rate(self, name: str, rate: float) -> Budget:
         span = self.window
         while rate * span < 1.0:  # so that one unit is at most what the rate gives in its span
             span *= 2.0
-        return Whole(name, min(math.floor(rate * span + 1e-9), HIGHEST), span, span)
+        return Budget(name, min(math.floor(rate * span + 1e-9), HIGHEST), span, span)
 
-    def engine(self, name: str, cores: int) -> Whole | None:
+    def engine(self, name: str, cores: int) -> Budget | None:
         """Commands out at one engine."""
         if not self.per_core:
             return None
-        return Whole(f"engine {name}", max(round(self.per_core * cores), 1), 0.0, self.settle + DOUBT)
+        return Budget(f"engine {name}", max(round(self.per_core * cores), 1), 0.0, self.settle + DOUBT)
 
-    def line(self, name: str, cores: int) -> Whole | None:
+    def line(self, name: str, cores: int) -> Budget | None:
         """Connections to one engine."""
         if not self.lines_per_core:
             return None
-        return Whole(f"lines {name}", max(round(self.lines_per_core * cores), 1), 0.0, self.settle + DOUBT)
+        return Budget(f"lines {name}", max(round(self.lines_per_core * cores), 1), 0.0, self.settle + DOUBT)
 
-    def cold(self, name: str, started: float, span: float) -> Whole:
+    def cold(self, name: str, started: float, span: float) -> Budget:
         """What a fresh engine bears in the time that the rules name, in parts of it."""
-        return Whole(f"cold {name}/{started:.3f}", COLD_UNITS, span, span)
+        return Budget(f"cold {name}/{started:.3f}", COLD_UNITS, span, span)
 
-    def fixed(self) -> list[Whole]:
+    def fixed(self) -> list[Budget]:
         """All that do not come and go with engines."""
         out = [named.whole for named in self.named] + list(self.tenants.values())
         return out + ([self.further] if self.further is not None else [])
--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -10,35 +10,39 @@
 from collections.abc import Callable
 from typing import Any
 
-from marbleworks.budgets.budget_catalog import COLD_UNITS, Plan, Whole
+from marbleworks.budgets.budget_catalog import COLD_UNITS, Budget, BudgetCatalog
 from marbleworks.budgets.codec import Answer, Report
-from marbleworks.budgets.local_budget import WAITS, Pocket, Purse
+from marbleworks.budgets.local_budget import WAITS, LocalBudget, LocalBudgets
 from marbleworks.net.actor import LOG, clock
-from marbleworks.net.dispatcher import Desk
-from marbleworks.scheduling.scheduler import COLD_TRUST
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.scheduling.scheduler import SLOW_START_TRUST
 
 ROUND = 0.4  # seconds within which a part that is asked for comes, mostly
 LONGEST = 60.0  # seconds that anyone is told to stay away
 
 
-class Holder:
+class BudgetEnforcer:
     """purse: ours, planned at once by `plan`. hurry: called where something waits for a part."""
 
-    def __init__(self, desk: Desk, plan: Plan, purse: Purse, hurry: Callable[[], None]) -> None:
-        self.desk, self.gateway, self.purse, self.hurry = desk, desk.gateway, purse, hurry
+    def __init__(
+        self, desk: Dispatcher, plan: BudgetCatalog, purse: LocalBudgets, hurry: Callable[[], None]
+    ) -> None:
+        self.desk, self.gateway, self.purse, self.hurry = desk, desk.scheduler, purse, hurry
         self.begin_by = math.inf
-        self.taken: dict[tuple[str, int], tuple[list[Pocket], float]] = {}  # by send: its levels, and when
+        self.taken: dict[
+            tuple[str, int], tuple[list[LocalBudget], float]
+        ] = {}  # by send: its levels, and when
         self.came = 0  # commands since the last report, of which each engine has its part
         self.queues: dict[int, set[str]] = {}  # by budget: commands that wait for it here
         # By engine: commands out there, what it bears while cold, and the work of one unit of that.
-        self.at: dict[int, tuple[Pocket | None, Pocket | None, float]] = {}
-        self.lines: dict[str, Pocket] = {}  # by engine: connections
-        self.named: dict[tuple[int, int], list[Pocket]] = {}
+        self.at: dict[int, tuple[LocalBudget | None, LocalBudget | None, float]] = {}
+        self.lines: dict[str, LocalBudget] = {}  # by engine: connections
+        self.named: dict[tuple[int, int], list[LocalBudget]] = {}
         self.refused = self.called_off = 0
         self.leaving = False
         self.replan(plan)
 
-    def replan(self, plan: Plan) -> None:
+    def replan(self, plan: BudgetCatalog) -> None:
         """The operator's file says so from now on."""
         self.plan = plan
         self.purse.version, self.purse.digest = plan.version, plan.digest
@@ -48,13 +52,13 @@
         """Engines came or went: what is budgeted for each of them comes and goes too."""
         pockets, engines, rules = self.purse.pockets, self.gateway.engines, self.gateway.rules
         wholes = self.plan.fixed()
-        of_each: dict[int, list[Whole | None]] = {}
-        lines: dict[str, Whole] = {}
+        of_each: dict[int, list[Budget | None]] = {}
+        lines: dict[str, Budget] = {}
         for be, engine in engines.items():
             entry = engine.entry
             cold = None
-            if entry.started > 0 and self.plan.divides_cold:
-                cold = self.plan.cold(entry.name, entry.started, rules.cold_span)
+            if entry.started_at > 0 and self.plan.divides_cold:
+                cold = self.plan.cold(entry.name, entry.started_at, rules.overload_window_s)
             of_each[be] = [self.plan.engine(entry.name, engine.cores), cold]
             line = self.plan.line(entry.name, engine.cores)
             if line is not None:
@@ -63,32 +67,34 @@
         self.purse.planned(wholes, clock())
         self.at = {}
         for be, (level, cold) in of_each.items():
-            work = rules.cold_floor * engines[be].cores * rules.cold_multiple * rules.cold_span
+            work = (
+                rules.slow_start_floor * engines[be].cores * rules.overload_multiple * rules.overload_window_s
+            )
             self.at[be] = (
                 pockets.get(level.number) if level is not None else None,
                 pockets.get(cold.number) if cold is not None else None,
-                COLD_TRUST * work / COLD_UNITS,
+                SLOW_START_TRUST * work / COLD_UNITS,
             )
         self.lines = {name: pockets[whole.number] for name, whole in lines.items()}
         self.named.clear()
         self.queues = {number: queue for number, queue in self.queues.items() if number in pockets}
 
-    def wholes(self) -> list[Whole]:
+    def wholes(self) -> list[Budget]:
         return [pocket.whole for pocket in self.purse.pockets.values()]
 
     # What the decisions ask.
 
-    def _named(self, profile: int, tenant: int) -> list[Pocket]:
+    def _named(self, profile: int, tenant: int) -> list[LocalBudget]:
         found = self.named.get((profile, tenant))
         if found is None:
             wholes = [named.whole for named in self.plan.named if named.covers(profile, tenant)]
             found = self.named[profile, tenant] = [self.purse.pockets[whole.number] for whole in wholes]
         return found
 
-    def _wanted(self, pocket: Pocket, ref: str, profile: int) -> None:
+    def _wanted(self, pocket: LocalBudget, ref: str, profile: int) -> None:
         if ref not in pocket.waiting and len(pocket.waiting) < WAITS:
             pocket.waiting.add(ref)
-            pocket.worth += self.gateway.profiles[profile].benefit
+            pocket.worth += self.gateway.request_classes[profile].priority_weight
             self.hurry()
 
     def wait(self, ref: str, profile: int, tenant: int, patience: float) -> float | None:
@@ -145,10 +151,10 @@
         return sum(level.most(now) for level in levels) if levels else math.inf
 
     def _fresh(self, be: int, now: float) -> bool:
-        return now - self.gateway.engines[be].entry.started < self.gateway.rules.cold_time
+        return now - self.gateway.engines[be].entry.started_at < self.gateway.rules.slow_start_s
 
     def _cold_units(self, profile: int, unit: float) -> int:
-        return max(math.ceil(self.gateway.usual(profile) / unit), 1)
+        return max(math.ceil(self.gateway.mean_work(profile) / unit), 1)
 
     def further(self, spare: float, earned: float) -> float:
         if self.plan.further is None:
@@ -226,9 +232,9 @@
 
     def answered(self, by: int, answer: Answer) -> None:
         if self.purse.answered(by, answer, clock()):
-            for engine in self.desk.engines.values() if self.lines else ():
+            for engine in self.desk.engine_clients.values() if self.lines else ():
                 engine.post(engine.try_again)
-            if self.gateway.held:
+            if self.gateway.pending:
                 self.gateway.review()
 
     def _call_off(self) -> None:
@@ -236,7 +242,7 @@
         for pocket, beyond in self.purse.overdue(clock()):
             sends = [key for key, (levels, _) in self.taken.items() if pocket in levels][-beyond:]
             for ref, _ in sends:
-                command = self.desk.open.get(ref)
+                command = self.desk.open_requests.get(ref)
                 if command is not None and command.handle is not None and not command.over:
                     self.called_off += 1
                     LOG.warning("called off for want of a part", ref=ref, budget=pocket.whole.name)
@@ -260,7 +266,7 @@
 class Counted:
     """The share of descriptors of one engine's connections, each of which is counted in its budget too."""
 
-    def __init__(self, share: Any, holder: Holder, name: str) -> None:
+    def __init__(self, share: Any, holder: BudgetEnforcer, name: str) -> None:
         self.share, self.holder, self.name = share, holder, name
 
     def acquire(self, blocking: bool = True) -> bool:
@@ -276,7 +282,7 @@
         self.holder.line_ended(self.name)
 
 
-def told_of(shown: dict[int, dict[str, int]], wholes: list[Whole]) -> list[list[Any]]:
+def told_of(shown: dict[int, dict[str, int]], wholes: list[Budget]) -> list[list[Any]]:
     """The divider's books as rows: name, whole, held, used, free, unreachable, by router."""
     names = {whole.number: whole.name for whole in wholes}
     rows = []
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Entry, Report, parts
 from marbleworks.membership.leader_election import DRIFT
 
@@ -25,10 +25,10 @@
 
 
 @dataclass(eq=False, slots=True)
-class Pocket:
+class LocalBudget:
     """One budget as this router has it."""
 
-    whole: Whole
+    whole: Budget
     agreed: int  # units of the smallest whole that any router told, where we know; our base is of it
     base: int
     base_from: float = -math.inf  # what an earlier process of our name took is over by then
@@ -90,26 +90,26 @@
         return max(len(self.ends) / PACE_OVER, least)
 
 
-class Purse:
+class LocalBudgets:
     """me: our number of `count`, by the settings. Where routers don't know each other (kept None) each has an
     even part for good. began: when our process did; what one before it had out is over a while after that.
     shares: even shares in what is kept, if more than count."""
 
-    POCKET: type[Pocket] = Pocket
+    POCKET: type[LocalBudget] = LocalBudget
 
     def __init__(
         self, me: int, count: int, kept: float | None, lease: float, began: float, shares: int = 0
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.me, self.count, self.kept, self.lease, self.began = me, count, kept, lease, began
         self.shares, self.joined = shares or count, began  # joined: the group that we are in
-        self.pockets: dict[int, Pocket] = {}
+        self.pockets: dict[int, LocalBudget] = {}
         self.token = 0
         self.tokens: dict[int, tuple[float, dict[int, int]]] = {}  # when each was told, and held by budget
         self.heeded, self.reign = (-1, 0), 0  # the divider that we tell, its start, and which right of it
         self.closed, self.told_at = False, began
         self.version = self.digest = 0
 
-    def planned(self, wholes: list[Whole], now: float) -> None:
+    def planned(self, wholes: list[Budget], now: float) -> None:
         """The budgets there are from now on. Of one that is there already the whole changes: a base shrinks
         at once, and grows when the divider says that all know the larger whole."""
         there = {whole.number: whole for whole in wholes}
@@ -126,13 +126,13 @@
                 pocket.whole, pocket.agreed = whole, min(pocket.agreed, whole.units)
                 pocket.base = self._base(whole, whole.units if self.kept is None else pocket.agreed)
 
-    def _base(self, whole: Whole, units: int) -> int:
+    def _base(self, whole: Budget, units: int) -> int:
         agreed = replace(whole, units=units)
         return agreed.even(self.me, self.count) if self.kept is None else agreed.base(self.kept, self.shares)
 
     # What commands take.
 
-    def take(self, pocket: Pocket, now: float, units: int = 1) -> float:
+    def take(self, pocket: LocalBudget, now: float, units: int = 1) -> float:
         """So many units, where there is room; of a level one. Until when what took it may begin: with its
         lease ends the right to a part, also for one that stands still in between."""
         own = pocket.base if now >= pocket.base_from else 0
@@ -145,14 +145,14 @@
             pocket.out += 1
         return begin_by
 
-    def give_back(self, pocket: Pocket, now: float, doubt: bool) -> None:
+    def give_back(self, pocket: LocalBudget, now: float, doubt: bool) -> None:
         """Of a level: its command is over. doubt: it may run on at its engine, which ends it within DOUBT."""
         pocket.out -= 1
         pocket.ends.append(now)
         if doubt:
             heapq.heappush(pocket.leaving, now + DOUBT)
 
-    def overdue(self, now: float) -> list[tuple[Pocket, int]]:
+    def overdue(self, now: float) -> list[tuple[LocalBudget, int]]:
         """Levels whose lease ran out so long ago that what is out beyond the base has to be called off, and
         how many of those."""
         found = []
--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from marbleworks.operator_config.value_types import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 
 def _fit(budget: dict[str, Any]) -> str | None:
@@ -19,39 +19,75 @@
     "budgets",
     "budgets of the whole fleet, divided among routers by need",
     (
-        Setting("version", Kind.COUNT, "Of these wholes: raise it at each change.", 1, 0, 1 << 30, live=True),
-        Setting("kept", Kind.SHARE, "Of each whole what every router has an even part of.", 0.25, 0.0, 1.0),
-        Setting("lease", Kind.SPAN, "For which a part holds without the one that divides.", 3.0, 0.5, 60.0),
         Setting(
-            "settle", Kind.SPAN, "After which what is out beyond a part that ran out is called off.",
-            4.0, 0.1, 120.0,
+            "version", ValueType.COUNT, "Of these wholes: raise it at each change.", 1, 0, 1 << 30, live=True
         ),
         Setting(
-            "window", Kind.SPAN, "Of a rate: as much as it gives so long may come at once.", 1.0, 0.1, 60.0
+            "kept", ValueType.SHARE, "Of each whole what every router has an even part of.", 0.25, 0.0, 1.0
         ),
         Setting(
-            "out-per-core", Kind.RATIO, "Commands out at one engine for each of its cores; 0: any.",
-            0.0, 0.0, 1000.0, live=True,
+            "lease", ValueType.SPAN, "For which a part holds without the one that divides.", 3.0, 0.5, 60.0
         ),
         Setting(
-            "lines-per-core", Kind.RATIO, "Connections to one engine for each of its cores; 0: any.",
-            0.0, 0.0, 1000.0,
+            "settle",
+            ValueType.SPAN,
+            "After which what is out beyond a part that ran out is called off.",
+            4.0,
+            0.1,
+            120.0,
         ),
         Setting(
-            "further", Kind.RATIO, "Further sends a second; 0: as the rules say.", 0.0, 0.0, 1e6, live=True
+            "window",
+            ValueType.SPAN,
+            "Of a rate: as much as it gives so long may come at once.",
+            1.0,
+            0.1,
+            60.0,
         ),
-        Setting("tenants", Kind.SWITCH, "Whether tenants' rates are divided by need.", True),
-        Setting("cold", Kind.SWITCH, "Whether what a fresh engine bears is divided by need.", False),
         Setting(
-            "budget", Kind.GROUP, "Commands out, or commands a second, of a profile or a tenant.",
-            live=True, by="budget", fit=_fit,
+            "out-per-core",
+            ValueType.RATIO,
+            "Commands out at one engine for each of its cores; 0: any.",
+            0.0,
+            0.0,
+            1000.0,
+            live=True,
+        ),
+        Setting(
+            "lines-per-core",
+            ValueType.RATIO,
+            "Connections to one engine for each of its cores; 0: any.",
+            0.0,
+            0.0,
+            1000.0,
+        ),
+        Setting(
+            "further",
+            ValueType.RATIO,
+            "Further sends a second; 0: as the rules say.",
+            0.0,
+            0.0,
+            1e6,
+            live=True,
+        ),
+        Setting("tenants", ValueType.SWITCH, "Whether tenants' rates are divided by need.", True),
+        Setting("cold", ValueType.SWITCH, "Whether what a fresh engine bears is divided by need.", False),
+        Setting(
+            "budget",
+            ValueType.GROUP,
+            "Commands out, or commands a second, of a profile or a tenant.",
+            live=True,
+            by="budget",
+            fit=_fit,
             inner=(
-                Setting("profile", Kind.TEXT, "", ""),
-                Setting("tenant", Kind.TEXT, "", ""),
-                Setting("out", Kind.COUNT, "", 0, 0, 1 << 20),
-                Setting("rate", Kind.RATIO, "", 0.0, 0.0, 1e6),
+                Setting("profile", ValueType.TEXT, "", ""),
+                Setting("tenant", ValueType.TEXT, "", ""),
+                Setting("out", ValueType.COUNT, "", 0, 0, 1 << 20),
+                Setting("rate", ValueType.RATIO, "", 0.0, 0.0, 1e6),
             ),
         ),
-        Setting("pace", Kind.PACE, "Bytes a second that this may send, and each peer.", 32000.0, 500.0, 1e7),
+        Setting(
+            "pace", ValueType.PACE, "Bytes a second that this may send, and each peer.", 32000.0, 500.0, 1e7
+        ),
     ),
-)  # fmt: skip
+)
--- a/marbleworks/budgets/report.py
+++ b/marbleworks/budgets/report.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from marbleworks.membership.report import Unasked, aligned, asked
+from marbleworks.membership.report import HealthQueryError, aligned, asked
 
 OWN = ("budget", "whole", "base", "part", "used", "holds for")
 BOOKS = ("budget", "whole", "held", "used", "free", "unreachable", "by router")
@@ -20,10 +20,10 @@
     for address in addresses:
         try:
             views.append(asked(address, "budgets"))
-        except Unasked as err:
+        except HealthQueryError as err:
             yield f"{address}: {err}"
     if not views:
-        raise Unasked("no router answers")
+        raise HealthQueryError("no router answers")
     for view in views:
         yield (
             f"router {view['me']}: version {view['version']}, asks router {view['divider']};"
--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -9,78 +9,84 @@
 
 from typing import Any
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import Plan, Whole
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import Budget, BudgetCatalog
 from marbleworks.budgets.codec import FORMAT, Answer, Report, decode, encode_answer, encode_report
-from marbleworks.budgets.enforcement import Holder, told_of
-from marbleworks.budgets.local_budget import Purse
-from marbleworks.membership.codec import Unreadable, group_of
-from marbleworks.membership.node import Heed
+from marbleworks.budgets.enforcement import BudgetEnforcer, told_of
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.membership.codec import DatagramDecodeError, group_of
+from marbleworks.membership.node import LeaderRef
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.datagrams import Kind, Peers
-from marbleworks.net.dispatcher import Desk
+from marbleworks.net.datagrams import DatagramKind, DatagramTransport
+from marbleworks.net.dispatcher import Dispatcher
 
 EVERY = 0.2  # seconds between reports
 SOONEST = 0.05  # and where something waits
 SAID = 10.0  # seconds between log lines on files that disagree
 
 
-class Treasurer(Actor):
+class BudgetService(Actor):
     """peers: None where routers don't know each other; each then has an even part for good."""
 
     def __init__(
-        self, terms: dict[str, Any], plan: Plan, desk: Desk, peers: Peers | None, me: int, count: int
+        self,
+        terms: dict[str, Any],
+        plan: BudgetCatalog,
+        desk: Dispatcher,
+        peers: DatagramTransport | None,
+        me: int,
+        count: int,
     ) -> None:
         self.terms, self.desk, self.me, self.count = terms, desk, max(me, 0), max(count, 1)
-        self.heed = Heed(-1, 0, 0, 0, 0.0, False)
-        self.ledger: Ledger | None = None
+        self.heed = LeaderRef(-1, 0, 0, 0, 0.0, False)
+        self.ledger: AllocationLedger | None = None
         self.ledgers = 0
         self.seen: dict[int, set[int]] = {}  # wholes of our file, as long as it may matter
-        self.wholes: list[Whole] = []
+        self.wholes: list[Budget] = []
         self.reported_at, self.said, self.unreadable = 0.0, 0.0, 0
         self.kept = terms["kept"] if peers is not None else None
-        purse = Purse(self.me, self.count, self.kept, terms["lease"], clock())
+        purse = LocalBudgets(self.me, self.count, self.kept, terms["lease"], clock())
         super().__init__()
-        self.holder = Holder(desk, plan, purse, self._hurry)
+        self.holder = BudgetEnforcer(desk, plan, purse, self._hurry)
         if peers is None:
             return
         self.group = group_of(f"budgets {self.count}")
-        self.tell = peers.register(Kind("budgets", FORMAT.mark, terms["pace"]), self._came)
-        self.post(self.rung)
+        self.tell = peers.register(DatagramKind("budgets", FORMAT.mark, terms["pace"]), self._came)
+        self.post(self.on_timer)
 
     def _came(self, peer: int, data: bytes) -> None:
         self.post(self.heard, peer, data)
 
     def _hurry(self) -> None:
         """Called by the desk: something waits for a part."""
-        if self.due is not None and self.due > self.reported_at + SOONEST:
+        if self.wake_at is not None and self.wake_at > self.reported_at + SOONEST:
             self.post(self._sooner)
 
     def _sooner(self) -> None:
-        self.due = min(self.due or clock(), self.reported_at + SOONEST)
+        self.wake_at = min(self.wake_at or clock(), self.reported_at + SOONEST)
 
-    def heeds(self, heed: Heed) -> None:
+    def heeds(self, heed: LeaderRef) -> None:
         """Whom the group's divider is, and whether we are it; posted by the steward."""
         if heed.right_until <= clock():
             self.ledger = None
         elif self.ledger is None or heed.reign != self.heed.reign:
             self.ledgers += 1  # routers tell one from the next by this number
             kept, lease = self.terms["kept"], self.terms["lease"]
-            self.ledger = Ledger(
+            self.ledger = AllocationLedger(
                 self.me, self.count, heed.start, self.ledgers, kept, lease, clock(), self.seen
-            )  # fmt: skip
+            )
             self.ledger.planned(self.wholes)
         if heed.yielded and not self.heed.yielded:
             self.desk.post(self.holder.leave)
         self.heed = heed
 
-    def rung(self) -> None:
-        self.due, self.reported_at = clock() + EVERY, clock()
+    def on_timer(self) -> None:
+        self.wake_at, self.reported_at = clock() + EVERY, clock()
         self.desk.post(self._report, self.heed)
 
     # In the desk's greenlet.
 
-    def _report(self, heed: Heed) -> None:
+    def _report(self, heed: LeaderRef) -> None:
         if heed.start == 0 or heed.divider < 0 or heed.yielded:
             return
         self.post(self._planned, self.holder.wholes())
@@ -92,7 +98,7 @@
 
     # In ours again.
 
-    def _planned(self, wholes: list[Whole]) -> None:
+    def _planned(self, wholes: list[Budget]) -> None:
         if wholes != self.wholes:
             self.wholes = wholes
             for whole in wholes:
@@ -105,7 +111,7 @@
     def heard(self, peer: int, data: bytes) -> None:
         try:
             said = decode(self.group, data)
-        except Unreadable as err:
+        except DatagramDecodeError as err:
             self.unreadable += 1
             if clock() > self.said + SAID:
                 self.said = clock()
@@ -138,7 +144,7 @@
 
     def leave(self) -> None:
         self.desk.post(self.holder.leave)
-        self.post(self.rung)
+        self.post(self.on_timer)
 
     def shown(self) -> dict[str, Any]:
         """As `budgets show` prints it: texts and lists of texts."""
@@ -146,8 +152,12 @@
         divides = self.ledger is not None and clock() < heed.right_until
         shown = self.ledger.shown(clock()) if divides and self.ledger is not None else {}
         return {
-            "me": str(self.me), "divider": str(heed.divider), "divides": "yes" if divides else "no",
-            "version": str(self.holder.plan.version), "refused": str(self.holder.refused),
-            "called off": str(self.holder.called_off), "rows": self.holder.shown(),
+            "me": str(self.me),
+            "divider": str(heed.divider),
+            "divides": "yes" if divides else "no",
+            "version": str(self.holder.plan.version),
+            "refused": str(self.holder.refused),
+            "called off": str(self.holder.called_off),
+            "rows": self.holder.shown(),
             "books": told_of(shown, self.wholes),
-        }  # fmt: skip
+        }
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -1,8 +1,8 @@
 """Wholes of budgets leased from one level of the fleet to the next: from the level above to a cell, and from
 the cell's leader to its routers. No I/O, no clock.
 
-The same books serve each level (`budgets/ledger.py`). A `Lessor` keeps those whose members are cells; a
-`Lessee` is a cell's leader towards the level above: a purse whose use is what its own books may have out, and
+The same books serve each level (`budgets/allocation_ledger.py`). A `BudgetLeaseGranter` keeps those whose
+members are cells; a `BudgetLeaseHolder` is a cell's leader towards the level above: a purse whose use is what its own books may have out, and
 the backing of those books. It must never let more be given out in a cell than the cell holds, or a part be
 held for longer than the cell's lease bears. docs/design/cell-leases.md has the proof. Times are float seconds
 of one clock.
@@ -14,11 +14,18 @@
 from dataclasses import dataclass, replace
 from types import MappingProxyType
 
-from marbleworks.budgets.allocation_ledger import Account, Backing, Book, Ledger, Members, Sums
-from marbleworks.budgets.budget_catalog import HIGHEST, Whole
+from marbleworks.budgets.allocation_ledger import (
+    AllocationLedger,
+    Backing,
+    BudgetAllocation,
+    MemberAccount,
+    Members,
+    Sums,
+)
+from marbleworks.budgets.budget_catalog import HIGHEST, Budget
 from marbleworks.budgets.codec import FORMAT, Answer, Entry, Report
 from marbleworks.budgets.codec import decode as decode_budgets
-from marbleworks.budgets.local_budget import Pocket, Purse
+from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.membership.codec import count, read_strictly, seal, unseal
 from marbleworks.membership.leader_election import DRIFT
 
@@ -71,7 +78,7 @@
     return decode_budgets(group, data)
 
 
-def lifted(whole: Whole, lease: float) -> Whole:
+def lifted(whole: Budget, lease: float) -> Budget:
     """A budget as the level above has it. lease: of the level below, whose parts may be given until a cell's
     own lease ends, and so hold for another of theirs, and what is out beyond them for `settle` more."""
     return replace(whole, settle=whole.settle + lease)
@@ -83,14 +90,14 @@
 
     One that is followed in its place may live on in another cell: its parts run out by their leases."""
 
-    def ended(self, book: Book, lease: float, now: float) -> float:
+    def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
         return now + (lease + book.settle) * (1 + DRIFT)
 
 
 class Cells(Members):
     """Cells, or regions: they tell what is beyond the bases of their routers, and the largest of these."""
 
-    def bases(self, book: Book) -> int:
+    def bases(self, book: BudgetAllocation) -> int:
         told = [account.base for account in book.accounts.values()]
         unknown = self.largest(book) if len(told) < self.count else 0
         return self.shares * max([unknown, *told])
@@ -103,24 +110,35 @@
     def unsure(self, report: Report) -> bool:
         return report.age == 0
 
-    def over_at(self, book: Book, lease: float, age: float, now: float) -> float:
+    def over_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
         return now  # who tells for a cell tells for all that were ever in it
 
-    def follow(self, book: Book, account: Account, before: bool, lease: float, now: float) -> None:
+    def follow(
+        self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
+    ) -> None:
         """Another leader, the same cell: what it was given, its routers may have."""
         account.token = -1
 
 
-class Lessor:
+class BudgetLeaseGranter:
     """Made anew each time that this machine gains the right of its level. count: cells that there may be.
     shares: routers of the fleet at the most. backing: what there is to divide, if it is leased itself."""
 
     def __init__(
-        self, me: int, count: int, shares: int, start: int, reign: int, kept: float, lease: float,
-        now: float, seen: Mapping[int, set[int]] = MappingProxyType({}), backing: Backing | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        me: int,
+        count: int,
+        shares: int,
+        start: int,
+        reign: int,
+        kept: float,
+        lease: float,
+        now: float,
+        seen: Mapping[int, set[int]] = MappingProxyType({}),
+        backing: Backing | None = None,
+    ) -> None:
         members = Cells(count, kept, shares)
-        self.ledger = Ledger(me, count, start, reign, kept, lease, now, seen, members, backing)
+        self.ledger = AllocationLedger(me, count, start, reign, kept, lease, now, seen, members, backing)
         self.leaders: dict[int, tuple[int, int, int]] = {}  # by cell: a router, its start, which right of it
         self.epochs: dict[int, int] = {}
 
@@ -143,7 +161,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Lease(Pocket):
+class Lease(LocalBudget):
     """One budget as a cell has it, beyond its routers' bases. out: what its books may have given out; sure:
     whether that is all that may be out."""
 
@@ -161,35 +179,35 @@
         return self.wants
 
 
-class Lessee(Purse, Backing):
+class BudgetLeaseHolder(LocalBudgets, Backing):
     """Made with each right over a cell. leader: us, as `Hello` says it. asked: the machines of the level
     above. lease: of that level; below: of our own parts."""
 
     POCKET = Lease
 
     def __init__(self, cell: int, leader: tuple[int, int, int], above: int, lease: float, now: float) -> None:
-        Purse.__init__(self, cell, 1, 0.0, lease, now)
+        LocalBudgets.__init__(self, cell, 1, 0.0, lease, now)
         self.leader, self.above = leader, above
-        self.books: Ledger | None = None  # ours, which divide what we hold
+        self.books: AllocationLedger | None = None  # ours, which divide what we hold
         self.left: dict[int, int] = {}  # by budget: units that the leaders before us may have given out
         self.epoch, self.nonce, self.asked_at, self.heard_at, self.turn = 0, 0, now - ASKS, now, leader[0]
 
     # As our own books see it.
 
-    def units(self, book: Book, now: float) -> int:
+    def units(self, book: BudgetAllocation, now: float) -> int:
         pocket = self.pockets.get(book.number)
         return pocket.part(now) if pocket is not None else 0
 
-    def agreed(self, book: Book) -> int:
+    def agreed(self, book: BudgetAllocation) -> int:
         pocket = self.pockets.get(book.number)
         return min(book.whole, pocket.agreed) if pocket is not None else book.whole
 
-    def renews(self, book: Book, now: float) -> bool:
+    def renews(self, book: BudgetAllocation, now: float) -> bool:
         """Not beyond our own lease: what is out by then ends before the level above counts on it."""
         pocket = self.pockets.get(book.number)
         return pocket is not None and now < pocket.until
 
-    def before(self, book: Book, members: Members) -> int:
+    def before(self, book: BudgetAllocation, members: Members) -> int:
         """All that the cell was leased may be out, until its routers have told what they hold."""
         return self.left.get(book.number, HIGHEST)
 
@@ -234,7 +252,7 @@
         """0: we don't know what leaders before us gave out, and what the cell was leased is to stand."""
         leases = [self.pockets[entry.number] for entry in entries]
         sure = all(isinstance(lease, Lease) and lease.sure for lease in leases)
-        return max(Purse.age(self, entries, now), 1) if sure else 0
+        return max(LocalBudgets.age(self, entries, now), 1) if sure else 0
 
     def heard(self, by: int, said: Welcome | Answer, now: float) -> bool:
         """Whether it was meant for us."""
--- a/marbleworks/cells/options.py
+++ b/marbleworks/cells/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from marbleworks.operator_config.value_types import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 EXACT = 0.001  # by which the regions' shares may miss the whole
 SPLITS = 2.5  # a cell that splits leaves two of at least 1 / SPLITS of the most that it may have
@@ -20,27 +20,40 @@
     "cells: small groups of routers and engines, by a numbered plan",
     (
         Setting(
-            "region", Kind.GROUP, "Its zones, and its share of all homes of table groups.",
-            by="region", fit=_fit,
+            "region",
+            ValueType.GROUP,
+            "Its zones, and its share of all homes of table groups.",
+            by="region",
+            fit=_fit,
             inner=(
-                Setting("zones", Kind.TEXT, "", ""),  # split at spaces
-                Setting("share", Kind.SHARE, "", 0.0, 0.0, 1.0),
+                Setting("zones", ValueType.TEXT, "", ""),  # split at spaces
+                Setting("share", ValueType.SHARE, "", 0.0, 0.0, 1.0),
             ),
         ),
-        Setting("routers", Kind.COUNT, "Routers that a cell bears; bases are divided by it.", None, 3, 4096),
-        Setting("engines", Kind.COUNT, "Engines that a cell bears.", None, 1, 4096),
-        Setting("least", Kind.COUNT, "Routers of a cell below which it is merged.", 5, 1, 4096),
-        Setting("step", Kind.SHARE, "Of a region's members, moved by one plan.", 0.05, 0.001, 1.0),
-        Setting("rest", Kind.COUNT, "Plans between a merge and a split of one region.", 20, 1, 100_000),
         Setting(
-            "jump", Kind.COUNT, "By which a plan's number may be ahead of ours.", 1000, 1, 1 << 30, live=True
+            "routers", ValueType.COUNT, "Routers that a cell bears; bases are divided by it.", None, 3, 4096
         ),
-        Setting("lease", Kind.SPAN, "For which a cell keeps its homes unheard.", 10.0, 1.0, 600.0),
-        Setting("settle", Kind.SPAN, "After which a load that was begun is surely over.", 60.0, 3.0, 3600.0),
-        Setting("key", Kind.TEXT, "File with the key of the plans' MAC.", None),
-        Setting("other-key", Kind.TEXT, "File with the second key while keys are being changed.", ""),
+        Setting("engines", ValueType.COUNT, "Engines that a cell bears.", None, 1, 4096),
+        Setting("least", ValueType.COUNT, "Routers of a cell below which it is merged.", 5, 1, 4096),
+        Setting("step", ValueType.SHARE, "Of a region's members, moved by one plan.", 0.05, 0.001, 1.0),
+        Setting("rest", ValueType.COUNT, "Plans between a merge and a split of one region.", 20, 1, 100_000),
+        Setting(
+            "jump",
+            ValueType.COUNT,
+            "By which a plan's number may be ahead of ours.",
+            1000,
+            1,
+            1 << 30,
+            live=True,
+        ),
+        Setting("lease", ValueType.SPAN, "For which a cell keeps its homes unheard.", 10.0, 1.0, 600.0),
+        Setting(
+            "settle", ValueType.SPAN, "After which a load that was begun is surely over.", 60.0, 3.0, 3600.0
+        ),
+        Setting("key", ValueType.TEXT, "File with the key of the plans' MAC.", None),
+        Setting("other-key", ValueType.TEXT, "File with the second key while keys are being changed.", ""),
     ),
-)  # fmt: skip
+)
 
 
 def unfit(terms: dict[str, Any], zones: Collection[str]) -> str | None:
--- a/marbleworks/cells/plan.py
+++ b/marbleworks/cells/plan.py
@@ -183,10 +183,14 @@
 
     @classmethod
     def made(
-        cls, number: int, settings: int, places: int, fresh: int,
+        cls,
+        number: int,
+        settings: int,
+        places: int,
+        fresh: int,
         regions: Iterable[tuple[str, tuple[str, ...], int, Sequence[tuple[int, int]], Part]],
         pinned: Mapping[int, int] | None = None,
-    ) -> Plan:  # fmt: skip
+    ) -> Plan:
         """regions: name, zones, share, home weights and Part of each. Raises PlanError."""
         parts, heads = {}, []
         for name, zones, share, homes, part in sorted(regions, key=lambda row: row[0]):
@@ -286,14 +290,17 @@
     def head(self) -> bytes:
         return _packed(
             {
-                0: self.number, 1: self.settings, 2: self.places, 3: self.fresh,
+                0: self.number,
+                1: self.settings,
+                2: self.places,
+                3: self.fresh,
                 4: [
                     [r.name, list(r.zones), r.share, [list(home) for home in r.homes], r.digest]
                     for r in self.regions
                 ],
                 5: [[group, self.pinned[group]] for group in sorted(self.pinned)],
             }
-        )  # fmt: skip
+        )
 
     @cached_property
     def digest(self) -> bytes:
@@ -347,11 +354,14 @@
                         f"plan: the part of region '{str(name)[:40]}' is torn, or not of this plan"
                     )
             plan = cls(
-                _below(raw[0], HIGHEST), _below(raw[1], 1 << 32), _below(raw[2], MOST_CELL),
-                _below(raw[3], MOST_CELL + 1), regions,
+                _below(raw[0], HIGHEST),
+                _below(raw[1], 1 << 32),
+                _below(raw[2], MOST_CELL),
+                _below(raw[3], MOST_CELL + 1),
+                regions,
                 {name: Part.read(part) for name, part in parts.items()},
                 {_below(group, HIGHEST): _below(cell, MOST_CELL) for group, cell in raw[5]},
-            )  # fmt: skip
+            )
             if plan.head != head or plan.sealed(mac) != data:
                 raise PlanError("plan: not in its one form")
         plan.check()
--- a/marbleworks/cells/planner/revision.py
+++ b/marbleworks/cells/planner/revision.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from marbleworks.cells.plan import FULL, WHOLE, Cell, Loan, Part, Plan, PlanError, rendezvous
-from marbleworks.settings import Deployment
+from marbleworks.settings import Settings
 
 BALANCE = 0.15  # part by which what a cell has of one kind may differ from the mean of its region
 SPREAD = 0.30  # and of one kind in one zone
@@ -69,16 +69,16 @@
     rest: int = 20
 
     @classmethod
-    def of(cls, terms: dict[str, Any], deployment: Deployment) -> Rules:
+    def of(cls, terms: dict[str, Any], deployment: Settings) -> Rules:
         """From the operator's section, which fits (terms.unfit), and the settings."""
-        zones, kinds = list(deployment.zones), list(deployment.kinds)
+        zones, kinds = list(deployment.zone_index), list(deployment.machine_kind_index)
 
         def named(indices: tuple[int, ...] | None, names: list[str]) -> frozenset[str] | None:
             return None if indices is None else frozenset(names[i] for i in indices if i >= 0)
 
         needs = tuple(
-            Need(name, named(profile.zones, zones), named(profile.kinds, kinds))
-            for name, profile in zip(deployment.profiles, deployment.profile_list, strict=True)
+            Need(name, named(profile.allowed_zones, zones), named(profile.allowed_machine_kinds, kinds))
+            for name, profile in zip(deployment.class_index, deployment.request_classes, strict=True)
         )
         told = {name: tuple(sorted(region["zones"].split())) for name, region in terms["region"].items()}
         shares = {name: round(WHOLE * region["share"]) for name, region in terms["region"].items()}
@@ -98,8 +98,10 @@
     @property
     def digest(self) -> int:
         """Of what all must agree on to use a plan."""
-        needs = [(n.profile, sorted(n.zones or ()), n.zones is None, sorted(n.kinds or ()), n.kinds is None)
-                 for n in self.needs]  # fmt: skip
+        needs = [
+            (n.profile, sorted(n.zones or ()), n.zones is None, sorted(n.kinds or ()), n.kinds is None)
+            for n in self.needs
+        ]
         facts = (sorted(self.regions.items()), sorted(self.shares.items()), sorted(needs), self.routers)
         return zlib.crc32(repr(facts).encode())
 
@@ -535,9 +537,12 @@
         return harm
 
     def _gain(
-        self, cell: int, less: Stratum | None, more: Stratum | None,
+        self,
+        cell: int,
+        less: Stratum | None,
+        more: Stratum | None,
         gains: dict[tuple[int, Stratum | None, Stratum | None], int],
-    ) -> int:  # fmt: skip
+    ) -> int:
         key = (cell, less, more)
         if key not in gains:
             stratum = less or more
@@ -588,9 +593,12 @@
         return best[1:] if best is not None else None
 
     def _move(
-        self, stratum: Stratum, giver: int, taker: int,
+        self,
+        stratum: Stratum,
+        giver: int,
+        taker: int,
         gains: dict[tuple[int, Stratum | None, Stratum | None], int],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Of that stratum, one of the rack of which the giver has most and the taker fewest."""
         routers = stratum[1] == ""
         here, there = self.holds[giver].racks(routers), self.holds[taker].racks(routers)
--- a/marbleworks/fair_queue/admission.py
+++ b/marbleworks/fair_queue/admission.py
@@ -13,11 +13,11 @@
 from enum import Enum
 from typing import Protocol
 
-from marbleworks.fair_queue.concurrency_limit import Window
-from marbleworks.fair_queue.flow_classifier import Members
-from marbleworks.fair_queue.peer_usage import EVERY, Shares, name_hash
-from marbleworks.fair_queue.retry_promises import EARLY, Bookings
-from marbleworks.fair_queue.start_time_fair_queue import Fair, Ticket
+from marbleworks.fair_queue.concurrency_limit import ConcurrencyLimit
+from marbleworks.fair_queue.flow_classifier import FlowClassifier
+from marbleworks.fair_queue.peer_usage import EVERY, PeerUsage, name_hash
+from marbleworks.fair_queue.retry_promises import EARLY, RetryPromises
+from marbleworks.fair_queue.start_time_fair_queue import StartTimeFairQueue, Ticket
 
 TICKET = 2000  # bytes that a waiting command takes besides its statement
 RATE_OVER = 1.0  # seconds over which the work that gets done is measured
@@ -32,7 +32,7 @@
 LEAST_PART, MOST_PART = 0.1, 0.5  # of what may be promised of a time, for one member
 
 
-class Why(Enum):
+class AdmissionReason(Enum):
     """What became of a command at the door, for the trace."""
 
     PASSED = "passed"  # nothing contended
@@ -47,7 +47,7 @@
     STOPPING = "stopping"
 
 
-class Sill(Protocol):
+class AdmissionPort(Protocol):
     """What the door asks of whoever stands behind it."""
 
     def let_in(self, ref: str) -> None: ...
@@ -57,7 +57,7 @@
 
     def tell_peers(self, data: bytes) -> None: ...
 
-    def trace(self, ref: str, member: str, why: Why, seconds: float) -> None: ...
+    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
     def broke(self, ref: str, member: str, cause: str) -> None:
         """One that came in its time was not served after all."""
@@ -105,11 +105,13 @@
     promised: bool = False
 
 
-class Door:
-    def __init__(self, sill: Sill, members: Members, bounds: Bounds, cores: float, heed: float) -> None:
+class AdmissionController:
+    def __init__(
+        self, sill: AdmissionPort, members: FlowClassifier, bounds: Bounds, cores: float, heed: float
+    ) -> None:
         self.sill, self.members, self.bounds = sill, members, bounds
-        self.fair, self.window = Fair(), Window(cores)
-        self.bookings, self.shares = Bookings(heed, bounds.bookings), Shares()
+        self.fair, self.window = StartTimeFairQueue(), ConcurrencyLimit(cores)
+        self.bookings, self.shares = RetryPromises(heed, bounds.bookings), PeerUsage()
         self.waiting: dict[
             str, tuple[Ticket, str, float]
         ] = {}  # by ref: its ticket, member, and when it came
@@ -143,24 +145,28 @@
         booking = self.bookings.find(flow, new.mark)
         if booking is not None and now < booking.at - EARLY:
             if self.fair.count or not self.window.has_room(new.threads):
-                self._away(new.ref, member, booking.at - now, Why.EARLY)
+                self._away(new.ref, member, booking.at - now, AdmissionReason.EARLY)
                 return
             self.bookings.claim(booking, new.work, booking.at)  # there is room now, and its place is free
         elif booking is not None and self.bookings.claim(booking, new.work, now):
             self.fair.correct(flow, new.work)  # of its own share, though ahead of its turn
-            self._take(new, member, flow, weight, now, Why.KEPT)
+            self._take(new, member, flow, weight, now, AdmissionReason.KEPT)
             return
         if not self.fair.count and self.window.has_room(new.threads):
-            self._enter(new.ref, Inside(flow, member, new.work, new.threads, now), Why.PASSED, 0.0)
+            self._enter(
+                new.ref, Inside(flow, member, new.work, new.threads, now), AdmissionReason.PASSED, 0.0
+            )
             return
         if self.fair.count and self.window.has_room(new.threads, HEADROOM) and self.fair.has_credit(flow):
             self.fair.passed(flow, weight, new.work)  # it would be next: no need to wait for an end
             self.straight.append((now, new.work))
             self.straight_work += new.work
-            self._enter(new.ref, Inside(flow, member, new.work, new.threads, now), Why.PASSED, 0.0)
+            self._enter(
+                new.ref, Inside(flow, member, new.work, new.threads, now), AdmissionReason.PASSED, 0.0
+            )
             return
         if self._wait(flow, weight, new.work, now) > new.patience:
-            self._turn_away(new, member, flow, weight, now, Why.TOO_LATE)
+            self._turn_away(new, member, flow, weight, now, AdmissionReason.TOO_LATE)
             return
         while self.fair.count >= self.bounds.count or self.fair.size + new.size + TICKET > self.bounds.size:
             heaviest = self.fair.heaviest()
@@ -169,10 +175,10 @@
                 or heaviest.key == flow
                 or self._lighter(heaviest.work, heaviest.weight, flow, weight)
             ):
-                self._turn_away(new, member, flow, weight, now, Why.FULL)
+                self._turn_away(new, member, flow, weight, now, AdmissionReason.FULL)
                 return
             self._drop(self.fair.last_of(heaviest), now)
-        self._take(new, member, flow, weight, now, Why.QUEUED)
+        self._take(new, member, flow, weight, now, AdmissionReason.QUEUED)
 
     def _lighter(self, work: float, weight: float, flow: int, own_weight: float) -> bool:
         mine = self.fair.flows.get(flow)
@@ -212,10 +218,12 @@
             self.straight_work -= self.straight.popleft()[1]
         return max(self.rate() - self.straight_work / RATE_OVER, 0.2 * self.rate())
 
-    def _take(self, new: Arrival, member: str, flow: int, weight: float, now: float, why: Why) -> None:
+    def _take(
+        self, new: Arrival, member: str, flow: int, weight: float, now: float, why: AdmissionReason
+    ) -> None:
         until = now + max(new.left, 0.0)
         ticket = Ticket(new.ref, flow, new.line, new.work, new.size + TICKET, until, new.threads)
-        if why is Why.KEPT:
+        if why is AdmissionReason.KEPT:
             self.fair.push_ahead(ticket)
             self.promised.add(new.ref)
         else:
@@ -229,14 +237,16 @@
         self._trace(new.ref, member, why, 0.0)
         self.pump(now)
 
-    def _turn_away(self, new: Arrival, member: str, flow: int, weight: float, now: float, why: Why) -> None:
+    def _turn_away(
+        self, new: Arrival, member: str, flow: int, weight: float, now: float, why: AdmissionReason
+    ) -> None:
         waits = self.fair.flows.get(flow)
         others = self.fair.weight - (waits.weight if waits is not None and waits.count else 0.0)
         part = min(max(weight / (others + weight), LEAST_PART), MOST_PART)
         after = self.bookings.book(flow, new.mark, new.work, now, self._to_promise(now), self.fair.work, part)
         self._away(new.ref, member, after, why)
 
-    def _away(self, ref: str, member: str, after: float, why: Why) -> None:
+    def _away(self, ref: str, member: str, after: float, why: AdmissionReason) -> None:
         self._trace(ref, member, why, after)
         self.sill.turn_away(ref, after)
 
@@ -244,7 +254,7 @@
         """A waiting command makes room for a lighter member's."""
         member = self._out(ticket)
         self.bookings.unpromised += 1
-        self._away(ticket.ref, member, math.inf, Why.FULL)
+        self._away(ticket.ref, member, math.inf, AdmissionReason.FULL)
 
     def _out(self, ticket: Ticket) -> str:
         self.fair.remove(ticket)
@@ -271,9 +281,9 @@
             _, _, came = self.waiting[ticket.ref]
             kept, member = ticket.ref in self.promised, self._gone(ticket)
             inside = Inside(ticket.flow, member, ticket.work, ticket.threads, now, kept)
-            self._enter(ticket.ref, inside, Why.LET_IN, now - came)
+            self._enter(ticket.ref, inside, AdmissionReason.LET_IN, now - came)
 
-    def _enter(self, ref: str, inside: Inside, why: Why, waited: float) -> None:
+    def _enter(self, ref: str, inside: Inside, why: AdmissionReason, waited: float) -> None:
         self.inside[ref] = inside
         self.window.out += inside.threads
         self.owed[inside.flow] = self.owed.get(inside.flow, 0.0) + inside.work
@@ -330,7 +340,7 @@
         if ref not in self.waiting:
             return False
         ticket, _, _ = self.waiting[ref]
-        self._trace(ref, self._out(ticket), Why.LEFT, 0.0)
+        self._trace(ref, self._out(ticket), AdmissionReason.LEFT, 0.0)
         return True
 
     def resize(self, cores: float, now: float) -> None:
@@ -374,7 +384,7 @@
         kept, member = ticket.ref in self.promised, self._out(ticket)
         if kept:
             self._broken(ticket.ref, member, "no room in its time", now)
-        self._away(ticket.ref, member, math.inf, Why.TIMED_OUT)
+        self._away(ticket.ref, member, math.inf, AdmissionReason.TIMED_OUT)
 
     def _broken(self, ref: str, member: str, cause: str, now: float) -> None:
         """Rules come first: what was promised before engines were lost may not hold."""
@@ -399,8 +409,8 @@
     def stop(self, now: float) -> None:
         """The router ends: what still waits is turned away."""
         for ticket in list(self.fair.tickets()):
-            self._away(ticket.ref, self._out(ticket), math.inf, Why.STOPPING)
+            self._away(ticket.ref, self._out(ticket), math.inf, AdmissionReason.STOPPING)
 
-    def _trace(self, ref: str, member: str, why: Why, seconds: float) -> None:
+    def _trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
         if self.bounds.trace:
             self.sill.trace(ref, member, why, seconds)
--- a/marbleworks/fair_queue/concurrency_limit.py
+++ b/marbleworks/fair_queue/concurrency_limit.py
@@ -24,7 +24,7 @@
 LOOKS = 4  # ... at every fourth
 
 
-class Window:
+class ConcurrencyLimit:
     """cores: all that engines have, over the routers that share them."""
 
     def __init__(self, cores: float) -> None:
--- a/marbleworks/fair_queue/flow_classifier.py
+++ b/marbleworks/fair_queue/flow_classifier.py
@@ -18,7 +18,7 @@
 OTHERS = (24, 64)  # bits of a network that no line of the file names, for IPv4 and IPv6
 
 
-class Members:
+class FlowClassifier:
     """queues: how many there are. weights: by member's name. networks: weight by address prefix."""
 
     def __init__(self, queues: int, seed: int, weights: dict[str, float], networks: dict[str, float]) -> None:
--- a/marbleworks/fair_queue/options.py
+++ b/marbleworks/fair_queue/options.py
@@ -2,7 +2,7 @@
 
 import ipaddress
 
-from marbleworks.operator_config.value_types import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 
 def _network(text: str) -> str | None:
@@ -17,15 +17,21 @@
     "door",
     "fair queues in front of the decisions, and times to come back that are kept",
     (
-        Setting("queues", Kind.COUNT, "Queues that all members fold into.", 512, 8, 65_536),
+        Setting("queues", ValueType.COUNT, "Queues that all members fold into.", 512, 8, 65_536),
         Setting(
-            "waiting", Kind.COUNT, "Commands that may wait, all together.", 4_000, 1, 1_000_000, live=True
+            "waiting",
+            ValueType.COUNT,
+            "Commands that may wait, all together.",
+            4_000,
+            1,
+            1_000_000,
+            live=True,
         ),
-        Setting("memory", Kind.SIZE, "Bytes of them.", 16e6, 1e4, 1e9, live=True),
-        Setting("bookings", Kind.COUNT, "Promises at a time.", 10_000, 1, 1_000_000, live=True),
+        Setting("memory", ValueType.SIZE, "Bytes of them.", 16e6, 1e4, 1e9, live=True),
+        Setting("bookings", ValueType.COUNT, "Promises at a time.", 10_000, 1, 1_000_000, live=True),
         Setting(
             "weight",
-            Kind.RATIO,
+            ValueType.RATIO,
             "A member's weight; others have 1.",
             None,
             0.01,
@@ -35,7 +41,7 @@
         ),
         Setting(
             "network",
-            Kind.RATIO,
+            ValueType.RATIO,
             "The weight of clients without a member that come from a network; others count by /24 or /64.",
             None,
             0.01,
@@ -44,9 +50,9 @@
             by="network",
             check=_network,
         ),
-        Setting("peers", Kind.SWITCH, "Tell the group's routers what the heaviest were let in.", True),
+        Setting("peers", ValueType.SWITCH, "Tell the group's routers what the heaviest were let in.", True),
         Setting(
-            "trace", Kind.SWITCH, "One log line for each decision, for `door explain`.", False, live=True
+            "trace", ValueType.SWITCH, "One log line for each decision, for `door explain`.", False, live=True
         ),
     ),
 )
--- a/marbleworks/fair_queue/peer_usage.py
+++ b/marbleworks/fair_queue/peer_usage.py
@@ -29,7 +29,7 @@
     return xxhash.xxh32_intdigest(name.encode())
 
 
-class Shares:
+class PeerUsage:
     """What this router tells of its members, and the numbers of what it heard from each peer."""
 
     def __init__(self) -> None:
--- a/marbleworks/fair_queue/retry_promises.py
+++ b/marbleworks/fair_queue/retry_promises.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Booking:
+class RetryPromise:
     flow: int
     mark: int
     work: float
@@ -26,7 +26,7 @@
     slots: dict[int, float] = field(default_factory=dict)
 
 
-class Bookings:
+class RetryPromises:
     """heed: the longest time that clients heed, in seconds; 0: none may be named. most: bookings at a
     time."""
 
@@ -34,8 +34,8 @@
         self.heed, self.most = heed, most
         self.slots: dict[int, float] = {}  # work that is promised in each
         self.by_flow: dict[tuple[int, int], float] = {}  # slot and flow: the same
-        self.waiting: dict[tuple[int, int], Booking] = {}  # by flow and mark
-        self.line: list[tuple[float, int, Booking]] = []  # a heap by time, to be dropped
+        self.waiting: dict[tuple[int, int], RetryPromise] = {}  # by flow and mark
+        self.line: list[tuple[float, int, RetryPromise]] = []  # a heap by time, to be dropped
         self.booked = self.kept = self.lapsed = self.broken = self.unpromised = 0
 
     def book(
@@ -68,7 +68,7 @@
         if (flow, mark) in self.waiting:
             self._drop(self.waiting[flow, mark])
         first = min(taken)
-        booking = Booking(flow, mark, work, first * SLOT, taken)
+        booking = RetryPromise(flow, mark, work, first * SLOT, taken)
         for slot, share in taken.items():
             self.slots[slot] = self.slots.get(slot, 0.0) + share
             self.by_flow[slot, flow] = self.by_flow.get((slot, flow), 0.0) + share
@@ -77,10 +77,10 @@
         heapq.heappush(self.line, (booking.at, self.booked, booking))
         return max(booking.at - now, 0.0)
 
-    def find(self, flow: int, mark: int) -> Booking | None:
+    def find(self, flow: int, mark: int) -> RetryPromise | None:
         return self.waiting.get((flow, mark))
 
-    def claim(self, booking: Booking, work: float, now: float) -> bool:
+    def claim(self, booking: RetryPromise, work: float, now: float) -> bool:
         """Who was told this time is here; False where it is not the time, or it brings more than was
         promised."""
         if not booking.at - EARLY <= now <= booking.at + WINDOW:
@@ -107,10 +107,10 @@
             self.line = [entry for entry in self.line if not self._dropped(entry[2])]
             heapq.heapify(self.line)
 
-    def _dropped(self, booking: Booking) -> bool:
+    def _dropped(self, booking: RetryPromise) -> bool:
         return self.waiting.get((booking.flow, booking.mark)) is not booking
 
-    def _drop(self, booking: Booking) -> None:
+    def _drop(self, booking: RetryPromise) -> None:
         del self.waiting[booking.flow, booking.mark]
         for slot, part in booking.slots.items():
             self._less(self.slots, slot, part)
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -14,45 +14,54 @@
 import xxhash
 from gevent.event import Event
 
-from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
-from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.fair_queue.peer_usage import EVERY, MAGIC, MOST
-from marbleworks.net.actor import LOG, clock, start
-from marbleworks.net.datagrams import Kind, Peers
-from marbleworks.net.dispatcher import Desk
-from marbleworks.net.messages import Open
-from marbleworks.scheduling.scheduler import CLOSE
-from marbleworks.settings import Deployment
+from marbleworks.net.actor import LOG, clock, spawn
+from marbleworks.net.datagrams import DatagramKind, DatagramTransport
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.net.messages import OpenRequest
+from marbleworks.scheduling.scheduler import CLOSE_CALL_RATIO
+from marbleworks.settings import Settings
 
 TICK = 0.05  # seconds between looks at what waits
 AT_EASE = 1.5  # times its time alone that a command is thought to take past the door
-Held = tuple[Open, int, str, tuple[float, float], int]
+Held = tuple[OpenRequest, int, str, tuple[float, float], int]
 
 
-class Porter:
+class FairQueueService:
     def __init__(
-        self, terms: dict[str, Any], desk: Desk, deployment: Deployment, peers: Peers | None = None
+        self,
+        terms: dict[str, Any],
+        desk: Dispatcher,
+        deployment: Settings,
+        peers: DatagramTransport | None = None,
     ) -> None:
-        self.terms, self.desk, self.gateway, self.deployment = terms, desk, desk.gateway, deployment
-        self.names = list(deployment.tenants)
+        self.terms, self.desk, self.gateway, self.deployment = terms, desk, desk.scheduler, deployment
+        self.names = list(deployment.tenant_index)
         self.tell: Callable[[bytes], None] = lambda data: None
         self.held: dict[str, Held] = {}
         self.alone: dict[str, float] = {}  # of what is past the door
         rules = deployment.rules
-        self.door = Door(self, self._members(), self._bounds(), self._cores(), rules.come_back)
+        self.door = AdmissionController(
+            self, self._members(), self._bounds(), self._cores(), rules.max_retry_after_s
+        )
         if peers is not None:
             self.tell = peers.register(
-                Kind("door", MAGIC, 2.0 * MOST / EVERY), lambda peer, data: desk.post(self.heard, peer, data)
+                DatagramKind("door", MAGIC, 2.0 * MOST / EVERY),
+                lambda peer, data: desk.post(self.heard, peer, data),
             )
         self.woken = Event()
-        self.greenlet = start(self._run)
+        self.greenlet = spawn(self._run)
 
-    def _members(self) -> Members:
+    def _members(self) -> FlowClassifier:
         terms = self.terms
-        return Members(terms["queues"], self.gateway.seed & 0xFFFFFFFF, terms["weight"], terms["network"])
+        return FlowClassifier(
+            terms["queues"], self.gateway.seed & 0xFFFFFFFF, terms["weight"], terms["network"]
+        )
 
     def _bounds(self) -> Bounds:
-        terms, share = self.terms, self.terms["peers"] and self.deployment.rules.peers
+        terms, share = self.terms, self.terms["peers"] and self.deployment.rules.allows_peer_messages
         return Bounds(terms["waiting"], terms["memory"], terms["bookings"], share, terms["trace"])
 
     def _cores(self) -> float:
@@ -65,18 +74,22 @@
 
     # What the desk tells.
 
-    def take(self, ref: str, new: Open, group: int, key: str, told: tuple[float, float], tenant: int) -> None:
-        index = self.deployment.profiles[new.profile]
-        profile, now = self.deployment.profile_list[index], clock()
-        work = told[0] * self.gateway.bias[index][0] or self.gateway.usual(index)
+    def take(
+        self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
+    ) -> None:
+        index = self.deployment.class_index[new.profile]
+        profile, now = self.deployment.request_classes[index], clock()
+        work = told[0] * self.gateway.estimate_bias[index][0] or self.gateway.mean_work(index)
         alone, waited, left = work / profile.threads, now - new.came, new.deadline - now
         self.held[ref] = new, group, key, told, tenant
         self.alone[ref] = alone
         name = self.names[tenant] if tenant >= 0 else ""
         address = new.client.stream.peer.rpartition(":")[0]
         self._bound()
-        target = min(profile.target + profile.stretch * alone, new.deadline - new.came)
-        latest = CLOSE * target - waited  # whoever comes to the decisions later is given up there
+        target = min(
+            profile.latency_target_s + profile.latency_target_growth * alone, new.deadline - new.came
+        )
+        latest = CLOSE_CALL_RATIO * target - waited  # whoever comes to the decisions later is given up there
         self.door.arrive(
             Arrival(
                 ref=ref,
@@ -132,7 +145,7 @@
     def tell_peers(self, data: bytes) -> None:
         self.tell(data)
 
-    def trace(self, ref: str, member: str, why: Why, seconds: float) -> None:
+    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
         after = None if math.isinf(seconds) else round(seconds, 3)
         LOG.info("door", ref=ref, member=member, why=why.value, seconds=after)
 
@@ -153,8 +166,8 @@
 
     def _bound(self) -> None:
         """What budgets let out there binds at the door, where turns are fair."""
-        if self.gateway.allotment is not None:
-            self.door.window.bound = self.gateway.allotment.out()
+        if self.gateway.shared_budgets is not None:
+            self.door.window.bound = self.gateway.shared_budgets.out()
 
     def _tick(self) -> None:
         self._bound()
--- a/marbleworks/fair_queue/start_time_fair_queue.py
+++ b/marbleworks/fair_queue/start_time_fair_queue.py
@@ -113,7 +113,7 @@
         return self.elsewhere * math.exp(self.heard - now) if self.elsewhere else 0.0
 
 
-class Fair:
+class StartTimeFairQueue:
     def __init__(self) -> None:
         self.turns: Turns[Flow] = Turns()
         self.flows: dict[int, Flow] = {}
--- a/marbleworks/lab/assignments.py
+++ b/marbleworks/lab/assignments.py
@@ -93,12 +93,17 @@
                 worst = max(worst, max(counts) * len(cells) / sum(counts))
     parts = plan.parts.values()
     return Look(
-        sum(len(part.cells) for part in parts), min(routers.values()), max(routers.values()), worst, work,
+        sum(len(part.cells) for part in parts),
+        min(routers.values()),
+        max(routers.values()),
+        worst,
+        work,
         max((n / routers[cell] for (cell, _), n in zones.items()), default=0.0),
         max(n / routers[cell] for (cell, _), n in racks.items()),
-        sum(len(part.routers) + len(part.engines) for part in parts), len(plan.write(KEY)),
+        sum(len(part.routers) + len(part.engines) for part in parts),
+        len(plan.write(KEY)),
         max(len(plan.excerpt(name).write(KEY)) for name in plan.parts),
-    )  # fmt: skip
+    )
 
 
 def sizes(report: Report, chance: random.Random, quick: bool) -> None:
@@ -126,11 +131,20 @@
         report.rows.append(row)
     last = looks[-1]
     report.figures |= {
-        "cells": last.cells, "routers_least": last.least, "routers_most": last.most, "kinds": last.kinds,
-        "work": last.work, "zone": last.zone, "rack": last.rack, "apart": last.apart, "bytes": last.whole,
-        "excerpt_bytes": last.excerpt, "seconds_to_make": made, "seconds_to_revise": same,
+        "cells": last.cells,
+        "routers_least": last.least,
+        "routers_most": last.most,
+        "kinds": last.kinds,
+        "work": last.work,
+        "zone": last.zone,
+        "rack": last.rack,
+        "apart": last.apart,
+        "bytes": last.whole,
+        "excerpt_bytes": last.excerpt,
+        "seconds_to_make": made,
+        "seconds_to_revise": same,
         "seconds_to_read": read,
-    }  # fmt: skip
+    }
     balanced = max(seen.kinds for seen in looks)
     report.claim("most of a kind in a cell, over its region's mean", balanced, 1 + BALANCE)
     report.claim("greatest part of a cell's routers in one of three zones or more", last.zone, 0.499)
@@ -225,10 +239,14 @@
             moved, must, plans = (sum(column) for column in zip(*rows, strict=True))
             report.rows.append(
                 {
-                    "what": what, "fleets": len(rows), "moved": moved, "must": must,
-                    "plans": round(plans / len(rows), 1), "most plans": max(row[2] for row in rows),
+                    "what": what,
+                    "fleets": len(rows),
+                    "moved": moved,
+                    "must": must,
+                    "plans": round(plans / len(rows), 1),
+                    "most plans": max(row[2] for row in rows),
                 }
-            )  # fmt: skip
+            )
     report.figures["movement_changes"] = sum(len(rows) for rows in by_change.values())
     report.figures["movement_mean"] = sum(ratios) / len(ratios)
     report.claim("moves over those that must be", max(ratios), 2.0)
--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -18,9 +18,9 @@
 import gevent
 import numpy as np
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
-from marbleworks.budgets.local_budget import Purse
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
+from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
@@ -78,9 +78,12 @@
 
 
 def play(
-    operator: str, seconds: float, seed: int, shifts: list[float],
+    operator: str,
+    seconds: float,
+    seed: int,
+    shifts: list[float],
     faults: Callable[[Stage, FaultNet, set[int], float], None] | None = None,
-) -> Day:  # fmt: skip
+) -> Day:
     """faults: called in a greenlet of its own once the load begins, with the set of routers that clients know
     to be down, and the seconds. With it all routers have the same traffic."""
     day, chance, net, down = Day(), np.random.default_rng(seed), FaultNet(ROUTERS, seed), set[int]()
@@ -166,8 +169,8 @@
 class Fellow:
     """A router of the simulated fleet: commands come, wait a little, take a unit each, and end."""
 
-    def __init__(self, number: int, count: int, whole: Whole) -> None:
-        self.purse = Purse(number, count, 0.25, 2.0, -10.0)
+    def __init__(self, number: int, count: int, whole: Budget) -> None:
+        self.purse = LocalBudgets(number, count, 0.25, 2.0, -10.0)
         self.purse.planned([whole], 0.0)
         self.pocket = next(iter(self.purse.pockets.values()))
         self.ends: list[float] = []
@@ -177,9 +180,9 @@
 def simulated(report: Report, count: int, seed: int) -> None:
     """Zipf's traffic over so many routers in simulated time, a quarter more than the whole can do; after a
     while the order of the routers is another one."""
-    chance, whole, took = random.Random(seed), Whole("w", 4 * count, 0.0, 4.0 + DOUBT), 0.05
+    chance, whole, took = random.Random(seed), Budget("w", 4 * count, 0.0, 4.0 + DOUBT), 0.05
     fleet = [Fellow(n, count, whole) for n in range(count)]
-    ledger = Ledger(0, count, 1, 1, 0.25, 2.0, 0.0)
+    ledger = AllocationLedger(0, count, 1, 1, 0.25, 2.0, 0.0)
     ledger.planned([whole])
     ranks = list(range(count))
     weights = [1.0 / (n + 1) for n in range(count)]
@@ -222,22 +225,24 @@
     follows = next((i * step for i, top in enumerate(tops[at:]) if top >= 0.8 * later), seconds)
     steady = uses[round(5.0 / step) : at]
     report.figures |= {
-        f"sim_{count}_use": sum(steady) / len(steady), f"sim_{count}_follows_s": follows,
+        f"sim_{count}_use": sum(steady) / len(steady),
+        f"sim_{count}_follows_s": follows,
         f"sim_{count}_datagrams_a_second": told / seconds / count,
         f"sim_{count}_datagrams_a_second_at_divider": told / seconds,
-    }  # fmt: skip
+    }
     report.rows.append(
         {
-            "day": f"{count} simulated, Zipf", "whole in use": f"{report.figures[f'sim_{count}_use']:.3f}",
+            "day": f"{count} simulated, Zipf",
+            "whole in use": f"{report.figures[f'sim_{count}_use']:.3f}",
             "shift followed s": round(follows, 2),
         }
-    )  # fmt: skip
+    )
 
 
 def cost(count: int) -> float:
     """Median seconds of asking for a part."""
-    purse = Purse(0, 6, None, 2.0, -10.0)
-    purse.planned([Whole(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
+    purse = LocalBudgets(0, 6, None, 2.0, -10.0)
+    purse.planned([Budget(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
     pockets, took = list(purse.pockets.values()), list[float]()
     for n in range(count):
         pocket = pockets[n % 40]
@@ -272,10 +277,17 @@
     net.close()
     again = ran - commands
     report.figures |= {"further_asked": len(asks), "further_sends": again}
-    report.claim("further sends a second, all routers, where all that one asks for errs",
-                 again / seconds, bound * (1 + 1 / seconds))  # fmt: skip
-    report.claim("the same: what one router had of them, times its even part",
-                 again / seconds / (bound / 3), 1.5, least=True)  # fmt: skip
+    report.claim(
+        "further sends a second, all routers, where all that one asks for errs",
+        again / seconds,
+        bound * (1 + 1 / seconds),
+    )
+    report.claim(
+        "the same: what one router had of them, times its even part",
+        again / seconds / (bound / 3),
+        1.5,
+        least=True,
+    )
 
 
 def run(report: Report, seed: int, quick: bool) -> None:
@@ -293,18 +305,26 @@
         end = day.most[-1][0]
         report.rows.append(
             {
-                "day": name, "asked": len(day.asks), "served in time": f"{day.served():.3f}",
-                "whole in use": f"{day.use(2.0, end - 0.5):.3f}", "most out": max(m for _, m in day.most),
-                "beats over the whole": day.over(), "lost": sum(a.end == "lost" for _, a in day.asks),
+                "day": name,
+                "asked": len(day.asks),
+                "served in time": f"{day.served():.3f}",
+                "whole in use": f"{day.use(2.0, end - 0.5):.3f}",
+                "most out": max(m for _, m in day.most),
+                "beats over the whole": day.over(),
+                "lost": sum(a.end == "lost" for _, a in day.asks),
             }
-        )  # fmt: skip
+        )
         report.figures |= {f"{name}: served": day.served(), f"{name}: use": day.use(2.0, end - 0.5)}
     need, even, faults = days["divided by need"], days["even parts"], days["divided, kills, pauses, cuts"]
     report.claim("moments above the whole, counted at the engines", need.over() + faults.over(), 0)
     use = need.use(2.0, seconds - 0.5)
     report.claim("use of the whole while more is wanted", use, 0.9, least=True)
-    report.claim("use over a day of kills, pauses and cuts",
-                 faults.use(2.0, faults.most[-1][0] - 0.5), 0.75, least=True)  # fmt: skip
+    report.claim(
+        "use over a day of kills, pauses and cuts",
+        faults.use(2.0, faults.most[-1][0] - 0.5),
+        0.75,
+        least=True,
+    )
     follow = [followed(need, shift, (n + 1) % ROUTERS) for n, shift in enumerate(shifts)]
     report.claim("a shift followed within, s", max(follow), 1.5)
     report.claim(
--- a/marbleworks/lab/capacity.py
+++ b/marbleworks/lab/capacity.py
@@ -52,8 +52,8 @@
     "decide_groups": ("processor seconds for a command", "table groups"),
     "decide_tenants": ("processor seconds for a command", "tenants"),
     "decide_held": ("processor seconds for a review", "commands held"),
-    "listed_cpu": ("processor seconds to take over a whole list in decide.py", "engines listed"),
-    "engine_state": ("bytes of state in decide.py", "engines listed"),
+    "listed_cpu": ("processor seconds to take over a whole list in the scheduler", "engines listed"),
+    "engine_state": ("bytes of state in the scheduler", "engines listed"),
     "list_bytes": ("bytes of an answer of the list", "engines listed"),
     "list_cpu": ("processor seconds to read an answer of the list", "engines listed"),
     "ledger_cpu": ("processor seconds of the divider a report", "routers"),
@@ -94,27 +94,45 @@
 
 
 QUICK = Plan(
-    groups=(9, 12, 15, 18, 22, 26, 32, 40), starts=(25, 25, 21, 15, 11, 11, 9, 7),
+    groups=(9, 12, 15, 18, 22, 26, 32, 40),
+    starts=(25, 25, 21, 15, 11, 11, 9, 7),
     deaths=(7, 7, 7, 7, 5, 5, 5, 5),
-    rates=(0.5, 1.0, 1.5, 2.0, 3.0, 4.0), percents=(2.0, 4.0, 7.0, 10.0, 15.0, 20.0), rated=5.0,
-    engines=(50, 100, 200, 350, 500, 700, 1000), answers=(50, 100, 150, 200, 300, 400, 500),
-    table_groups=(16, 32, 64, 128, 256, 512), tenants=(50, 100, 200, 400, 700, 1000, 1500),
-    held=(50, 100, 200, 300, 400, 600, 800), dividers=(6, 12, 24, 48, 72, 96),
-    books=((6, 6), (6, 12), (12, 12), (12, 24), (24, 24), (24, 48)), budgets=(25, 50, 75, 100, 150, 200),
-    members=(64, 128, 256, 512, 768, 1024), clients=(50, 100, 200, 300, 400, 500), looks=2, passes=7,
-)  # fmt: skip
+    rates=(0.5, 1.0, 1.5, 2.0, 3.0, 4.0),
+    percents=(2.0, 4.0, 7.0, 10.0, 15.0, 20.0),
+    rated=5.0,
+    engines=(50, 100, 200, 350, 500, 700, 1000),
+    answers=(50, 100, 150, 200, 300, 400, 500),
+    table_groups=(16, 32, 64, 128, 256, 512),
+    tenants=(50, 100, 200, 400, 700, 1000, 1500),
+    held=(50, 100, 200, 300, 400, 600, 800),
+    dividers=(6, 12, 24, 48, 72, 96),
+    books=((6, 6), (6, 12), (12, 12), (12, 24), (24, 24), (24, 48)),
+    budgets=(25, 50, 75, 100, 150, 200),
+    members=(64, 128, 256, 512, 768, 1024),
+    clients=(50, 100, 200, 300, 400, 500),
+    looks=2,
+    passes=7,
+)
 FULL = Plan(
-    groups=(12, 18, 24, 36, 48, 72, 96, 120, 160, 200), starts=(25, 21, 15, 11, 9, 5, 3, 3, 2, 1),
+    groups=(12, 18, 24, 36, 48, 72, 96, 120, 160, 200),
+    starts=(25, 21, 15, 11, 9, 5, 3, 3, 2, 1),
     deaths=(9, 9, 9, 9, 9, 7, 5, 4, 3, 3),
-    rates=(0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0), percents=(1.0, 2.0, 4.0, 7.0, 10.0, 15.0, 20.0), rated=8.0,
+    rates=(0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0),
+    percents=(1.0, 2.0, 4.0, 7.0, 10.0, 15.0, 20.0),
+    rated=8.0,
     engines=(200, 400, 700, 1000, 1500, 2200, 3200, 4600, 7000, 10_000),
     answers=(100, 200, 400, 800, 1500, 2800, 4000),
-    table_groups=(16, 32, 64, 128, 256, 512, 1024), tenants=(50, 100, 200, 500, 1000, 2000, 5000),
-    held=(50, 100, 300, 700, 1500, 2800, 4000), dividers=(25, 50, 100, 150, 250, 400, 600),
+    table_groups=(16, 32, 64, 128, 256, 512, 1024),
+    tenants=(50, 100, 200, 500, 1000, 2000, 5000),
+    held=(50, 100, 300, 700, 1500, 2800, 4000),
+    dividers=(25, 50, 100, 150, 250, 400, 600),
     books=((6, 12), (12, 12), (12, 24), (24, 48), (48, 48), (48, 96), (48, 200)),
-    budgets=(25, 50, 100, 200, 400, 700, 1000), members=(64, 128, 256, 512, 1024, 2048, 4000),
-    clients=(100, 200, 400, 700, 1000, 1400, 1900), looks=5, passes=5,
-)  # fmt: skip
+    budgets=(25, 50, 100, 200, 400, 700, 1000),
+    members=(64, 128, 256, 512, 1024, 2048, 4000),
+    clients=(100, 200, 400, 700, 1000, 1400, 1900),
+    looks=5,
+    passes=5,
+)
 
 
 def simulated(slopes: Slopes, plan: Plan, seed: int) -> None:
@@ -129,11 +147,16 @@
 
 def in_process(slopes: Slopes, plan: Plan, seed: int) -> None:
     families: list[tuple[Callable[..., dict[str, list[float]]], Sequence[Any]]] = [
-        (sizes.decisions, plan.engines), (sizes.table_groups, plan.table_groups),
-        (sizes.tenants, plan.tenants), (sizes.held, plan.held), (sizes.lists, plan.answers),
-        (sizes.ledgers, plan.dividers), (sizes.ledger_states, plan.books), (sizes.purses, plan.budgets),
+        (sizes.decisions, plan.engines),
+        (sizes.table_groups, plan.table_groups),
+        (sizes.tenants, plan.tenants),
+        (sizes.held, plan.held),
+        (sizes.lists, plan.answers),
+        (sizes.ledgers, plan.dividers),
+        (sizes.ledger_states, plan.books),
+        (sizes.purses, plan.budgets),
         (sizes.doors, plan.members),
-    ]  # fmt: skip
+    ]
     found = [(xs, family(xs, plan.passes, seed)) for family, xs in families]
     found.append((plan.clients, sizes.clients(plan.clients, plan.looks)))
     for xs, told in found:
@@ -183,9 +206,11 @@
         slope = slopes[slope_name]
         low, high = slope.between(x)
         report.figures |= {
-            name: times * slope.at(x), f"{name}_low": times * low, f"{name}_high": times * high,
+            name: times * slope.at(x),
+            f"{name}_low": times * low,
+            f"{name}_high": times * high,
             f"{name}_sizes_beyond": slope.times(x),
-        }  # fmt: skip
+        }
         if allowed:
             beyond[name] = times * slope.at(x) / allowed
             report.figures[f"{name}_of_allowed"] = beyond[name]
@@ -194,9 +219,11 @@
 
 
 PAIRS = {
-    "member_bytes": "hollow_bytes", "member_datagrams": "hollow_datagrams",
-    "divider_bytes": "hollow_divider_bytes", "death_seconds": "hollow_death_seconds",
-}  # fmt: skip
+    "member_bytes": "hollow_bytes",
+    "member_datagrams": "hollow_datagrams",
+    "divider_bytes": "hollow_divider_bytes",
+    "death_seconds": "hollow_death_seconds",
+}
 
 
 def compared(report: Report, slopes: Slopes) -> None:
@@ -215,17 +242,23 @@
 def told(report: Report, slopes: Slopes) -> None:
     """Rows, claims and charts."""
     for slope in slopes.by_name.values():
-        report.rows.append({
-            "slope": slope.name, "against": slope.against, "how": slope.how,
-            "sizes": " ".join(f"{x:g}" for x in slope.xs), "at the largest": f"{slope.ys[-1]:.4g}",
-            "exponent": f"{slope.exponent:.2f}", "interval": f"{slope.low:.2f} to {slope.high:.2f}",
-            "held out, off by": f"{slope.error:.1%}",
-        })  # fmt: skip
+        report.rows.append(
+            {
+                "slope": slope.name,
+                "against": slope.against,
+                "how": slope.how,
+                "sizes": " ".join(f"{x:g}" for x in slope.xs),
+                "at the largest": f"{slope.ys[-1]:.4g}",
+                "exponent": f"{slope.exponent:.2f}",
+                "interval": f"{slope.low:.2f} to {slope.high:.2f}",
+                "held out, off by": f"{slope.error:.1%}",
+            }
+        )
         report.claim(f"{slope.name} at {slope.xs[-1]:g}, held out: prediction off by", slope.error, HELD_OUT)
     for title, x, y, names, most in (
         ("flat group, processor time", "routers", "cores", ("member_cpu", "divider_cpu"), FLEET),
         ("flat group, sent", "routers", "bytes a second", ("member_bytes", "divider_bytes"), FLEET),
-        ("a command in decide.py", "engines", "seconds", ("decide_known", "decide_new"), LISTED),
+        ("a command in the scheduler", "engines", "seconds", ("decide_known", "decide_new"), LISTED),
     ):
         series: dict[str, tuple[list[float], list[float]]] = {}
         for name in names:
@@ -250,6 +283,6 @@
 
 
 def homes() -> float:
-    """What decide.py keeps of one table group for each engine listed; it keeps up to 1,024 groups."""
+    """What the scheduler keeps of one table group for each engine listed; it keeps up to 1,024 groups."""
     engines, groups = 200, 100
     return (sizes.bare_state(engines, groups) - sizes.bare_state(engines)) / (engines * groups)
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -17,15 +17,15 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Entry, encode_answer, encode_report
 from marbleworks.budgets.codec import Report as Told
-from marbleworks.budgets.local_budget import Purse
+from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.cells.budget_leases import (
+    BudgetLeaseGranter,
+    BudgetLeaseHolder,
     Hello,
-    Lessee,
-    Lessor,
     Places,
     Said,
     Welcome,
@@ -33,7 +33,7 @@
     encode_hello,
     encode_welcome,
     lifted,
-)  # fmt: skip
+)
 from marbleworks.lab.group import Group
 from marbleworks.lab.purses import ENDS
 from marbleworks.lab.report import Report, percentile
@@ -115,13 +115,13 @@
     """One process: where it is, and the commands that it has out."""
 
     number: int  # in the fleet, for its traffic
-    purse: Purse
+    purse: LocalBudgets
     place: int = 0
     ends: list[float] = field(default_factory=list)
     queue: int = 0
     spent: Spent = field(default_factory=Spent)
-    ledger: Ledger | None = None
-    lessee: Lessee | None = None
+    ledger: AllocationLedger | None = None
+    lessee: BudgetLeaseHolder | None = None
     reign: int = 0
     moved: float = 0.0
 
@@ -135,10 +135,10 @@
         self.cells, self.size, self.seed, self.now = cells, size, seed, 0.0
         self.chance, self.places = random.Random(seed), size + SPARE
         self.shares = cells * self.places
-        self.whole = Whole("w", EACH * cells * size, 0.0, SETTLE)
+        self.whole = Budget("w", EACH * cells * size, 0.0, SETTLE)
         self.groups = [Group(self.places, seed + c, hold=True) for c in range(min(cells, whole_cells))]
         self.level = Group(MACHINES, seed + 7919)
-        self.lessors: dict[int, Lessor] = {}
+        self.lessors: dict[int, BudgetLeaseGranter] = {}
         self.machines = {m: Spent() for m in range(MACHINES)}
         counted(self.level, self.machines)
         self.at: list[dict[int, Router]] = [{} for _ in self.groups]  # routers by place
@@ -165,7 +165,7 @@
         return 1000.0 + self.now
 
     def _router(self, number: int, place: int, began: float) -> Router:
-        purse = Purse(place, self.places, KEPT, LEASE, self.clock() + began, self.shares)
+        purse = LocalBudgets(place, self.places, KEPT, LEASE, self.clock() + began, self.shares)
         purse.planned([self.whole], self.clock())
         return Router(number, purse, place)
 
@@ -249,11 +249,19 @@
 
     def _leads(self, c: int, place: int, router: Router, start: int, reign: int) -> None:
         now, router.reign = self.clock(), reign
-        router.lessee = Lessee(c, (router.number, start, reign), MACHINES, ABOVE, now)
-        router.ledger = Ledger(
-            place, self.places, start, reign, KEPT, LEASE, now,
-            {self.whole.number: {self.whole.units}}, Places(self.places, KEPT, self.shares), router.lessee,
-        )  # fmt: skip
+        router.lessee = BudgetLeaseHolder(c, (router.number, start, reign), MACHINES, ABOVE, now)
+        router.ledger = AllocationLedger(
+            place,
+            self.places,
+            start,
+            reign,
+            KEPT,
+            LEASE,
+            now,
+            {self.whole.number: {self.whole.units}},
+            Places(self.places, KEPT, self.shares),
+            router.lessee,
+        )
         router.ledger.planned([self.whole])
         router.lessee.books = router.ledger
 
@@ -316,9 +324,9 @@
                 self.lessors.pop(machine, None)
             elif machine not in self.lessors or self.lessors[machine].ledger.reign != heed.reign:
                 seen = {self.whole.number: {self.whole.units}}
-                self.lessors[machine] = lessor = Lessor(
+                self.lessors[machine] = lessor = BudgetLeaseGranter(
                     machine, self.cells, self.shares, heed.start, heed.reign, KEPT, ABOVE, self.clock(), seen
-                )  # fmt: skip
+                )
                 lessor.ledger.planned([lifted(self.whole, LEASE)])
 
     # Faults.
@@ -367,11 +375,11 @@
 
     def __init__(self, fleet: Fleet, cell: int) -> None:
         self.fleet, self.cell, now = fleet, cell, fleet.clock()
-        self.lessee = Lessee(cell, (cell * fleet.size, 1, 1), MACHINES, ABOVE, now)
+        self.lessee = BudgetLeaseHolder(cell, (cell * fleet.size, 1, 1), MACHINES, ABOVE, now)
         kept = Places(fleet.places, KEPT, fleet.shares)
         whole = fleet.whole
         seen = {whole.number: {whole.units}}
-        self.ledger = Ledger(0, fleet.places, 1, 1, KEPT, LEASE, now, seen, kept, self.lessee)
+        self.ledger = AllocationLedger(0, fleet.places, 1, 1, KEPT, LEASE, now, seen, kept, self.lessee)
         self.ledger.planned([whole])
         self.lessee.books, self.token = self.ledger, 0
         self.entry = Entry(whole.number, 0, 0, 0, 5 * fleet.size, 1.0, whole.units, 1, 0)
@@ -432,11 +440,18 @@
     told = [(m.sent + fleet.level.sent_bytes[n]) / seconds for n, m in fleet.machines.items()]
     kept = [float(weight([peer.fellow, fleet.lessors.get(n)])) for n, peer in enumerate(fleet.level.routers)]
     return {
-        "cell_cpu": sum(cpu) / len(cpu), "cell_bytes": sum(sent) / len(sent),
-        "cell_state": sum(state) / len(state), "cell_leader_cpu": max(cpu), "cell_leader_bytes": max(sent),
-        "cell_leader_state": max(state), "level_cpu": max(machines), "level_bytes": max(told),
-        "level_state": max(kept), "use": fleet.use(began, fleet.now), "over": float(fleet.over),
-    }  # fmt: skip
+        "cell_cpu": sum(cpu) / len(cpu),
+        "cell_bytes": sum(sent) / len(sent),
+        "cell_state": sum(state) / len(state),
+        "cell_leader_cpu": max(cpu),
+        "cell_leader_bytes": max(sent),
+        "cell_leader_state": max(state),
+        "level_cpu": max(machines),
+        "level_bytes": max(told),
+        "level_state": max(kept),
+        "use": fleet.use(began, fleet.now),
+        "over": float(fleet.over),
+    }
 
 
 def flat(routers: int, seed: int, seconds: float = 6.0) -> tuple[float, float]:
@@ -496,11 +511,16 @@
 def fits(by_size: dict[int, dict[str, float]], seed: int) -> list[Slope]:
     return [
         fitted(
-            name, what, "routers in the fleet", "simulated", list(by_size),
-            [found[name] for found in by_size.values()], seed,
+            name,
+            what,
+            "routers in the fleet",
+            "simulated",
+            list(by_size),
+            [found[name] for found in by_size.values()],
+            seed,
         )
         for name, what in NAMES.items()
-    ]  # fmt: skip
+    ]
 
 
 def slopes(seed: int, quick: bool) -> list[Slope]:
@@ -619,27 +639,48 @@
     for size, found in by_size.items():
         report.rows.append({"fleet": f"{size} routers in cells of {CELL}"} | _row(found))
         report.figures |= {f"{size}_{name}": value for name, value in found.items()}
-    report.claim("processor time of the busiest router, of a core, at every size",
-                 max(found["cell_leader_cpu"] for found in by_size.values()), MOST_CPU)  # fmt: skip
-    report.claim("bytes a second of the busiest router, at every size",
-                 max(found["cell_leader_bytes"] for found in by_size.values()), MOST_BYTES)  # fmt: skip
-    report.claim("bytes of state of the largest router, at every size",
-                 max(found["cell_leader_state"] for found in by_size.values()), MOST_STATE)  # fmt: skip
-    report.claim("processor time of the busiest machine above, of a core, at every size",
-                 max(found["level_cpu"] for found in by_size.values()), 1.0)  # fmt: skip
-    report.claim("bytes of state of the largest machine above, at every size",
-                 max(found["level_state"] for found in by_size.values()), MOST_STATE)  # fmt: skip
+    report.claim(
+        "processor time of the busiest router, of a core, at every size",
+        max(found["cell_leader_cpu"] for found in by_size.values()),
+        MOST_CPU,
+    )
+    report.claim(
+        "bytes a second of the busiest router, at every size",
+        max(found["cell_leader_bytes"] for found in by_size.values()),
+        MOST_BYTES,
+    )
+    report.claim(
+        "bytes of state of the largest router, at every size",
+        max(found["cell_leader_state"] for found in by_size.values()),
+        MOST_STATE,
+    )
+    report.claim(
+        "processor time of the busiest machine above, of a core, at every size",
+        max(found["level_cpu"] for found in by_size.values()),
+        1.0,
+    )
+    report.claim(
+        "bytes of state of the largest machine above, at every size",
+        max(found["level_state"] for found in by_size.values()),
+        MOST_STATE,
+    )
     for slope in fits(by_size, seed):
         for end, value in (("exponent", slope.exponent), ("low", slope.low), ("high", slope.high)):
             report.figures[f"{slope.name}_{end}"] = value
         report.figures[f"{slope.name}_held_out"] = slope.error
         if slope.name.startswith("cell_"):
             rises = 0.0 if slope.low <= 0.0 <= slope.high else slope.exponent
-            report.claim(f"{slope.name}: exponent against the fleet's size, 0 where its interval holds 0",
-                         rises, LOGARITHMIC)  # fmt: skip
+            report.claim(
+                f"{slope.name}: exponent against the fleet's size, 0 where its interval holds 0",
+                rises,
+                LOGARITHMIC,
+            )
             grown = slope.ys[-1] / slope.ys[0]
-            report.claim(f"{slope.name}: times its value at {slope.xs[0]:.0f} routers at {slope.xs[-1]:.0f}",
-                         grown, GROWN)  # fmt: skip
+            report.claim(
+                f"{slope.name}: times its value at {slope.xs[0]:.0f} routers at {slope.xs[-1]:.0f}",
+                grown,
+                GROWN,
+            )
     for count in (48,) if quick else (48, 96):
         cpu, sent = flat(count, seed)
         row = {"busiest router, of a core": f"{cpu:.4f}", "its bytes a second": round(sent)}
@@ -651,23 +692,38 @@
     day = faults(seed, 2, CELL, 2) if quick else faults(seed, 4, CELL, 20)
     after = [sum(values) / len(values) for values in zip(*day.after, strict=True)]
     report.figures |= {
-        "moments": day.moments, "leader_deaths": day.deaths, "cuts": day.cuts, "plans": day.plans,
-        "death_known_p50_s": percentile(day.known, 50), "death_known_p99_s": percentile(day.known, 99),
-        "least_use_after_a_leaders_death": min(after), "leased_again_p50_s": percentile(day.led, 50),
-        "leased_again_most_s": max(day.led), "cut_use_leased": sum(day.kept) / len(day.kept),
-        "cut_use_bases": sum(day.based) / len(day.based), "cut_back_p50_s": percentile(day.back, 50),
-    }  # fmt: skip
+        "moments": day.moments,
+        "leader_deaths": day.deaths,
+        "cuts": day.cuts,
+        "plans": day.plans,
+        "death_known_p50_s": percentile(day.known, 50),
+        "death_known_p99_s": percentile(day.known, 99),
+        "least_use_after_a_leaders_death": min(after),
+        "leased_again_p50_s": percentile(day.led, 50),
+        "leased_again_most_s": max(day.led),
+        "cut_use_leased": sum(day.kept) / len(day.kept),
+        "cut_use_bases": sum(day.based) / len(day.based),
+        "cut_back_p50_s": percentile(day.back, 50),
+    }
     report.claim("moments above the whole, through deaths of leaders, cuts and plans", day.over, 0)
     report.claim("seconds until a death is known in its cell, median", percentile(day.known, 50), 1.6)
-    report.claim("leaders' deaths, cuts and plans, the fewest", min(day.deaths, day.cuts, day.plans),
-                 2 if quick else 20, least=True)  # fmt: skip
+    report.claim(
+        "leaders' deaths, cuts and plans, the fewest",
+        min(day.deaths, day.cuts, day.plans),
+        2 if quick else 20,
+        least=True,
+    )
     follows, use = shift(seed, 2 if quick else 6, CELL)
     report.figures |= {"shift_between_cells_s": follows}
     report.claim("use of the whole while more is wanted", use, 0.85, least=True)
     report.charts.append(
-        ("use of the whole after a leader's death", "seconds", "part of what it was before",
-         {"all cells": ([n + 0.5 for n in range(len(after))], after)})
-    )  # fmt: skip
+        (
+            "use of the whole after a leader's death",
+            "seconds",
+            "part of what it was before",
+            {"all cells": ([n + 0.5 for n in range(len(after))], after)},
+        )
+    )
 
 
 LOGARITHMIC = 0.05  # an exponent below which a figure grows no faster than with the logarithm, here
@@ -676,11 +732,12 @@
 
 def _row(found: dict[str, float]) -> dict[str, Any]:
     return {
-        "a router, of a core": f"{found['cell_cpu']:.4f}", "bytes a second": round(found["cell_bytes"]),
+        "a router, of a core": f"{found['cell_cpu']:.4f}",
+        "bytes a second": round(found["cell_bytes"]),
         "busiest router, of a core": f"{found['cell_leader_cpu']:.4f}",
         "its bytes a second": round(found["cell_leader_bytes"]),
         "its state": round(found["cell_leader_state"]),
         "busiest machine above, of a core": f"{found['level_cpu']:.4f}",
         "machine's bytes a second": round(found["level_bytes"]),
         "machine's state": round(found["level_state"]),
-    }  # fmt: skip
+    }
--- a/marbleworks/lab/door.py
+++ b/marbleworks/lab/door.py
@@ -18,8 +18,8 @@
 import gevent
 import numpy as np
 
-from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
-from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
 from marbleworks.lab.report import Report, percentile, spread
@@ -151,17 +151,25 @@
     kept = sum(ask.end == "answered" for ask in again) / max(len(again), 1)
     report.figures |= {f"crowd_{end}": n for end, n in ends.items()}
     report.figures |= {
-        "crowd_came_back": len(again), "crowd_came_back_answered": kept, "crowd_rest_mb": rest,
-        "crowd_connected_mb": idle, "crowd_peak_mb": peak,
-    }  # fmt: skip
+        "crowd_came_back": len(again),
+        "crowd_came_back_answered": kept,
+        "crowd_rest_mb": rest,
+        "crowd_connected_mb": idle,
+        "crowd_peak_mb": peak,
+    }
     report.rows.append(
         {
-            "day": f"{count} members at once", "quiet asked": count, "flood answered": ends["answered"],
+            "day": f"{count} members at once",
+            "quiet asked": count,
+            "flood answered": ends["answered"],
             "in time": f"{service(asks):.3f}",
         }
-    )  # fmt: skip
-    report.claim(f"{count} members at once: commands without an end, exceptions",
-                 ends["lost"] + ends["error"] + failures, 0)  # fmt: skip
+    )
+    report.claim(
+        f"{count} members at once: commands without an end, exceptions",
+        ends["lost"] + ends["error"] + failures,
+        0,
+    )
     report.claim(f"{count} members at once: who came back when told was answered", kept, 0.95, least=True)
     report.claim(f"{count} members at once: MB over what their connections take", peak - idle, 16.0)
 
@@ -196,7 +204,7 @@
         self.gates += [Gate(self, n, doors) for n in range(doors)]
 
     @property
-    def door(self) -> Door:
+    def door(self) -> AdmissionController:
         return self.gates[0].door
 
     def ends(self, ref: str) -> None:
@@ -229,7 +237,9 @@
 
     def __init__(self, yard: Yard, number: int, doors: int) -> None:
         self.yard, self.number = yard, number
-        self.door = Door(self, Members(512, 1 + number, {}, {}), yard.bounds, yard.cores / doors, 5.0)
+        self.door = AdmissionController(
+            self, FlowClassifier(512, 1 + number, {}, {}), yard.bounds, yard.cores / doors, 5.0
+        )
 
     def come(self, new: Arrival) -> None:
         self.door.arrive(new, self.yard.now)
@@ -247,7 +257,7 @@
             if gate is not self and self.yard.passes(self.number, gate.number):
                 gate.door.heard(self.number, data, self.yard.now)
 
-    def trace(self, ref: str, member: str, why: Why, seconds: float) -> None: ...
+    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
     def broke(self, ref: str, member: str, cause: str) -> None: ...
 
@@ -293,9 +303,12 @@
     for _ in range(400):
         yard.work(0.01)
     report.figures |= {
-        "burst_done": yard.done, "burst_turned_away": yard.away, "burst_peak_bytes": peak,
-        "burst_slowest_arrival_ms": 1e3 * slowest, "burst_queues": len(yard.door.fair.flows),
-    }  # fmt: skip
+        "burst_done": yard.done,
+        "burst_turned_away": yard.away,
+        "burst_peak_bytes": peak,
+        "burst_slowest_arrival_ms": 1e3 * slowest,
+        "burst_queues": len(yard.door.fair.flows),
+    }
     report.claim("bytes that wait at the door in a burst over the bound", peak / bounds.size, 1.0)
     report.claim("commands of the burst without an end", 5000 - yard.done - yard.away, 0)
 
@@ -315,13 +328,16 @@
         quiet, floods = day.quiet(), [ask for name in FLOODS for ask in day.asks[name]]
         report.rows.append(
             {
-                "day": day.name, "quiet asked": len(quiet), "in time": f"{service(quiet):.3f}",
+                "day": day.name,
+                "quiet asked": len(quiet),
+                "in time": f"{service(quiet):.3f}",
                 "quiet p50 ms": round(1e3 * percentile([a.took for a in quiet if a.end == "answered"], 50)),
-                "quiet p99 ms": round(1e3 * p99(quiet)), "flood asked": len(floods),
+                "quiet p99 ms": round(1e3 * p99(quiet)),
+                "flood asked": len(floods),
                 "flood answered": sum(ask.end == "answered" for ask in floods),
                 "cores used": f"{day.used:.3f}",
             }
-        )  # fmt: skip
+        )
         report.figures |= {f"{key}_quiet_in_time": service(quiet), f"{key}_quiet_p99_ms": 1e3 * p99(quiet)}
         report.figures[f"{key}_used"] = day.used
     on, alone, off = days["on"], days["alone"], days["off"]
@@ -334,9 +350,11 @@
     kept = sum(let_in for _, _, let_in in back) / max(len(back), 1)
     differ = [abs(waited - told) for told, waited, _ in back]
     report.figures |= {
-        "came_back": len(back), "told_against_waited_p50_s": percentile(differ, 50),
-        "told_against_waited_p95_s": percentile(differ, 95), "flood_a_second": flood,
-    }  # fmt: skip
+        "came_back": len(back),
+        "told_against_waited_p50_s": percentile(differ, 50),
+        "told_against_waited_p95_s": percentile(differ, 95),
+        "flood_a_second": flood,
+    }
     report.claim("promises kept", kept, 0.99, least=True)
     report.claim("engines' use lost with the door", off.used - on.used, 0.02)
     if not quick:
--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -36,7 +36,7 @@
     Variant,
     product,
     slope,
-)  # fmt: skip
+)
 from marbleworks.membership.codec import MOST_ROUTERS
 
 FLAT, CELLS = Variant.FLAT, Variant.CELLS
@@ -69,8 +69,14 @@
 
 
 CONTROL = (
-    Duty.MEMBERSHIP, Duty.LIST, Duty.BUDGETS, Duty.COLD, Duty.RETRY, Duty.CONFIGURATION, Duty.PRIMARIES,
-)  # fmt: skip
+    Duty.MEMBERSHIP,
+    Duty.LIST,
+    Duty.BUDGETS,
+    Duty.COLD,
+    Duty.RETRY,
+    Duty.CONFIGURATION,
+    Duty.PRIMARIES,
+)
 
 
 class Status(Enum):
@@ -114,63 +120,80 @@
 
 # What carries it.
 
-PEERS = ("peers/members.py", "peers/rights.py")
+PEERS = ("membership/failure_detector.py", "membership/leader_election.py")
 NUMBERED = "a numbered configuration that leaders pass on, in force from a moment that all know"
 NAMED = "one primary by name, which is told, gives up and is followed"
 NEWER = "a list by cell; told only when it is newer"
-BOOKS = ("budgets/purse.py", "budgets/ledger.py")
+BOOKS = ("budgets/local_budget.py", "budgets/allocation_ledger.py")
 SWIM = Carried(
-    "SWIM among all, one lease by votes of a majority", Status.WORKS, PEERS,
+    "SWIM among all, one lease by votes of a majority",
+    Status.WORKS,
+    PEERS,
     f"cells: a router knows its cell alone; a datagram numbers {MOST_ROUTERS:,} routers at most",
-)  # fmt: skip
+)
 IN_CELL = Carried(
     "the same in each cell; the plan and who makes it are decided in cells/, joined to no router",
-    Status.MISSING, (), "cells/ joined to the router",
-)  # fmt: skip
+    Status.MISSING,
+    (),
+    "cells/ joined to the router",
+)
 LEADER = Carried("a cell's leader, by the cell's votes", Status.MISSING, (), "cells/ joined to the router")
 ASKED = Carried(
-    "the whole list asked by DNS over UDP, read only where it differs", Status.WORKS, ("net/directory.py",),
+    "the whole list asked by DNS over UDP, read only where it differs",
+    Status.WORKS,
+    ("net/discovery.py",),
     NEWER,
-)  # fmt: skip
+)
 ASKED_CELL = Carried("the list of a cell", Status.MISSING, (), NEWER)
 REPORTED = Carried(
-    "reports to the divider, leases from it", Status.WORKS, BOOKS,
+    "reports to the divider, leases from it",
+    Status.WORKS,
+    BOOKS,
     "cells: leases from fleet to region to cell to router; reports only of what changed",
-)  # fmt: skip
+)
 REPORTED_CELL = Carried(
-    "reports to the cell's leader, leases from it", Status.MISSING, (),
+    "reports to the cell's leader, leases from it",
+    Status.MISSING,
+    (),
     "cells/ joined to the router; reports only of what changed",
-)  # fmt: skip
+)
 LEASED = Carried(
     "the books of each level, over the level below; decided in cells/, joined to no router",
-    Status.MISSING, (), "cells/ joined to the router; a level of regions",
-)  # fmt: skip
+    Status.MISSING,
+    (),
+    "cells/ joined to the router; a level of regions",
+)
 RAMPED = Carried(
-    "sponsors by hash, more as it warms, or a budget for each cold engine", Status.WORKS,
-    ("decide.py", *BOOKS),
+    "sponsors by hash, more as it warms, or a budget for each cold engine",
+    Status.WORKS,
+    ("scheduling/scheduler.py", *BOOKS),
     "the same in each cell",
-)  # fmt: skip
+)
 RAMPED_CELL = Carried("the same in the engine's cell", Status.MISSING, (), "cells")
-RETRIED = Carried("the settings' ratio, or one budget", Status.WORKS, ("decide.py", *BOOKS), "cells")
+RETRIED = Carried(
+    "the settings' ratio, or one budget", Status.WORKS, ("scheduling/scheduler.py", *BOOKS), "cells"
+)
 RETRIED_CELL = Carried("one budget, leased down the levels", Status.MISSING, (), "the levels")
-RELOADED = Carried("a file and SIGHUP read anew", Status.WORKS, ("net/serve.py",))
+RELOADED = Carried("a file and SIGHUP read anew", Status.WORKS, ("net/server.py",))
 BY_HAND = Carried("a file by hand to each router", Status.MISSING, (), NUMBERED)
 SPREAD = Carried("configurations with numbers, spread over the levels", Status.MISSING, (), NUMBERED)
 HOMES = Carried(
     "homes of a table group by hash over the list, the same at each router; none named, no move by plan",
-    Status.MISSING, ("decide.py",), NAMED,
-)  # fmt: skip
+    Status.MISSING,
+    ("scheduling/scheduler.py",),
+    NAMED,
+)
 HOMES_CELL = Carried(
-    "one home, in one cell; decided in cells/, joined to no router", Status.MISSING, (), NAMED,
-)  # fmt: skip
-DECIDED = Carried("one module over all engines listed", Status.WORKS, ("decide.py",), "cells")
+    "one home, in one cell; decided in cells/, joined to no router", Status.MISSING, (), NAMED
+)
+DECIDED = Carried("one module over all engines listed", Status.WORKS, ("scheduling/scheduler.py",), "cells")
 DECIDED_CELL = Carried("the same over the cell's engines", Status.MISSING, (), "cells")
-FRONTS = Carried("one greenlet a connection", Status.WORKS, ("net/front.py",))
-DOORS = Carried("fair queues by member", Status.WORKS, ("door/door.py",))
-SPOOLED = Carried("a router's own disk; knows of no other", Status.WORKS, ("spool/keeper.py",))
+FRONTS = Carried("one greenlet a connection", Status.WORKS, ("net/client_listener.py",))
+DOORS = Carried("fair queues by member", Status.WORKS, ("fair_queue/admission.py",))
+SPOOLED = Carried("a router's own disk; knows of no other", Status.WORKS, ("spool/service.py",))
 LOGGED = Carried("lines of JSON, each router its own", Status.WORKS, ("net/actor.py",), "cells")
 LOGGED_CELL = Carried("the same, of its cell alone", Status.MISSING, (), "cells")
-TO_EACH = Carried("connections from each router that sends", Status.WORKS, ("net/engines.py",), "cells")
+TO_EACH = Carried("connections from each router that sends", Status.WORKS, ("net/engine_client.py",), "cells")
 TO_EACH_CELL = Carried("connections from the routers of its cell", Status.MISSING, (), "cells")
 
 
@@ -181,62 +204,118 @@
         r, known = Role.ROUTER, ("the fleet's", "the cell's")[n]
         rows += [
             Row(
-                r, Duty.MEMBERSHIP, variant, (SWIM, IN_CELL)[n], f"{known} routers",
-                slope("member_datagrams", "routers"), slope("member_bytes", "routers"),
-                slope("member_cpu", "routers"), slope("member_state", "routers"),
+                r,
+                Duty.MEMBERSHIP,
+                variant,
+                (SWIM, IN_CELL)[n],
+                f"{known} routers",
+                slope("member_datagrams", "routers"),
+                slope("member_bytes", "routers"),
+                slope("member_cpu", "routers"),
+                slope("member_state", "routers"),
             ),
             Row(
-                r, Duty.LIST, variant, (ASKED, ASKED_CELL)[n], f"{known} engines",
-                product("asks", "two"), slope("list_bytes", "engines", "asks"),
+                r,
+                Duty.LIST,
+                variant,
+                (ASKED, ASKED_CELL)[n],
+                f"{known} engines",
+                product("asks", "two"),
+                slope("list_bytes", "engines", "asks"),
                 (*slope("list_cpu", "engines", "seen"), *slope("listed_cpu", "engines", "seen")),
                 slope("engine_state", "engines"),
             ),
             Row(
-                r, Duty.BUDGETS, variant, (REPORTED, REPORTED_CELL)[n], f"its parts at {known} engines",
-                product("reports", "datagrams"), slope("report_bytes", "budgets", "reports"), None,
+                r,
+                Duty.BUDGETS,
+                variant,
+                (REPORTED, REPORTED_CELL)[n],
+                f"its parts at {known} engines",
+                product("reports", "datagrams"),
+                slope("report_bytes", "budgets", "reports"),
+                None,
                 slope("purse_state", "budgets"),
             ),
             Row(
-                r, Duty.COLD, variant, (RAMPED, RAMPED_CELL)[n], f"its parts at {known} cold engines",
-                product("reports", "cold_datagrams"), slope("report_bytes", "cold", "reports"), None,
+                r,
+                Duty.COLD,
+                variant,
+                (RAMPED, RAMPED_CELL)[n],
+                f"its parts at {known} cold engines",
+                product("reports", "cold_datagrams"),
+                slope("report_bytes", "cold", "reports"),
+                None,
                 slope("purse_state", "cold"),
             ),
             Row(
-                r, Duty.RETRY, variant, (RETRIED, RETRIED_CELL)[n], "its part of one budget",
-                product("reports"), slope("report_bytes", "one", "reports"), None,
+                r,
+                Duty.RETRY,
+                variant,
+                (RETRIED, RETRIED_CELL)[n],
+                "its part of one budget",
+                product("reports"),
+                slope("report_bytes", "one", "reports"),
+                None,
                 slope("purse_state", "one"),
             ),
             Row(
-                r, Duty.CONFIGURATION, variant, (RELOADED, SPREAD)[n], "one file",
-                product("configurations"), None,
+                r,
+                Duty.CONFIGURATION,
+                variant,
+                (RELOADED, SPREAD)[n],
+                "one file",
+                product("configurations"),
+                None,
                 slope("config_cpu", "tenants", "configurations"),
             ),
             Row(
-                r, Duty.PRIMARIES, variant, (HOMES, HOMES_CELL)[n], f"homes over {known} engines",
-                product("primaries"), None, slope("listed_cpu", "engines", "primaries"),
+                r,
+                Duty.PRIMARIES,
+                variant,
+                (HOMES, HOMES_CELL)[n],
+                f"homes over {known} engines",
+                product("primaries"),
+                None,
+                slope("listed_cpu", "engines", "primaries"),
                 product("home", "groups", "engines"),
             ),
             Row(
-                r, Duty.DECISIONS, variant, (DECIDED, DECIDED_CELL)[n], f"{known} engines, commands out",
-                product("commands"), None,
+                r,
+                Duty.DECISIONS,
+                variant,
+                (DECIDED, DECIDED_CELL)[n],
+                f"{known} engines, commands out",
+                product("commands"),
+                None,
                 (
                     *slope("decide_known", "engines", "commands"),
                     *slope("decide_new", "engines", "commands", "first"),
                 ),
             ),
             Row(
-                r, Duty.CLIENTS, variant, FRONTS, "its clients' connections", product("commands"), None,
-                slope("client_cpu", "clients"), slope("client_state", "clients"),
-            ),
-            Row(
-                r, Duty.DOOR, variant, DOORS, "members known", memory=slope("door_state", "members"),
+                r,
+                Duty.CLIENTS,
+                variant,
+                FRONTS,
+                "its clients' connections",
+                product("commands"),
+                None,
+                slope("client_cpu", "clients"),
+                slope("client_state", "clients"),
             ),
+            Row(r, Duty.DOOR, variant, DOORS, "members known", memory=slope("door_state", "members")),
             Row(r, Duty.SPOOL, variant, SPOOLED, "its own results", awaited=True),
             Row(
-                r, Duty.LOGS, variant, (LOGGED, LOGGED_CELL)[n], f"none; lines for each of {known} changes",
-                product("seen", "lines"), product("seen", "lines", "words"), awaited=True,
+                r,
+                Duty.LOGS,
+                variant,
+                (LOGGED, LOGGED_CELL)[n],
+                f"none; lines for each of {known} changes",
+                product("seen", "lines"),
+                product("seen", "lines", "words"),
+                awaited=True,
             ),
-        ]  # fmt: skip
+        ]
     return rows
 
 
@@ -255,7 +334,7 @@
                 slope("divider_bytes", "routers"),
                 slope("divider_cpu", "routers"),
                 slope("member_state", "routers"),
-            )  # fmt: skip
+            )
         )
         for duty, carried, of, datagrams, books, words in (
             (Duty.BUDGETS, (REPORTED, REPORTED_CELL)[n], "budgets", "datagrams", "books", "budget"),
@@ -273,7 +352,7 @@
                     slope("report_bytes", of, "reports", "routers"),
                     slope("ledger_cpu", "routers", "reports", "routers", datagrams),
                     slope("ledger_state", books),
-                )  # fmt: skip
+                )
             )
     return rows
 
@@ -297,7 +376,7 @@
                     slope("level_bytes", "fleet"),
                     slope("level_cpu", "fleet"),
                     slope("level_state", "fleet"),
-                )  # fmt: skip
+                )
             )
             continue
         rows.append(
@@ -311,7 +390,7 @@
                 slope("divider_bytes", below),
                 slope("divider_cpu", below),
                 slope("member_state", below),
-            )  # fmt: skip
+            )
         )
         books = "region_books" if role is Role.REGION else "fleet_books"
         for duty, carried, datagrams, of, held in (
@@ -329,7 +408,7 @@
                     slope("report_bytes", of, "reports", below),
                     slope("ledger_cpu", below, "reports", below, datagrams),
                     slope("ledger_state", held),
-                )  # fmt: skip
+                )
             )
     for role in (Role.REGION, Role.FLEET, Role.MACHINE):
         rows.append(Row(role, Duty.CONFIGURATION, CELLS, SPREAD, "the newest configuration", awaited=True))
@@ -341,19 +420,33 @@
     for variant, n in ((FLAT, 0), (CELLS, 1)):
         rows += [
             Row(
-                Role.LIST, Duty.LIST, variant, (ASKED, ASKED_CELL)[n], "all engines",
-                product("asks", "two", "fleet"), slope("list_bytes", "engines", "asks", "fleet"),
+                Role.LIST,
+                Duty.LIST,
+                variant,
+                (ASKED, ASKED_CELL)[n],
+                "all engines",
+                product("asks", "two", "fleet"),
+                slope("list_bytes", "engines", "asks", "fleet"),
             ),
             Row(
-                Role.CONFIGURATION, Duty.CONFIGURATION, variant, (BY_HAND, SPREAD)[n], "the newest",
-                product("configurations", "fleet"), awaited=True,
+                Role.CONFIGURATION,
+                Duty.CONFIGURATION,
+                variant,
+                (BY_HAND, SPREAD)[n],
+                "the newest",
+                product("configurations", "fleet"),
+                awaited=True,
             ),
             Row(
-                Role.ENGINE, Duty.DECISIONS, variant, (TO_EACH, TO_EACH_CELL)[n],
+                Role.ENGINE,
+                Duty.DECISIONS,
+                variant,
+                (TO_EACH, TO_EACH_CELL)[n],
                 f"connections from each of {('the fleet', 'its cell')[n]}'s routers: {('all', 'few')[n]}",
-                product("routers"), awaited=True,
+                product("routers"),
+                awaited=True,
             ),
-        ]  # fmt: skip
+        ]
     return rows
 
 
@@ -373,8 +466,10 @@
     Duty.LOGS: "counted with its machine, which has no run",
 }
 _MACHINE_NOT = {
-    **_LEVEL_NOT, Duty.BUDGETS: "with the level that it holds", Duty.RETRY: "with the level that it holds"
-}  # fmt: skip
+    **_LEVEL_NOT,
+    Duty.BUDGETS: "with the level that it holds",
+    Duty.RETRY: "with the level that it holds",
+}
 
 
 def _absent() -> dict[tuple[Role, Duty], str]:
@@ -432,11 +527,13 @@
         left = ROUTERS - self.gone
         rate = self.restarts + (self.gone + self.starting) / START_WITHIN
         return {
-            **of, "left_clients": of["clients"] + self.clients / left,
-            "left_commands": of["commands"] * ROUTERS / left, "rate": rate / cells,
+            **of,
+            "left_clients": of["clients"] + self.clients / left,
+            "left_commands": of["commands"] * ROUTERS / left,
+            "rate": rate / cells,
             "warming": self.cold / cells,
             "warming_books": self.cold / cells * of["routers"],
-        }  # fmt: skip
+        }
 
 
 _FEW = RACK * ROUTERS / (ROUTERS + ENGINES)
@@ -444,26 +541,44 @@
 _SERVES = "all routers serve; what they held is divided anew"
 BURSTS = [
     Burst(
-        "an ordinary day", (_SERVES, _SERVES), ("commands on the dead engine that may not run twice",) * 2,
-        gone=1.0, engines=1.0, restarts=(FAILED + RESTARTED) / DAY,
+        "an ordinary day",
+        (_SERVES, _SERVES),
+        ("commands on the dead engine that may not run twice",) * 2,
+        gone=1.0,
+        engines=1.0,
+        restarts=(FAILED + RESTARTED) / DAY,
     ),
     Burst(
-        "a rack or a switch", (_SERVES, "all cells, each with some routers and engines fewer"),
-        ("commands out on its engines that may not run twice",) * 2, gone=_FEW, engines=RACK - _FEW,
+        "a rack or a switch",
+        (_SERVES, "all cells, each with some routers and engines fewer"),
+        ("commands out on its engines that may not run twice",) * 2,
+        gone=_FEW,
+        engines=RACK - _FEW,
     ),
     Burst(
-        "a zone at once", (_SERVES, "all cells, each with a zone's part fewer"),
+        "a zone at once",
+        (_SERVES, "all cells, each with a zone's part fewer"),
         ("commands out there that may not run twice; what is beyond the budgets that are left",) * 2,
-        gone=ZONE_ROUTERS, engines=ZONE_ENGINES, clients=ZONE_CLIENTS,
+        gone=ZONE_ROUTERS,
+        engines=ZONE_ENGINES,
+        clients=ZONE_CLIENTS,
     ),
     Burst(
-        "the zone's return", (_SERVES, "all cells; cold engines by their ramps"),
-        ("commands for cold engines beyond their ramps",) * 2, starting=ZONE_ROUTERS, cold=ZONE_ENGINES,
+        "the zone's return",
+        (_SERVES, "all cells; cold engines by their ramps"),
+        ("commands for cold engines beyond their ramps",) * 2,
+        starting=ZONE_ROUTERS,
+        cold=ZONE_ENGINES,
     ),
     Burst(
-        "restarts, a tenth of the fleet at a time", (_SERVES, "all cells, each with a tenth fewer"),
-        ("nothing that may go to another router",) * 2, gone=TENTH * ROUTERS, engines=TENTH * ENGINES,
-        clients=TENTH * CLIENTS, restarts=TENTH * ROUTERS / RESTART, starting=TENTH * ROUTERS,
+        "restarts, a tenth of the fleet at a time",
+        (_SERVES, "all cells, each with a tenth fewer"),
+        ("nothing that may go to another router",) * 2,
+        gone=TENTH * ROUTERS,
+        engines=TENTH * ENGINES,
+        clients=TENTH * CLIENTS,
+        restarts=TENTH * ROUTERS / RESTART,
+        starting=TENTH * ROUTERS,
         cold=TENTH * ENGINES,
     ),
     Burst(
@@ -472,18 +587,24 @@
             "the regions together divide; the one cut off has its bases once the lease is over",
             "the region's cells divide inside on what they were leased, then on their bases",
         ),
-        ("in the region cut off: what is beyond bases, and all cold engines",
-         "in the region cut off: what is beyond its base of fleet-wide budgets"),
+        (
+            "in the region cut off: what is beyond bases, and all cold engines",
+            "in the region cut off: what is beyond its base of fleet-wide budgets",
+        ),
         cut=ROUTERS / REGIONS,
     ),
     Burst(
-        "the region's return", ("views meet by probes of those gone", "leases from the fleet begin again"),
-        (_NOTHING, _NOTHING), starting=ROUTERS / REGIONS,
+        "the region's return",
+        ("views meet by probes of those gone", "leases from the fleet begin again"),
+        (_NOTHING, _NOTHING),
+        starting=ROUTERS / REGIONS,
     ),
     *[
         Burst(
             f"{count} of the seven machines lost",
-            ("all: nothing stands on them today", goes), (_NOTHING, refused), seven=lost,
+            ("all: nothing stands on them today", goes),
+            (_NOTHING, refused),
+            seven=lost,
         )
         for count, lost, goes, refused in (
             ("one", 1, "all: a majority is left", _NOTHING),
@@ -492,10 +613,13 @@
         )
     ],
     Burst(
-        "all power", ("nothing until a majority agrees", "each cell as soon as it agrees by itself"),
-        ("all until then",) * 2, starting=ROUTERS, cold=ENGINES,
+        "all power",
+        ("nothing until a majority agrees", "each cell as soon as it agrees by itself"),
+        ("all until then",) * 2,
+        starting=ROUTERS,
+        cold=ENGINES,
     ),
-]  # fmt: skip
+]
 
 # Peaks of a burst: of whose control all that it costs at rest is counted, and which measure of it; what the
 # burst adds, without the parts of which it has nothing; the kind of limit. Without a role: the formula alone.
@@ -503,13 +627,18 @@
 PEAKS: tuple[tuple[str, Role | None, str, Formula, str], ...] = (
     ("router, bytes/s", Role.ROUTER, "bytes", (*RESTARTS, *WARMING), "bytes"),
     (
-        "divider, bytes/s", Role.DIVIDER, "bytes",
-        (*RESTARTS, *slope("report_bytes", "warming", "reports", "routers")), "bytes",
+        "divider, bytes/s",
+        Role.DIVIDER,
+        "bytes",
+        (*RESTARTS, *slope("report_bytes", "warming", "reports", "routers")),
+        "bytes",
     ),
     ("divider, processor", Role.DIVIDER, "cpu", (), "cpu"),
     ("divider, memory", Role.DIVIDER, "memory", slope("ledger_state", "warming_books"), "memory"),
     (
-        "decisions, of a core", None, "cpu",
+        "decisions, of a core",
+        None,
+        "cpu",
         (
             *slope("decide_known", "engines", "left_commands"),
             *slope("decide_new", "engines", "left_commands", "first"),
@@ -517,7 +646,7 @@
         "core",
     ),
     ("clients, memory", None, "memory", slope("client_state", "left_clients"), ""),
-)  # fmt: skip
+)
 START_CPU: Formula = (Use((), (("start_cpu", "routers"),), ("routers",)),)  # of each
 START_PEAK: Formula = (Use((), (("start_cpu", "routers"),), ("routers", "within")),)
 
@@ -525,14 +654,21 @@
 # Seconds until each duty holds again. A step without a formula is missing.
 
 DEATH, DIVIDED, STARTED = (
-    slope("death_seconds", "routers"), slope("divide_seconds", "routers"), slope("start_seconds", "routers"),
-)  # fmt: skip
+    slope("death_seconds", "routers"),
+    slope("divide_seconds", "routers"),
+    slope("start_seconds", "routers"),
+)
 # A start has no vote for a term, and uses no base until what its forerunner had out has ended.
 PLACED: Formula = (*STARTED, *product("term"), *product("quiet"))
 FIXED = {
-    "told": TOLD, "lease": LEASE, "back": LEASE + SETTLE + QUIET, "quiet": QUIET, "at_once": 0.0,
-    "term": TERM * (1 + DRIFT), "within": START_WITHIN,
-}  # fmt: skip
+    "told": TOLD,
+    "lease": LEASE,
+    "back": LEASE + SETTLE + QUIET,
+    "quiet": QUIET,
+    "at_once": 0.0,
+    "term": TERM * (1 + DRIFT),
+    "within": START_WITHIN,
+}
 Again = dict[str, Formula | str]  # a text where no time can be worked out
 NOT_RUN: Formula = ()
 NOBODY = "missing: nobody spreads one"
@@ -542,10 +678,14 @@
 def again(burst: Burst, variant: Variant) -> Again:
     """By duties."""
     usual: Again = {
-        "membership": DEATH, "list": product("told"), "budgets, cold, retry": (*DIVIDED, *product("back")),
-        "configuration": NOBODY, "primaries": UNNAMED, "decisions": product("told"),
+        "membership": DEATH,
+        "list": product("told"),
+        "budgets, cold, retry": (*DIVIDED, *product("back")),
+        "configuration": NOBODY,
+        "primaries": UNNAMED,
+        "decisions": product("told"),
         "client connections": NOT_RUN,
-    }  # fmt: skip
+    }
     if burst.seven:
         kept: Again = dict.fromkeys(usual, product("at_once"))
         if variant is FLAT:
@@ -624,16 +764,19 @@
 
 UNHELD = (
     Unheld(
-        "one group of the whole fleet", "cells",
+        "one group of the whole fleet",
+        "cells",
         ((Role.ROUTER, Duty.MEMBERSHIP), (Role.DIVIDER, Duty.MEMBERSHIP)),
     ),
     Unheld(
-        "the whole list at each router", "a list by cell, by serial, and by what changed",
+        "the whole list at each router",
+        "a list by cell, by serial, and by what changed",
         ((Role.ROUTER, Duty.LIST), (Role.LIST, Duty.LIST)),
     ),
     Unheld("each command weighed over all engines", "cells", ((Role.ROUTER, Duty.DECISIONS),)),
     Unheld(
-        "a budget for each engine, divided among all", "cells, and reports only of what changed",
+        "a budget for each engine, divided among all",
+        "cells, and reports only of what changed",
         ((Role.ROUTER, Duty.BUDGETS), (Role.DIVIDER, Duty.BUDGETS)),
     ),
     Unheld(
@@ -641,7 +784,6 @@
         "nothing can: it is in force in each region that hears it, and everywhere once they are whole",
     ),
     Unheld(
-        "commands that may not run twice, on an engine that dies",
-        "nothing can without the engine's own word",
+        "commands that may not run twice, on an engine that dies", "nothing can without the engine's own word"
     ),
-)  # fmt: skip
+)
--- a/marbleworks/lab/explore.py
+++ b/marbleworks/lab/explore.py
@@ -18,7 +18,7 @@
 
 from marbleworks.lab.group import Group, Terms
 from marbleworks.membership.codec import Message
-from marbleworks.membership.leader_election import DRIFT, Rights
+from marbleworks.membership.leader_election import DRIFT, LeaderElection
 
 SLACK = 1e-9
 
@@ -75,7 +75,7 @@
 class Small:
     """The rights of two or three routers, and what is on its way between them."""
 
-    rights: list[Rights]
+    rights: list[LeaderElection]
     now: list[float]  # by router's own clock
     starts: list[int]
     flying: list[tuple[int, int, Message]] = field(default_factory=list)
@@ -118,7 +118,7 @@
             def anew(s: Small, n: int = n) -> None:
                 old = s.rights[n]
                 s.starts = [start + (i == n) for i, start in enumerate(s.starts)]
-                s.rights[n] = Rights(n, count, s.now[n], old.term, old.lease, old.kept)
+                s.rights[n] = LeaderElection(n, count, s.now[n], old.term, old.lease, old.kept)
 
             yield f"{n} starts anew", anew
         for i in range(len(self.flying)):
@@ -142,7 +142,9 @@
     """A random walk of so many acts, which favours what moves a group on. Raises Broken."""
     chance, paces = random.Random(seed), [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0][:count]
     lease = chance.choice([0.3, 1.0])
-    small = Small([Rights(n, count, 0.0, 1.0, lease, 0.25) for n in range(count)], [0.0] * count, [1] * count)
+    small = Small(
+        [LeaderElection(n, count, 0.0, 1.0, lease, 0.25) for n in range(count)], [0.0] * count, [1] * count
+    )
     for _ in range(acts):
         step = chance.choice([0.05, 0.2, 0.45, 0.9])
         moves = list(small.moves(paces, step))
@@ -165,7 +167,9 @@
     """Every order of acts to that depth, from a group at rest or one that has divided before (warm: rounds of
     asking and time, all delivered); the number of states. Raises Broken."""
     paces = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count]
-    first = Small([Rights(n, count, 0.0, 1.0, 1.0, 0.25) for n in range(count)], [0.0] * count, [1] * count)
+    first = Small(
+        [LeaderElection(n, count, 0.0, 1.0, 1.0, 0.25) for n in range(count)], [0.0] * count, [1] * count
+    )
     for _ in range(warm):
         first.now = [now + 0.45 * pace for now, pace in zip(first.now, paces, strict=True)]
         first.flying += [(0, to, m) for to, m in first.rights[0].tick(list(range(count)), 1, first.now[0])]
--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -122,10 +122,12 @@
         for name, value in (
             ("member_cpu", PACE.best * statistics.median(row[i][0] for row in seen)),
             ("divider_cpu", PACE.best * statistics.median(row[i][1] for row in seen)),
-            ("member_bytes", sum(in_bytes) / group.count), ("divider_bytes", max(in_bytes)),
-            ("member_datagrams", sum(in_datagrams) / group.count), ("divider_datagrams", max(in_datagrams)),
+            ("member_bytes", sum(in_bytes) / group.count),
+            ("divider_bytes", max(in_bytes)),
+            ("member_datagrams", sum(in_datagrams) / group.count),
+            ("divider_datagrams", max(in_datagrams)),
             ("member_state", statistics.median(states)),
-        ):  # fmt: skip
+        ):
             found.setdefault(name, []).append(value)
     return found
 
@@ -159,9 +161,10 @@
         starts.append(group.sent_bytes[number] - sent + group.heard_bytes[number] - heard)
         group.until(lambda: group.agreed() and group.divided())
     return {
-        "death_seconds": statistics.median(known), "divide_seconds": statistics.median(divides),
+        "death_seconds": statistics.median(known),
+        "divide_seconds": statistics.median(divides),
         "start_bytes": statistics.median(starts),
-    }  # fmt: skip
+    }
 
 
 def sizes(
--- a/marbleworks/lab/group.py
+++ b/marbleworks/lab/group.py
@@ -16,7 +16,7 @@
 from marbleworks.membership.codec import decode, encode
 from marbleworks.membership.failure_detector import Out
 from marbleworks.membership.leader_election import Standing
-from marbleworks.membership.node import Fellow
+from marbleworks.membership.node import MembershipNode
 
 GROUP = 7
 
@@ -49,7 +49,7 @@
 
     def begin(self) -> None:
         seed, terms = self.group.chance.getrandbits(32), asdict(self.group.terms)
-        self.fellow = Fellow(self.number, self.group.count, seed, self.clock(), terms)
+        self.fellow = MembershipNode(self.number, self.group.count, seed, self.clock(), terms)
         self.members, self.rights = self.fellow.members, self.fellow.rights
         self.wake = 0
 
@@ -126,8 +126,11 @@
             if self.chance.random() >= weather.loss:
                 self.at(
                     self.now + weather.delay + weather.jitter * self.chance.random(),
-                    self._arrive, sender, to, data,
-                )  # fmt: skip
+                    self._arrive,
+                    sender,
+                    to,
+                    data,
+                )
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
         router = self.routers[to]
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -125,8 +125,10 @@
         self.log, self.numbers, self.busy = folder / f"{name}.log", list[int](), BoundedSemaphore(1)
         self.process: Any = subprocess.Popen(
             [sys.executable, "-m", "marbleworks.lab.hollow_process", str(self.log), str(seconds)],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=os.environ | {"PYTHONUNBUFFERED": "1"},
-        )  # fmt: skip
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            env=os.environ | {"PYTHONUNBUFFERED": "1"},
+        )
         with gevent.Timeout(ANSWER_WITHIN):
             self.pid: int = json.loads(self.process.stdout.readline())["ready"]
 
@@ -177,9 +179,14 @@
     first of them alone in the first, so that what dividing costs is told apart."""
 
     def __init__(
-        self, count: int, processes: int, seed: int = 1, operator: str = OPERATOR, engines: int = ENGINES,
+        self,
+        count: int,
+        processes: int,
+        seed: int = 1,
+        operator: str = OPERATOR,
+        engines: int = ENGINES,
         seconds: int = LONGEST,
-    ) -> None:  # fmt: skip
+    ) -> None:
         if count > MOST_ROUTERS or not 0 < processes <= min(count, MOST_PROCESSES):
             raise ValueError(f"{count} routers in {processes} processes")
         self.count, self.seed, self.operator, self.seconds = count, seed, operator, seconds
@@ -234,10 +241,14 @@
         """Writes a router's files; their paths, as `start` takes them."""
         told = json.loads(
             configuration(
-                1, 1, nameserver, engines, settings(8, routers=self.count, me=number),
+                1,
+                1,
+                nameserver,
+                engines,
+                settings(8, routers=self.count, me=number),
                 group=(self.addresses(), self.everyone.getsockname()),
             )
-        )  # fmt: skip
+        )
         host, port = self.addresses()[number]
         told |= {"name": f"n{number}", "seed": f"{self.seed:x}", "peer_listen": f"{host}:{port}"}
         path, operator = self.folder / f"{number}.json", self.folder / f"{number}.lisp"
@@ -550,31 +561,43 @@
             "hollow_datagrams", "datagrams a second sent by one router", lambda m: of_each(m.counted.sent, 0)
         ),
         against(
-            "hollow_divider_bytes", "bytes a second sent by the router that divides",
+            "hollow_divider_bytes",
+            "bytes a second sent by the router that divides",
             lambda m: of_each(m.counted.first, 1),
         ),
         against(
-            "hollow_divider_cpu", "processor seconds a second of the router that divides",
+            "hollow_divider_cpu",
+            "processor seconds a second of the router that divides",
             lambda m: m.counted.first_cpu,
         ),
         against("hollow_state", "resident bytes of one router", lambda m: m.resident),
         against(
-            "hollow_death_seconds", "seconds until a death is known, median",
+            "hollow_death_seconds",
+            "seconds until a death is known, median",
             lambda m: statistics.median(m.deaths),
         ),
         against(
-            "hollow_config_seconds", "seconds until a configuration is in force at all, in so few processes",
+            "hollow_config_seconds",
+            "seconds until a configuration is in force at all, in so few processes",
             lambda m: statistics.median(m.configs),
         ),
         fitted(
-            "hollow_list_cpu", "processor seconds a second of one router for the list", "engines listed",
-            "processes", *_columns(run.lists), seed,
+            "hollow_list_cpu",
+            "processor seconds a second of one router for the list",
+            "engines listed",
+            "processes",
+            *_columns(run.lists),
+            seed,
         ),
         fitted(
-            "hollow_config_cpu", "processor seconds of one router for one configuration", "engines listed",
-            "processes", *_columns(run.configured), seed,
+            "hollow_config_cpu",
+            "processor seconds of one router for one configuration",
+            "engines listed",
+            "processes",
+            *_columns(run.configured),
+            seed,
         ),
-    ]  # fmt: skip
+    ]
 
 
 def _columns(pairs: list[tuple[int, float]]) -> tuple[list[float], list[float]]:
@@ -610,9 +633,11 @@
             ("death known, median s", statistics.median(sum(known, [])), statistics.median(m.deaths)),
         ):
             row = {
-                "what": f"{what}, {m.count} routers", "simulated": simulated, "hollow": real,
+                "what": f"{what}, {m.count} routers",
+                "simulated": simulated,
+                "hollow": real,
                 "difference": (real - simulated) / simulated,
-            }  # fmt: skip
+            }
             rows.append(row)
         rows[-1] |= {"low": min(medians), "high": max(medians)}
     return rows
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -1,6 +1,6 @@
 """Hollow routers, many to a process: all of a router but its front, so that no client ever comes.
 
-A hollow router is what `net/serve.py` wires: configuration, datagrams among peers, desk and decisions, the
+A hollow router is what `net/server.py` wires: configuration, datagrams among peers, desk and decisions, the
 list, and what the operator's file turns on (membership, budgets), on sockets of its own. The process is told
 what to do by lines of JSON on standard input, answers each by a line, and ends with its input or when its
 seconds are over. It owns its routers and their sockets, and must never decide what is measured or send a
@@ -39,12 +39,12 @@
 from marbleworks.budgets.codec import FORMAT as BUDGETS
 from marbleworks.membership.codec import MARK
 from marbleworks.net import server as serve
-from marbleworks.net.datagrams import NEWS, Peers
-from marbleworks.net.discovery import Directory
-from marbleworks.net.dispatcher import Desk
-from marbleworks.net.engine_client import places
+from marbleworks.net.datagrams import LOAD_UPDATE, DatagramTransport
+from marbleworks.net.discovery import EngineDiscovery
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.net.engine_client import engine_client_factory
 from marbleworks.subsystems.registry import read_book
-from marbleworks.subsystems.wiring import Fitted
+from marbleworks.subsystems.wiring import Subsystems
 
 MOST_ROUTERS = 200  # in one process
 MOST_MEMORY = 2 << 30  # bytes of one process; six of them are half of a machine of 24 GB
@@ -102,11 +102,11 @@
         super()._listen()  # type: ignore[misc]
 
 
-class _Peers(_Heeded, Peers):
+class _Peers(_Heeded, DatagramTransport):
     pass
 
 
-class _Directory(_Heeded, Directory):
+class _Directory(_Heeded, EngineDiscovery):
     pass
 
 
@@ -114,16 +114,16 @@
     """One hollow router; raises what a router's start raises."""
 
     def __init__(self, path: str, operator: str) -> None:
-        station, self.path = serve.Station.read(path), path
-        deployment = station.deployment
-        self.number, self.addresses = deployment.fleet.me, station.peers
-        self.fitted = Fitted(read_book(operator)) if operator else None
+        station, self.path = serve.RouterConfig.read(path), path
+        deployment = station.settings
+        self.number, self.addresses = deployment.fleet.router_index, station.peers
+        self.fitted = Subsystems(read_book(operator)) if operator else None
         self.peers = _Peers(station.peer_listen, station.peers, station.everyone, self.number)
         self.wire: Any = Wire(self.peers.sock)
         self.peers.sock = self.wire
-        tell = self.peers.register(NEWS, self._heard)
+        tell = self.peers.register(LOAD_UPDATE, self._heard)
         share = BoundedSemaphore(station.sockets)
-        self.desk = Desk(deployment, station.seed, places(deployment, share), tell)
+        self.desk = Dispatcher(deployment, station.seed, engine_client_factory(deployment, share), tell)
         self.peers.listen()
         self.directory = _Directory(self.desk, deployment, station.known, station.nameserver)
         if self.fitted is not None:
@@ -136,7 +136,7 @@
             steward.viewed.append(self._viewed)
 
     def _heard(self, peer: int, data: bytes) -> None:
-        self.desk.post(self.desk.gateway.heard, peer, data)
+        self.desk.post(self.desk.scheduler.receive_load_update, peer, data)
 
     def _viewed(self, living: dict[int, int]) -> None:
         now = time.monotonic()
@@ -163,16 +163,19 @@
 
     def counted(self) -> dict[str, Any]:
         return {
-            "sent": self.wire.sent, "heard": self.wire.heard, "cut": self.wire.cut,
-            "dropped": self.peers.dropped, "removed": self.removed,
+            "sent": self.wire.sent,
+            "heard": self.wire.heard,
+            "cut": self.wire.cut,
+            "dropped": self.peers.dropped,
+            "removed": self.removed,
             "list": [self.directory.last, len(self.directory.index)],
-        }  # fmt: skip
+        }
 
     def kill(self) -> dict[str, Any]:
         self.wire.dead = True  # from here on nothing of it reaches anyone
         at = time.monotonic()
         told = {"at": at, **self.counted()}
-        actors: list[Any] = [self.peers, self.directory, self.desk, *self.desk.engines.values()]
+        actors: list[Any] = [self.peers, self.directory, self.desk, *self.desk.engine_clients.values()]
         if self.fitted is not None:
             actors += [a for a in (self.fitted.steward, self.fitted.treasurer) if a is not None]
         going = [actor.greenlet for actor in actors]
@@ -196,10 +199,13 @@
         try:
             ((what, told),) = json.loads(line).items()
             does: dict[str, Callable[[Any], dict[str, Any]]] = {
-                "start": self._start, "kill": self._kill, "part": self._part, "reload": self._reload,
+                "start": self._start,
+                "kill": self._kill,
+                "part": self._part,
+                "reload": self._reload,
                 "views": lambda _: {"views": {n: r.view() for n, r in self.routers.items()}},
                 "count": self._count,
-            }  # fmt: skip
+            }
             return does[what](told)
         except Exception as err:
             return {"error": repr(err)}
@@ -255,12 +261,14 @@
     resource.setrlimit(resource.RLIMIT_AS, (MOST_MEMORY, MOST_MEMORY))
     structlog.configure(
         processors=[
-            structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-            structlog.processors.format_exc_info, structlog.processors.JSONRenderer(),
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(open(log, "a")),  # noqa: SIM115
-    )  # fmt: skip
+    )
     house = House()
     print(json.dumps({"ready": os.getpid()}), flush=True)
     for line in FileObjectThread(0, "rb"):
--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -187,9 +187,16 @@
 
 
 WEIGHTS = {
-    "anew": 0.04, "plan": 0.1, "learns": 0.6, "again": 0.15, "lost": 0.1, "doubt": 0.5, "begins": 2.0,
-    ">": 2.0, "time": 1.0,
-}  # fmt: skip
+    "anew": 0.04,
+    "plan": 0.1,
+    "learns": 0.6,
+    "again": 0.15,
+    "lost": 0.1,
+    "doubt": 0.5,
+    "begins": 2.0,
+    ">": 2.0,
+    "time": 1.0,
+}
 
 
 def paces(routers: int) -> list[float]:
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -14,11 +14,19 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Report
-from marbleworks.budgets.local_budget import Purse
-from marbleworks.cells.budget_leases import Hello, Lessee, Lessor, Places, Said, Welcome, lifted
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.cells.budget_leases import (
+    BudgetLeaseGranter,
+    BudgetLeaseHolder,
+    Hello,
+    Places,
+    Said,
+    Welcome,
+    lifted,
+)
 from marbleworks.lab.explore import every_order
 from marbleworks.lab.purses import LEASE, WEIGHTS, Fleet, drawn
 from marbleworks.membership.leader_election import DRIFT
@@ -35,8 +43,8 @@
 class Desk:
     """What a router has as the leader of a cell."""
 
-    ledger: Ledger
-    lessee: Lessee
+    ledger: AllocationLedger
+    lessee: BudgetLeaseHolder
 
 
 @dataclass
@@ -71,10 +79,10 @@
 
     tops: list[float] = field(default_factory=lambda: [1.0 + DRIFT / 2, 1.0 - DRIFT / 2])
     top: int = -1
-    lessor: Lessor | None = None
+    lessor: BudgetLeaseGranter | None = None
     top_starts: list[int] = field(default_factory=lambda: [1] * MACHINES)
     reigns: int = 0
-    top_whole: Whole | None = None
+    top_whole: Budget | None = None
     cells: list[Cell] = field(default_factory=list)
     home: dict[int, tuple[int, int]] = field(default_factory=dict)  # cell and place, by router
     cut: set[int] = field(default_factory=set)  # cells that are cut off from above
@@ -92,9 +100,9 @@
             self.cells[cell].members[place], self.home[n] = n, (cell, place)
             self.cells[cell].starts[place] = 1
 
-    def _purse(self, number: int) -> Purse:
+    def _purse(self, number: int) -> LocalBudgets:
         began = self.clock(number) if self.now else 0.0
-        purse = Purse(number, PLACES, self.kept, LEASE, began, SHARES)
+        purse = LocalBudgets(number, PLACES, self.kept, LEASE, began, SHARES)
         purse.planned([self.wholes[number]], self.clock(number))
         return purse
 
@@ -173,12 +181,19 @@
         router.reign += 1
         place = self.home[number][1]
         start = at.starts[place]
-        lessee = Lessee(cell, (number, start, router.reign), MACHINES, ABOVE, now)
-        ledger = Ledger(
-            place, PLACES, start, router.reign, self.kept, LEASE, now,
+        lessee = BudgetLeaseHolder(cell, (number, start, router.reign), MACHINES, ABOVE, now)
+        ledger = AllocationLedger(
+            place,
+            PLACES,
+            start,
+            router.reign,
+            self.kept,
+            LEASE,
+            now,
             {self.wholes[number].number: {self.wholes[number].units}},
-            Places(PLACES, self.kept, SHARES), lessee,
-        )  # fmt: skip
+            Places(PLACES, self.kept, SHARES),
+            lessee,
+        )
         ledger.planned([self.wholes[number]])
         lessee.books = ledger
         at.desks[number] = Desk(ledger, lessee)
@@ -190,9 +205,9 @@
         self.top, self.reigns = machine, self.reigns + 1
         start = self.top_starts[machine]
         seen = {self.top_whole.number: {self.top_whole.units}}
-        self.lessor = Lessor(
+        self.lessor = BudgetLeaseGranter(
             machine, CELLS, SHARES, start, self.reigns, self.kept, ABOVE, self.above(machine), seen
-        )  # fmt: skip
+        )
         self.lessor.ledger.planned([lifted(self.top_whole, LEASE)])
 
     def anew(self, number: int) -> None:
@@ -220,7 +235,7 @@
     def rewritten(self, number: int, units: int) -> None:
         """A file has another whole; the router -1: that of the machines above."""
         old = self.wholes[max(number, 0)]
-        whole = Whole(old.name, units, old.span, old.settle)
+        whole = Budget(old.name, units, old.span, old.settle)
         if number < 0:
             self.top_whole = whole
             if self.lessor is not None:
@@ -313,10 +328,27 @@
 
 
 WEIGHTED = {
-    "round twice": 1.0, "round": 8.0, "time": 1.0, "lost": 0.1, "again": 0.1, "cut": 0.1, "above": 0.02,
-    "right": 0.04, "file": 0.02, "moved": 0.04, "mute": 0.04, "is heard": 0.3, "stale": 0.04, "hears": 0.3,
-    " up": 0.3, ">": 0.7, "fills": 1.0, "ends": 0.1, " tells": 0.3, **WEIGHTS,
-}  # fmt: skip
+    "round twice": 1.0,
+    "round": 8.0,
+    "time": 1.0,
+    "lost": 0.1,
+    "again": 0.1,
+    "cut": 0.1,
+    "above": 0.02,
+    "right": 0.04,
+    "file": 0.02,
+    "moved": 0.04,
+    "mute": 0.04,
+    "is heard": 0.3,
+    "stale": 0.04,
+    "hears": 0.3,
+    " up": 0.3,
+    ">": 0.7,
+    "fills": 1.0,
+    "ends": 0.1,
+    " tells": 0.3,
+    **WEIGHTS,
+}
 PACES = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0 + DRIFT / 2, 1.0 - DRIFT / 2]
 
 
@@ -328,7 +360,7 @@
     weights = (often or {}) | {word: w for word, w in WEIGHTED.items() if word not in (often or {})}
     chance = random.Random(seed)
     settle = span if span else chance.choice([0.3, 1.0]) + DOUBT
-    world = begun(Whole("w", units, span, settle), chance.choice([0.0, 0.25, 0.9]))
+    world = begun(Budget("w", units, span, settle), chance.choice([0.0, 0.25, 0.9]))
     wholes = (units, 2 * units) if seed % 2 else ()
     world.bound = max([units, *wholes])
     warm(world, chance.choice([0, 70]), (chance.randrange(6),))
@@ -338,7 +370,7 @@
     return acts
 
 
-def begun(whole: Whole, kept: float) -> World:
+def begun(whole: Budget, kept: float) -> World:
     world = World([whole] * len(PACES), list(PACES), kept)
     world.rules(0)
     for cell in range(CELLS):
@@ -358,6 +390,6 @@
 def exhaust(depth: int, span: float = 0.0, step: float = 1.2, rounds: int = 80) -> int:
     """Every order of acts to that depth from a fleet of which one cell has all there is to have; the number
     of states. Two routers of the one cell act and one of the other. Raises Broken."""
-    world = begun(Whole("w", 3, span, span if span else 0.3 + DOUBT), 0.0)
+    world = begun(Budget("w", 3, span, span if span else 0.3 + DOUBT), 0.0)
     warm(world, rounds, (0,))
     return every_order(world, depth, lambda one: one.moves(step, (), (0, 1, 2)))
--- a/marbleworks/lab/page.py
+++ b/marbleworks/lab/page.py
@@ -158,9 +158,14 @@
             partly = partly or len(there) < len(rows)
             if there:
                 found[what] = Figure(
-                    sum(f.value for f in there), sum(f.low for f in there), sum(f.high for f in there),
-                    max(f.far for f in there), max(f.under for f in there), frozenset(), "",
-                )  # fmt: skip
+                    sum(f.value for f in there),
+                    sum(f.low for f in there),
+                    sum(f.high for f in there),
+                    max(f.far for f in there),
+                    max(f.under for f in there),
+                    frozenset(),
+                    "",
+                )
         return found, partly
 
 
@@ -244,13 +249,15 @@
         ("routers of a region", target.ROUTERS / target.REGIONS, None),
         ("routers, engines of a zone", f"{target.ZONE_ROUTERS}, {target.ZONE_ENGINES}", None),
         (
-            "clients of a zone's loss", target.ZONE_CLIENTS,
+            "clients of a zone's loss",
+            target.ZONE_CLIENTS,
             target.ZONE_CLIENTS / (target.ROUTERS - target.ZONE_ROUTERS),
         ),
         ("changes of primary a day", target.PRIMARIES, None),
         ("each over within", f"{target.PRIMARY_WITHIN:g} s", None),
         (
-            "changes of configuration a day", target.CONFIGURATIONS,
+            "changes of configuration a day",
+            target.CONFIGURATIONS,
             f"one in {target.DAY / target.CONFIGURATIONS:g} s",
         ),
         ("each in force everywhere within", f"{target.CONFIGURATION_WITHIN:g} s", None),
@@ -261,7 +268,7 @@
         ("machines that fail on an ordinary day", target.FAILED, None),
         ("machines restarted or replaced", target.RESTARTED, None),
         ("part of the fleet at a time", f"{100 * target.TENTH:g}%", None),
-    )  # fmt: skip
+    )
 
     def cell(value: Any) -> str:
         if value is None:
@@ -292,10 +299,15 @@
 
     routers, engines, bound = book.cell
     rows = [
-        (what, f"{most:,}", f"{math.ceil(most * a.engines):,}", said(parts[what](routers)),
-         "this one" if what == bound else "")
+        (
+            what,
+            f"{most:,}",
+            f"{math.ceil(most * a.engines):,}",
+            said(parts[what](routers)),
+            "this one" if what == bound else "",
+        )
         for what, most in sorted(by.items(), key=lambda pair: pair[1])
-    ]  # fmt: skip
+    ]
 
     def reported(count: int) -> float:
         return target.REPORTS * count * book.slopes["ledger_cpu"].at(count) / a.cpu
@@ -310,34 +322,47 @@
             rows.append((what, UNRUN, UNRUN, UNRUN, "not asked of it"))
             continue
         rows.append(
-            (what, f"{most:,}", f"{math.ceil(most * a.engines):,}",
-             said(part(routers)), "not asked of it")
-        )  # fmt: skip
+            (what, f"{most:,}", f"{math.ceil(most * a.engines):,}", said(part(routers)), "not asked of it")
+        )
     head = ("bound", "routers, at most", "engines, at most", "part taken in a cell", "binds")
     return table(head, [*rows, ("**a cell**", f"{routers:,}", f"{engines:,}", "", bound)])
 
 
 def _line(worked_row: Worked) -> tuple[str, ...]:
     w, row = worked_row, worked_row.row
-    measures = [
-        shown(w.figures.get(what), what) for what in ("messages", "bytes", "cpu", "memory")
-    ]  # fmt: skip
+    measures = [shown(w.figures.get(what), what) for what in ("messages", "bytes", "cpu", "memory")]
     texts = [f"{what}: {figure.text}" for what, figure in w.figures.items()]
     unrun = ", ".join(sorted(w.unrun))
     if unrun or row.awaited:
         texts.append(f"{UNRUN}: {unrun}" if unrun else UNRUN)
     return (
-        row.duty.value, row.variant.value, row.state, *measures, extrapolated(w.figures.values()),
+        row.duty.value,
+        row.variant.value,
+        row.state,
+        *measures,
+        extrapolated(w.figures.values()),
         w.compared(),
-        row.carried.by, row.carried.status.value, "; ".join(texts),
-    )  # fmt: skip
+        row.carried.by,
+        row.carried.status.value,
+        "; ".join(texts),
+    )
 
 
 def _role(book: Book, role: Role) -> str:
     head = (
-        "duty", "variant", "state", "messages/s", "bytes/s", "processor", "memory", "extrapolated", "ratio",
-        "mechanism", "status", "worked out by",
-    )  # fmt: skip
+        "duty",
+        "variant",
+        "state",
+        "messages/s",
+        "bytes/s",
+        "processor",
+        "memory",
+        "extrapolated",
+        "ratio",
+        "mechanism",
+        "status",
+        "worked out by",
+    )
     rows = sorted(
         (w for w in book.rows if w.row.role is role),
         key=lambda w: (list(Duty).index(w.row.duty), list(Variant).index(w.row.variant)),
@@ -352,12 +377,18 @@
             )
             lines.append(
                 (
-                    "**control in all**", variant.value, "at least: some have no figure" if partly else "",
+                    "**control in all**",
+                    variant.value,
+                    "at least: some have no figure" if partly else "",
                     NONE,
                     *[shown(figures.get(what), what) for what in ("bytes", "cpu", "memory")],
-                    extrapolated(figures.values()), str(ratio), "", "", "the sum",
+                    extrapolated(figures.values()),
+                    str(ratio),
+                    "",
+                    "",
+                    "the sum",
                 )
-            )  # fmt: skip
+            )
     return table(head, lines)
 
 
@@ -386,11 +417,14 @@
         found = list(ratios({w: f for w, f in figures.items() if not f.unrun}, limits))
         rows.append(
             (
-                who, variant.value, *[shown(figures[what], what) for what in ("cpu", "bytes", "memory")],
+                who,
+                variant.value,
+                *[shown(figures[what], what) for what in ("cpu", "bytes", "memory")],
                 extrapolated(figures.values()),
-                str(max(found, key=lambda ratio: ratio.value)) if found else UNRUN, ", ".join(names),
+                str(max(found, key=lambda ratio: ratio.value)) if found else UNRUN,
+                ", ".join(names),
             )
-        )  # fmt: skip
+        )
     head = ("who", "variant", "processor", "bytes/s", "memory", "extrapolated", "ratio", "slopes")
     return table(head, rows)
 
@@ -420,9 +454,14 @@
     if rest is None:
         return more
     return Figure(
-        rest.value + more.value, rest.low + more.low, rest.high + more.high, max(rest.far, more.far),
-        max(rest.under, more.under), more.unrun, more.text,
-    )  # fmt: skip
+        rest.value + more.value,
+        rest.low + more.low,
+        rest.high + more.high,
+        max(rest.far, more.far),
+        max(rest.under, more.under),
+        more.unrun,
+        more.text,
+    )
 
 
 def _peaks(book: Book) -> str:
@@ -499,9 +538,16 @@
             figure = book.figure(formula, variant)
             a_second = scaled(figure.value * target.ZONE_ROUTERS / target.START_WITHIN, "B")
             rows.append(
-                (what, variant.value, shown(figure, "bytes"), UNRUN if figure.unrun else a_second,
-                 extrapolated([figure]), whence, figure.text)
-            )  # fmt: skip
+                (
+                    what,
+                    variant.value,
+                    shown(figure, "bytes"),
+                    UNRUN if figure.unrun else a_second,
+                    extrapolated([figure]),
+                    whence,
+                    figure.text,
+                )
+            )
     for what, formula in (
         ("seconds until its group agrees on who is there", duties.STARTED),
         ("seconds until it may have a part", duties.PLACED),
@@ -511,13 +557,25 @@
             figure = book.figure(formula, variant)
             mark = f" {OVER}" if figure.value > target.START_WITHIN else ""
             rows.append(
-                (what, variant.value, UNRUN if figure.unrun else f"{ranged(figure, said)} s{mark}", NONE,
-                 extrapolated([figure]), f"within {target.START_WITHIN:g} s", figure.text)
-            )  # fmt: skip
+                (
+                    what,
+                    variant.value,
+                    UNRUN if figure.unrun else f"{ranged(figure, said)} s{mark}",
+                    NONE,
+                    extrapolated([figure]),
+                    f"within {target.START_WITHIN:g} s",
+                    figure.text,
+                )
+            )
     head = (
-        "what it needs", "variant", "each", "all of a zone, a second for that long", "extrapolated",
-        "from whom", "worked out by",
-    )  # fmt: skip
+        "what it needs",
+        "variant",
+        "each",
+        "all of a zone, a second for that long",
+        "extrapolated",
+        "from whom",
+        "worked out by",
+    )
     return table(head, rows)
 
 
@@ -584,10 +642,11 @@
 def order(book: Book, variant: Variant) -> list[Worked]:
     """What is missing or over its limit, the worst first; what has no figure last."""
     wanted = [
-        w for w in book.rows
+        w
+        for w in book.rows
         if w.row.variant is variant
         and (w.row.carried.status is Status.MISSING or ((ratio := w.ratio()) is not None and ratio.over))
-    ]  # fmt: skip
+    ]
 
     def worst(w: Worked) -> float:
         ratio = w.ratio()
@@ -600,9 +659,15 @@
     rows = []
     for place, w in enumerate(order(book, variant), 1):
         rows.append(
-            (str(place), w.row.role.value, w.row.duty.value, w.compared(),
-             w.row.carried.status.value, w.row.carried.takes or w.row.carried.by)
-        )  # fmt: skip
+            (
+                str(place),
+                w.row.role.value,
+                w.row.duty.value,
+                w.compared(),
+                w.row.carried.status.value,
+                w.row.carried.takes or w.row.carried.by,
+            )
+        )
     return table(("place", "role", "duty", "ratio", "status", "what it takes"), rows)
 
 
@@ -616,12 +681,15 @@
         off = f" {OFF}" if found.error > HELD_OUT else ""
         rows.append(
             (
-                f"`{name}`", found.what, found.against, f"{found.how}, seed {found.seed}",
+                f"`{name}`",
+                found.what,
+                found.against,
+                f"{found.how}, seed {found.seed}",
                 f"{said(found.xs[0])} to {said(found.xs[-1])}, {len(found.xs)} sizes",
                 f"{found.exponent:.2f} ({found.low:.2f} to {found.high:.2f})",
                 f"{100 * found.error:.1f}%{off}",
             )
-        )  # fmt: skip
+        )
     head = ("slope", "what", "against", "run", "sizes", "exponent (95%)", "error at the largest, held out")
     return table(head, rows)
 
@@ -638,17 +706,28 @@
     book = Book(results)
     roles = {f"role-{role.name.lower()}": _role(book, role) for role in Role}
     return {
-        "run": _run(book), "size": _size(book), "inputs": _inputs(book), "cell": _cell(book),
-        "side": _side_by_side(book), **roles,
-        "absent": _absent(book), "whole": _whole(book), "peaks": _peaks(book),
-        "peaks-by": _peaks_by(book), "again": _again(book),
-        "goes": _goes_on(book), "starts": _starts(book),
+        "run": _run(book),
+        "size": _size(book),
+        "inputs": _inputs(book),
+        "cell": _cell(book),
+        "side": _side_by_side(book),
+        **roles,
+        "absent": _absent(book),
+        "whole": _whole(book),
+        "peaks": _peaks(book),
+        "peaks-by": _peaks_by(book),
+        "again": _again(book),
+        "goes": _goes_on(book),
+        "starts": _starts(book),
         "primary": _steps(book, duties.PRIMARY_STEPS, target.PRIMARY_WITHIN),
         "configuration": _steps(book, duties.CONFIGURATION_STEPS, target.CONFIGURATION_WITHIN),
-        "by-size": _by_size(book), "cut": _cut(book), "unheld": _unheld(book),
-        "missing-flat": _missing(book, Variant.FLAT), "missing-cells": _missing(book, Variant.CELLS),
+        "by-size": _by_size(book),
+        "cut": _cut(book),
+        "unheld": _unheld(book),
+        "missing-flat": _missing(book, Variant.FLAT),
+        "missing-cells": _missing(book, Variant.CELLS),
         "slopes": _slopes(book),
-    }  # fmt: skip
+    }
 
 
 def written(page: str, results: Results) -> str:
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -22,10 +22,10 @@
 from marbleworks.lab.stage import TENANTS, Stage, settings
 from marbleworks.lab.standins import RpcClient
 from marbleworks.membership.codec import State
-from marbleworks.model import EngineEntry, Listed
-from marbleworks.ports import Port
-from marbleworks.scheduling.scheduler import Gateway
-from marbleworks.settings import Deployment
+from marbleworks.model import EngineEntry, EngineStatus
+from marbleworks.ports import SchedulerPort
+from marbleworks.scheduling.scheduler import Scheduler
+from marbleworks.settings import Settings
 
 ROUTERS, OPERATOR = 7, "(peers)"
 LOOK_UPS = 25.0  # a second, at each router
@@ -63,18 +63,22 @@
         group.run(0.1)
     heals.append(group.now - at)
     report.figures |= {
-        f"sim_{count}_death_p50_s": percentile(found, 50), f"sim_{count}_death_p99_s": percentile(found, 99),
+        f"sim_{count}_death_p50_s": percentile(found, 50),
+        f"sim_{count}_death_p99_s": percentile(found, 99),
         f"sim_{count}_bytes_a_second": a_second,
-    }  # fmt: skip
+    }
     if count < 1000:
         report.figures[f"sim_{count}_heals_s"] = heals[0]
     report.rows.append(
         {
-            "group": f"{count} simulated", "death known p50 s": round(percentile(found, 50), 2),
-            "death known p99 s": round(percentile(found, 99), 2), "bytes a second": round(a_second),
-            "agreed after a cut, s": round(heals[0], 1) if count < 1000 else "", "false removals an hour": "",
+            "group": f"{count} simulated",
+            "death known p50 s": round(percentile(found, 50), 2),
+            "death known p99 s": round(percentile(found, 99), 2),
+            "bytes a second": round(a_second),
+            "agreed after a cut, s": round(heals[0], 1) if count < 1000 else "",
+            "false removals an hour": "",
         }
-    )  # fmt: skip
+    )
 
 
 def quiet(report: Report, name: str, seconds: float, seed: int, loss: float, slow: int = 0) -> float:
@@ -126,21 +130,25 @@
         group = Group(9, seed)
         gates = []
         for n in range(9):
-            told = Deployment(settings(8, routers=9, me=n))
-            gates.append(Gateway(cast(Port, Still(group)), 1, told.profile_list, told.rules, told.fleet))
+            told = Settings(settings(8, routers=9, me=n))
+            gates.append(
+                Scheduler(cast(SchedulerPort, Still(group)), 1, told.request_classes, told.rules, told.fleet)
+            )
         group.run(20.0)
 
-        def divide(group: Group = group, gates: list[Gateway] = gates) -> list[int]:
+        def divide(group: Group = group, gates: list[Scheduler] = gates) -> list[int]:
             for router, gate in zip(group.routers, gates, strict=True):
                 stands = router.standing()
-                gate.divide(stands.part, stands.among, stands.place)
+                gate.set_router_share(stands.part, stands.among, stands.place)
             living = [gates[r.number] for r in group.living()]
-            return [g.fleet.me for g in living if g.slow_start_share(g.engines[0], g.port.now())]
+            return [g.fleet.router_index for g in living if g.slow_start_share(g.engines[0], g.port.now())]
 
         for number in range(1000):
             started = 1000.0 + group.now
             for gate in gates:
-                gate.listed([EngineEntry(0, f"s-{number}", 0, 0, 0, Listed.UP, started)], whole=True)
+                gate.update_engines(
+                    [EngineEntry(0, f"s-{number}", 0, 0, 0, EngineStatus.UP, started)], whole=True
+                )
             sponsors = divide()
             if (0 in sponsors) == with_divider:
                 break
@@ -308,21 +316,26 @@
         failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
     net.close()
     report.figures |= {
-        "processes_death_p50_s": percentile(dead, 50), "processes_death_p99_s": percentile(dead, 99),
-        "processes_stop_p99_s": percentile(left, 99), "looks": watch.looks, "failures": failures,
+        "processes_death_p50_s": percentile(dead, 50),
+        "processes_death_p99_s": percentile(dead, 99),
+        "processes_stop_p99_s": percentile(left, 99),
+        "looks": watch.looks,
+        "failures": failures,
         "highest_start": max(starts.values()),
-    }  # fmt: skip
+    }
     report.rows.append(
         {
-            "group": f"{ROUTERS} processes", "death known p50 s": round(percentile(dead, 50), 2),
+            "group": f"{ROUTERS} processes",
+            "death known p50 s": round(percentile(dead, 50), 2),
             "death known p99 s": round(percentile(dead, 99), 2),
         }
-    )  # fmt: skip
+    )
     report.claim("processes: a death known by all the living, p99, s", percentile(dead, 99), 3.0)
     report.claim("processes: a planned stop known, p99, s", percentile(left, 99), 0.3)
     report.claim("processes: healthy routers removed at 5% loss", removed, 0)
-    report.claim("processes: looks at which two divided or more than the whole was used",
-                 watch.double + watch.over, 0)  # fmt: skip
+    report.claim(
+        "processes: looks at which two divided or more than the whole was used", watch.double + watch.over, 0
+    )
     report.claim("processes: times that a group did not agree within 30 s", stuck, 0)
     report.claim("processes: exceptions", failures, 0)
 
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import Any
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Report
-from marbleworks.budgets.local_budget import Pocket, Purse
+from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.lab.explore import Broken, every_order
 from marbleworks.membership.leader_election import DRIFT
 
@@ -29,10 +29,10 @@
     """One router. out: units taken and not given back; begins: what has room and has not begun, with the
     latest time by its clock."""
 
-    purse: Purse
+    purse: LocalBudgets
     start: int = 1
     reign: int = 0
-    ledger: Ledger | None = None
+    ledger: AllocationLedger | None = None
     out: int = 0
     begins: list[float] = field(default_factory=list)
 
@@ -42,7 +42,7 @@
     """Routers that take units, begin, and end. paces: of their clocks. engine: when each unit that is in use
     no longer belongs to a process ends, by true time."""
 
-    wholes: list[Whole]  # by router: of its file
+    wholes: list[Budget]  # by router: of its file
     paces: list[float]
     kept: float = 0.25
     now: float = 0.0
@@ -55,16 +55,16 @@
         self.bound = max(whole.units for whole in self.wholes)
         self.routers = [Process(self._purse(n)) for n in range(len(self.paces))]
 
-    def _purse(self, number: int) -> Purse:
+    def _purse(self, number: int) -> LocalBudgets:
         began = self.clock(number) if self.now else 0.0  # at first no process ran before
-        purse = Purse(number, len(self.paces), self.kept, LEASE, began)
+        purse = LocalBudgets(number, len(self.paces), self.kept, LEASE, began)
         purse.planned([self.wholes[number]], self.clock(number))
         return purse
 
     def clock(self, number: int) -> float:
         return 100.0 + self.now * self.paces[number]
 
-    def pocket(self, number: int) -> Pocket:
+    def pocket(self, number: int) -> LocalBudget:
         return next(iter(self.routers[number].purse.pockets.values()))
 
     def used(self) -> int:
@@ -176,7 +176,7 @@
             router.reign += 1
             seen = {w.number: {w.units} for w in [self.wholes[to]]}
             args = (to, len(self.paces), router.start, router.reign, self.kept, LEASE, self.clock(to))
-            router.ledger = Ledger(*args, seen)
+            router.ledger = AllocationLedger(*args, seen)
             router.ledger.planned([self.wholes[to]])
 
     def anew(self, number: int) -> None:
@@ -187,7 +187,7 @@
     def rewritten(self, number: int, units: int) -> None:
         """Its file has another whole from now on."""
         old = self.wholes[number]
-        self.wholes[number] = Whole(old.name, units, old.span, old.settle)
+        self.wholes[number] = Budget(old.name, units, old.span, old.settle)
         router = self.routers[number]
         router.purse.planned([self.wholes[number]], self.clock(number))
         if router.ledger is not None:
@@ -222,9 +222,7 @@
 }
 
 
-def drawn(
-    chance: random.Random, moves: list[tuple[str, Any]], weights: dict[str, float]
-) -> tuple[str, Any]:  # fmt: skip
+def drawn(chance: random.Random, moves: list[tuple[str, Any]], weights: dict[str, float]) -> tuple[str, Any]:
     """One of the moves; weights: by a word in its name, others 1."""
     weighed = [next((w for word, w in weights.items() if word in name), 1.0) for name, _ in moves]
     return chance.choices(moves, weighed)[0]
@@ -235,7 +233,7 @@
     chance = random.Random(seed)
     settle = span if span else chance.choice([0.5, 1.5]) + DOUBT
     paces = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0][:count]
-    world = World([Whole("w", units, span, settle)] * count, paces, chance.choice([0.0, 0.25, 0.5]))
+    world = World([Budget("w", units, span, settle)] * count, paces, chance.choice([0.0, 0.25, 0.5]))
     for _ in range(acts):
         moves = list(world.moves(chance.choice([0.02, 0.1, 0.3, 0.9])))
         world.does(*drawn(chance, moves, WEIGHTS))
@@ -246,7 +244,9 @@
     """Every order of acts to that depth from a group of which one has all there is to have; the number of
     states. Raises Broken."""
     settle = span if span else 0.5 + DOUBT
-    world = World([Whole("w", 3, span, settle)] * count, [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count], 0.0)
+    world = World(
+        [Budget("w", 3, span, settle)] * count, [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count], 0.0
+    )
     world.moves_right(0)
     for _ in range(4):
         for n in range(count):
