--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -1,5 +1,5 @@
-"""What decisions and tables cost by their size, measured in this process: `decide.py`, the list, the books of
-whoever divides, a router's parts, the door, a configuration. And idle clients, at a router as a process.
+"""What decisions and tables cost by their size, measured in this process: the scheduler, the list, the books
+of whoever divides, a router's parts, the door, a configuration. And idle clients, at a router as a process.
 
 It owns the traffic that each is measured under, and must never change what it measures.
 """
@@ -25,20 +25,20 @@
 import gevent
 from gevent import socket
 
-from marbleworks.budgets.allocation_ledger import Ledger
-from marbleworks.budgets.budget_catalog import DOUBT, Whole
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Report, decode, encode_answer, encode_report
-from marbleworks.budgets.local_budget import Purse
-from marbleworks.fair_queue.admission import Arrival, Bounds, Door, Why
-from marbleworks.fair_queue.flow_classifier import Members
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.lab.meter import PACE, medians, processor, state, yards
 from marbleworks.lab.stage import RouterProcess, free_port, held_port, settings
 from marbleworks.lab.standins import HOST, RpcClient, configuration
-from marbleworks.model import EngineEntry, Listed
+from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
-from marbleworks.net.discovery import SERVICE, Directory
-from marbleworks.scheduling.scheduler import Command, Gateway
-from marbleworks.settings import Deployment
+from marbleworks.net.discovery import SERVICE, EngineDiscovery
+from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.settings import Settings
 
 STATEMENTS = 609.0  # a second at one router, by the operators' figures
 ZONES, KINDS = 17, (8, 16, 32)  # zones, and cores by kind of machine
@@ -54,16 +54,18 @@
     raw |= {"zones": [f"zone-{n}" for n in range(ZONES)], "az": "zone-0"}
     raw["kinds"] = [f"kind-{n}" for n in range(len(KINDS))]
     raw["specifics"] |= {
-        "cores_by_kind": list(KINDS), "memory_by_kind_mb": [65536.0] * len(KINDS),
-        "class_load": [False, False, True], "class_waits": [True, False, False],
-    }  # fmt: skip
+        "cores_by_kind": list(KINDS),
+        "memory_by_kind_mb": [65536.0] * len(KINDS),
+        "class_load": [False, False, True],
+        "class_waits": [True, False, False],
+    }
     return raw
 
 
 def entries(count: int) -> list[EngineEntry]:
     """Engines that have long been there, in turn over zones and kinds."""
     return [
-        EngineEntry(n, f"engine-{n:05d}", n % ZONES, n % len(KINDS), n % 5, Listed.UP, 0.0)
+        EngineEntry(n, f"engine-{n:05d}", n % ZONES, n % len(KINDS), n % 5, EngineStatus.UP, 0.0)
         for n in range(count)
     ]
 
@@ -105,11 +107,11 @@
     """One router's decisions under a steady traffic of short reads, each answered 50 ms after it was sent."""
 
     def __init__(self, engines: int, groups: int = GROUPS, tenants: int = TENANTS) -> None:
-        told, self.port = Deployment(deployment(tenants)), Still()
-        self.gateway = Gateway(self.port, 1, told.profile_list, told.rules, told.fleet)
+        told, self.port = Settings(deployment(tenants)), Still()
+        self.gateway = Scheduler(self.port, 1, told.request_classes, told.rules, told.fleet)
         self.entries, self.groups, self.tenants = entries(engines), groups, tenants
-        self.gateway.listed(self.entries, whole=True)
-        self.out = deque[Command]()
+        self.gateway.update_engines(self.entries, whole=True)
+        self.out = deque[RequestState]()
         self.taken = 0
 
     def command(self, group: int) -> None:
@@ -118,13 +120,15 @@
         port.clock += 1.0 / STATEMENTS
         if port.clock >= port.wakes:
             port.wakes = float("inf")
-            self.gateway.awake()
+            self.gateway.on_timer()
         need = (0.03 + 0.04 * (n % 2), 20.0)
-        self.out.append(self.gateway.take(f"{n:016x}", 0, group, "", need, n % self.tenants, port.clock, 2.0))
+        self.out.append(
+            self.gateway.submit(f"{n:016x}", 0, group, "", need, n % self.tenants, port.clock, 2.0)
+        )
         self.taken += 1
         if len(self.out) > OUT:
             cmd = self.out.popleft()
-            cmd.answered(0, cmd.told, None)
+            cmd.on_answer(0, cmd.told, None)
 
     def known(self) -> float:
         """Yardsticks for a command of a table group seen before."""
@@ -149,7 +153,7 @@
 
     def listed(self) -> float:
         """Yardsticks for the whole list again."""
-        return yards(lambda: self.gateway.listed(self.entries, whole=True))
+        return yards(lambda: self.gateway.update_engines(self.entries, whole=True))
 
     def warm(self) -> None:
         """All groups have come once."""
@@ -175,7 +179,9 @@
     desk = Desk(engines, groups)
     for n in range(groups):
         desk.command(n)
-    return state(desk.gateway, (desk.port, desk.gateway.profiles, desk.gateway.rules, desk.gateway.fleet))
+    return state(
+        desk.gateway, (desk.port, desk.gateway.request_classes, desk.gateway.rules, desk.gateway.fleet)
+    )
 
 
 def table_groups(groups: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
@@ -191,7 +197,7 @@
         desk.warm()
     texts = [json.dumps(deployment(count)) for count in counts]
     samples: list[Callable[[], float]] = [
-        lambda t=text: yards(lambda: Deployment(json.loads(t)))  # type: ignore[misc]
+        lambda t=text: yards(lambda: Settings(json.loads(t)))  # type: ignore[misc]
         for text in texts
     ]
     return {
@@ -207,9 +213,9 @@
     for desk, count in zip(desks, counts, strict=True):
         gateway, port, n = desk.gateway, desk.port, 0
         for engine in gateway.engines.values():
-            gateway.heard(1, engine.mark + bytes([128 + 64]))
-        while len(gateway.held) < count:
-            gateway.take(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANTS, port.clock, 30.0)
+            gateway.receive_load_update(1, engine.mark + bytes([128 + 64]))
+        while len(gateway.pending) < count:
+            gateway.submit(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANTS, port.clock, 30.0)
             n += 1
             if n > count + 100 * ENGINES or port.ended:
                 raise RuntimeError("commands are not held: what would be measured is no review of them")
@@ -217,11 +223,11 @@
 
 
 def _review(desk: Desk) -> float:
-    there = len(desk.gateway.held)
+    there = len(desk.gateway.pending)
     desk.port.clock += 0.02  # so that it is due
     desk.gateway.reviewed = -1.0
     took = yards(desk.gateway.review)
-    if len(desk.gateway.held) != there:
+    if len(desk.gateway.pending) != there:
         raise RuntimeError("a command that was held has gone: the size is not what it was")
     return took
 
@@ -273,7 +279,7 @@
     told: Any = Heard()
     known = {"rev": 0, "notices": []}
     nameserver = HOST, free_port(socket.SOCK_DGRAM)  # where nobody answers
-    directory = Directory(told, Deployment(deployment()), known, nameserver)
+    directory = EngineDiscovery(told, Settings(deployment()), known, nameserver)
 
     def read(i: int) -> float:
         directory.last, directory.asked[question.id] = 0, (clock(), question)
@@ -291,8 +297,8 @@
 # Budgets.
 
 
-def wholes(count: int, routers: int) -> list[Whole]:
-    return [Whole(f"budget {n}", 50 * routers, 0.0, 0.5 + DOUBT) for n in range(count)]
+def wholes(count: int, routers: int) -> list[Budget]:
+    return [Budget(f"budget {n}", 50 * routers, 0.0, 0.5 + DOUBT) for n in range(count)]
 
 
 class Books:
@@ -302,14 +308,14 @@
 
     def __init__(self, routers: int, budgets: int, seed: int) -> None:
         self.chance, self.now, plan = random.Random(seed), 100.0, wholes(budgets, routers)
-        self.ledger = Ledger(0, routers, 1, 1, 0.25, 2.0, self.now)
+        self.ledger = AllocationLedger(0, routers, 1, 1, 0.25, 2.0, self.now)
         self.ledger.planned(plan)
-        self.purses = [Purse(n, routers, 0.25, 2.0, 0.0) for n in range(routers)]
+        self.purses = [LocalBudgets(n, routers, 0.25, 2.0, 0.0) for n in range(routers)]
         for purse in self.purses:
             purse.planned(plan, self.now)
         self.datagrams, self.bytes, self.spent, self.told = 0, 0, 0.0, 0
 
-    def use(self, purse: Purse) -> None:
+    def use(self, purse: LocalBudgets) -> None:
         """Commands come and go: some units of each budget are in use."""
         for pocket in purse.pockets.values():
             pocket.asked += self.chance.randrange(4)
@@ -424,7 +430,7 @@
 
     def tell_peers(self, data: bytes) -> None: ...
 
-    def trace(self, ref: str, member: str, why: Why, seconds: float) -> None: ...
+    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
     def broke(self, ref: str, member: str, cause: str) -> None: ...
 
@@ -437,7 +443,9 @@
         names = [f"member-{n}" for n in range(count)]
         sill = Sill()
         bounds = Bounds(2 * count, 1e9, 10_000, True, False)
-        door = Door(sill, Members(512, seed, dict.fromkeys(names, 2.0), {}), bounds, 4.0, 5.0)
+        door = AdmissionController(
+            sill, FlowClassifier(512, seed, dict.fromkeys(names, 2.0), {}), bounds, 4.0, 5.0
+        )
         for n, name in enumerate([*names, *names]):
             door.arrive(Arrival(f"{n:016x}", name, HOST, name, 0.05, 1, 200, 1e6, 1e6, n), 10.0)
         if sill.away or len(door.standing) < count - 8:
--- a/marbleworks/lab/slopes.py
+++ b/marbleworks/lab/slopes.py
@@ -57,9 +57,14 @@
 
 
 def fitted(
-    name: str, what: str, against: str, how: str, sizes: Sequence[float], values: Sequence[float],
+    name: str,
+    what: str,
+    against: str,
+    how: str,
+    sizes: Sequence[float],
+    values: Sequence[float],
     seed: int = 0,
-) -> Slope:  # fmt: skip
+) -> Slope:
     """The curve through values at sizes, which rise. ValueError where there are too few, or one is not
     positive."""
     if len(sizes) < SIZES + 1 or sorted(set(sizes)) != list(sizes) or len(sizes) != len(values):
@@ -71,9 +76,22 @@
     predicted = base + factor * most**exponent
     base, factor, exponent, low, high, spread = _curve(sizes, values)
     return Slope(
-        name, what, against, how, tuple(map(float, sizes)), tuple(map(float, values)), base, factor, exponent,
-        low, high, predicted, abs(predicted - there) / there, spread, seed,
-    )  # fmt: skip
+        name,
+        what,
+        against,
+        how,
+        tuple(map(float, sizes)),
+        tuple(map(float, values)),
+        base,
+        factor,
+        exponent,
+        low,
+        high,
+        predicted,
+        abs(predicted - there) / there,
+        spread,
+        seed,
+    )
 
 
 def _curve(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float, float, float, float]:
@@ -101,9 +119,13 @@
 
     try:
         told, spreads = optimize.curve_fit(
-            above, np.log(x), np.log(y), p0=(0.5 * y[0], 0.5 * y[-1] / x[-1], 1.0),
-            bounds=([0.0, 0.0, 0.0], [y.min(), np.inf, 4.0]), maxfev=20_000,
-        )  # fmt: skip
+            above,
+            np.log(x),
+            np.log(y),
+            p0=(0.5 * y[0], 0.5 * y[-1] / x[-1], 1.0),
+            bounds=([0.0, 0.0, 0.0], [y.min(), np.inf, 4.0]),
+            maxfev=20_000,
+        )
     except (RuntimeError, ValueError):
         return power
     rest = float(np.sum((np.log(y) - above(np.log(x), *told)) ** 2))
--- a/marbleworks/lab/spool.py
+++ b/marbleworks/lab/spool.py
@@ -124,11 +124,13 @@
         report.figures[f"{name}_p50_ms"] = 1e3 * percentile(values, 50)
         report.figures[f"{name}_p99_ms"] = 1e3 * percentile(values, 99)
     report.figures |= {
-        "reports_asked": len(reports), "reports_answered": len(answered), "pages_read_slowly": len(pages),
+        "reports_asked": len(reports),
+        "reports_answered": len(answered),
+        "pages_read_slowly": len(pages),
         "engine_freed_max_ms": 1e3 * max(freed, default=0.0),
         "spooled_mb_a_second": sum(ask.size for ask in answered) / seconds / 1e6,
         "router_failures": float(log.count('"event": "failed"')),
-    }  # fmt: skip
+    }
     report.claim(
         "engine freed after its result is complete, p99, ms", report.figures["engine_freed_p99_ms"], 50
     )
@@ -147,11 +149,14 @@
 ) -> dict[str, object]:
     held, took = sum(engine["held_large"] for engine in stats), [ask.took for ask in whole]
     return {
-        "day": name, "reports asked": asked, "answered": answered,
-        "answered an engine": round(answered / len(stats), 2), "engine-seconds held": round(held, 2),
+        "day": name,
+        "reports asked": asked,
+        "answered": answered,
+        "answered an engine": round(answered / len(stats), 2),
+        "engine-seconds held": round(held, 2),
         "held a report": round(held / answered, 3) if answered else "-",
         "median s to the answer": round(percentile(took, 50), 2) if took else "-",
-    }  # fmt: skip
+    }
 
 
 def baseline(report: Report, seconds: float, patience: float, seed: int) -> None:
@@ -220,8 +225,11 @@
             gevent.sleep(0.1)
         end = stage.router.memory()
     report.figures |= {
-        "memory_rest_mb": rest, "memory_peak_mb": peak, "memory_open_mb": end, "open_spools": len(answered)
-    }  # fmt: skip
+        "memory_rest_mb": rest,
+        "memory_peak_mb": peak,
+        "memory_open_mb": end,
+        "open_spools": len(answered),
+    }
     report.claim(f"router's memory above rest with {count} open spools, MB", max(peak, end) - rest, 40)
     report.claim("open spools", len(answered), count, least=True)
     series = {"above rest": ([x for x, _ in curve], [y for _, y in curve])}
@@ -257,12 +265,16 @@
     promised = [let_in for told, let_in, _ in came_back if told]
     shed = sum(ask.end == "shed" for ask in first)
     report.figures |= {
-        "full_reports": len(first), "full_shed": shed, "full_promised": len(promised),
+        "full_reports": len(first),
+        "full_shed": shed,
+        "full_promised": len(promised),
         "full_told_the_longest": len(came_back) - len(promised),
-        "full_let_in": sum(promised) / max(len(promised), 1), "full_service_before": service[0],
-        "full_service_during": service[1], "full_failed": sum(ask.end in ("failed", "lost") for ask in first),
+        "full_let_in": sum(promised) / max(len(promised), 1),
+        "full_service_before": service[0],
+        "full_service_during": service[1],
+        "full_failed": sum(ask.end in ("failed", "lost") for ask in first),
         "full_disk_errors": log.count("spool write failed"),
-    }  # fmt: skip
+    }
     report.claim("with the spool full, others' service lost", service[0] - service[1], 0.01)
     report.claim(
         "let in of those that came back when told", sum(promised) / max(len(promised), 1), 0.95, least=True
--- a/marbleworks/lab/stage.py
+++ b/marbleworks/lab/stage.py
@@ -42,25 +42,44 @@
     ]
     none = [False] * len(classes)
     return {
-        "zones": ["hall-a"], "kinds": ["std"], "az": "hall-a", "instances": routers, "me": me,
+        "zones": ["hall-a"],
+        "kinds": ["std"],
+        "az": "hall-a",
+        "instances": routers,
+        "me": me,
         "classes": classes,
         "orgs": [{"name": name, "quota_per_s": 500.0} for name in tenants],
         "feedback": {"columns": ["inflight"]},
         "policy_limits": {
-            "max_attempts": 3, "second_copies": True, "cancel": True, "peers": routers > 1, "probing": False,
-            "retry_after": True, "max_retry_after_ms": 1e3 * heed, "connect_timeout_ms": 250.0,
+            "max_attempts": 3,
+            "second_copies": True,
+            "cancel": True,
+            "peers": routers > 1,
+            "probing": False,
+            "retry_after": True,
+            "max_retry_after_ms": 1e3 * heed,
+            "connect_timeout_ms": 250.0,
             "idle_close_ms": 30000.0,
         },
         "rules": {
-            "start_capacity": 0.35, "cold_ms": 14000.0, "fall_multiple": 4.0, "fall_ms": 2000.0,
-            "extra_floor": 2.0, "repeat_ratio": 0.2, "look_back_ms": 10000.0,
+            "start_capacity": 0.35,
+            "cold_ms": 14000.0,
+            "fall_multiple": 4.0,
+            "fall_ms": 2000.0,
+            "extra_floor": 2.0,
+            "repeat_ratio": 0.2,
+            "look_back_ms": 10000.0,
         },
         "specifics": {
-            "class_load": none, "class_waits": none, "parallelism": [1] * len(classes),
-            "takes_grants": True, "when_short": "queue", "cores_by_kind": [cores],
+            "class_load": none,
+            "class_waits": none,
+            "parallelism": [1] * len(classes),
+            "takes_grants": True,
+            "when_short": "queue",
+            "cores_by_kind": [cores],
             "memory_by_kind_mb": [65536.0],
         },
-    }  # fmt: skip
+    }
 
 
 def held_port() -> Any:
@@ -97,8 +116,9 @@
         with open(self.folder / "router.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, "serve", "--config", str(self.config), *self.args],
-                stdout=log, stderr=subprocess.STDOUT,
-            )  # fmt: skip
+                stdout=log,
+                stderr=subprocess.STDOUT,
+            )
         until = time.monotonic() + wait
         while True:
             try:
@@ -164,8 +184,10 @@
         self.folder = Path(tempfile.mkdtemp(prefix="marbleworks-lab-"))
         self.fleet: Any = subprocess.Popen(
             [sys.executable, "-m", "marbleworks.lab.fleet", str(engines), str(cores), str(routers)],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=os.environ | {"PYTHONUNBUFFERED": "1"},
-        )  # fmt: skip
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            env=os.environ | {"PYTHONUNBUFFERED": "1"},
+        )
         told = json.loads(self.fleet.stdout.readline())
         listed: dict[str, Any] = dict(told["engines"])
         self.spool = self.folder / "spool"
--- a/marbleworks/lab/standins.py
+++ b/marbleworks/lab/standins.py
@@ -128,17 +128,30 @@
     it, its only peer is itself."""
     peers, everyone = group or ([(HOST, peer)], (HOST, peer))
     members = [
-        {"id": name, "host_port": f"{host}:{port}", "locality": "hall-a", "flavor": "std", "cell": 2,
-         "phase": "Ready", "size": 4, "up_since_ms": 0}
+        {
+            "id": name,
+            "host_port": f"{host}:{port}",
+            "locality": "hall-a",
+            "flavor": "std",
+            "cell": 2,
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
         for name, (host, port) in engines.items()
-    ]  # fmt: skip
+    ]
     pool = {"revision": 1, "complete": True, "members": members}
     return json.dumps(
         {
-            "name": "n1", "listen": f"{HOST}:{listen}", "seed": "8c1f", "limits": {"sockets": sockets},
-            "peer_listen": f"{HOST}:{peer}", "peers": [f"{host}:{port}" for host, port in peers],
+            "name": "n1",
+            "listen": f"{HOST}:{listen}",
+            "seed": "8c1f",
+            "limits": {"sockets": sockets},
+            "peer_listen": f"{HOST}:{peer}",
+            "peers": [f"{host}:{port}" for host, port in peers],
             "peers_all": f"{everyone[0]}:{everyone[1]}",
-            "nameserver": f"{nameserver[0]}:{nameserver[1]}", "settings": settings,
+            "nameserver": f"{nameserver[0]}:{nameserver[1]}",
+            "settings": settings,
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": pool}]},
         }
-    )  # fmt: skip
+    )
--- a/marbleworks/lab/target.py
+++ b/marbleworks/lab/target.py
@@ -126,9 +126,13 @@
     def scaled(self, by: float) -> Allowance:
         """As much of everything, `by` times."""
         return replace(
-            self, cpu=self.cpu * by, bytes=self.bytes * by, state=self.state * by, core=self.core * by,
+            self,
+            cpu=self.cpu * by,
+            bytes=self.bytes * by,
+            state=self.state * by,
+            core=self.core * by,
             answer=self.answer * by,
-        )  # fmt: skip
+        )
 
 
 def bounds(slopes: Mapping[str, Curve], a: Allowance) -> dict[str, Callable[[int], float]]:
@@ -321,7 +325,7 @@
         Input("seen", "of those, in what a router knows", s, known(changes)),
         Input("lines", "of the log for a change: suspected, gone, up", c, both(3.0)),
         Input("words", "bytes of a line of the log", a, both(WORDS)),
-    ]  # fmt: skip
+    ]
 
 
 def by_name(found: list[Input], variant: Variant) -> dict[str, float]:
--- a/marbleworks/lab/trial.py
+++ b/marbleworks/lab/trial.py
@@ -49,12 +49,18 @@
         took = [ask.took for ask in mine if ask.end == "answered"]
         report.rows.append(
             {
-                "profile": profile, "asked": len(mine), "answered": ends["answered"], "shed": ends["shed"],
-                "failed": ends["failed"], "lost": ends["lost"] + ends["error"],
-                "in time": sum(ask.in_time for ask in mine), "target s": PROFILES[profile][1],
-                "median ms": round(1e3 * percentile(took, 50)), "p99 ms": round(1e3 * percentile(took, 99)),
+                "profile": profile,
+                "asked": len(mine),
+                "answered": ends["answered"],
+                "shed": ends["shed"],
+                "failed": ends["failed"],
+                "lost": ends["lost"] + ends["error"],
+                "in time": sum(ask.in_time for ask in mine),
+                "target s": PROFILES[profile][1],
+                "median ms": round(1e3 * percentile(took, 50)),
+                "p99 ms": round(1e3 * percentile(took, 99)),
             }
-        )  # fmt: skip
+        )
     report.claim("commands without an answer", sum(ask.end in ("lost", "error") for ask in asks), 0)
     return report
 
--- a/marbleworks/membership/codec.py
+++ b/marbleworks/membership/codec.py
@@ -36,11 +36,11 @@
 FORMAT = Format(MARK, VERSION, OLDEST)
 
 
-class Unreadable(Exception):
+class DatagramDecodeError(Exception):
     """Why a datagram is not taken."""
 
 
-class What(IntEnum):
+class MessageType(IntEnum):
     JOIN = 1  # what did you last see of me?
     SEEN = 2  # that; also said to a process that has been followed by another
     PING = 3
@@ -89,7 +89,7 @@
     """start: the sender's. no: of a probe or a vote, echoed by its answer. about: the router that it is
     about. digest: of the sender's view. token: echoed to whom it came from, which knows when it was sent."""
 
-    what: What
+    what: MessageType
     start: int
     no: int = 0
     about: int = -1
@@ -111,9 +111,14 @@
     m = message
     fields: dict[int, Any] = {0: int(m.what), 1: m.start}
     for key, value, usual in (
-        (2, m.no, 0), (3, m.about, -1), (4, m.digest, 0), (5, m.token, 0), (6, m.held, 0),
-        (7, int(m.granted), 0), (10, m.wait, 0),
-    ):  # fmt: skip
+        (2, m.no, 0),
+        (3, m.about, -1),
+        (4, m.digest, 0),
+        (5, m.token, 0),
+        (6, m.held, 0),
+        (7, int(m.granted), 0),
+        (10, m.wait, 0),
+    ):
         if value != usual:
             fields[key] = value
     if m.division is not None:
@@ -135,17 +140,17 @@
 def unseal(format_: Format, group: int, data: bytes) -> dict[int, Any]:
     """The fields; raises Unreadable."""
     if not HEAD.size < len(data) <= MOST:
-        raise Unreadable("cut")
+        raise DatagramDecodeError("cut")
     mark, version, of, check = HEAD.unpack_from(data)
     if mark != format_.mark:
-        raise Unreadable("garbage")
+        raise DatagramDecodeError("garbage")
     if version < format_.oldest:
-        raise Unreadable("an older version")
+        raise DatagramDecodeError("an older version")
     if of != group:
-        raise Unreadable("another group")
+        raise DatagramDecodeError("another group")
     body = data[HEAD.size :]
     if zlib.crc32(body, version) != check:
-        raise Unreadable("garbage")
+        raise DatagramDecodeError("garbage")
     with read_strictly():
         fields = msgpack.unpackb(body, strict_map_key=False, max_map_len=64, max_array_len=64)
         if not isinstance(fields, dict):
@@ -158,10 +163,12 @@
     """Whatever msgpack, a number or a shape objects to is Unreadable."""
     try:
         yield
-    except Unreadable:
+    except DatagramDecodeError:
         raise
     except Exception as err:
-        raise Unreadable("out of range" if isinstance(err, ValueError | TypeError) else "garbage") from None
+        raise DatagramDecodeError(
+            "out of range" if isinstance(err, ValueError | TypeError) else "garbage"
+        ) from None
 
 
 def decode(group: int, routers: int, data: bytes) -> Message:
@@ -170,31 +177,37 @@
     with read_strictly():
         rows, divided = fields.get(9, ()), fields.get(8)
         return Message(
-            What(fields[0]), count(fields[1]), count(fields.get(2, 0)),
-            number_below(fields.get(3, -1), routers, -1), count(fields.get(4, 0)), count(fields.get(5, 0)),
-            count(fields.get(6, 0)), bool(fields.get(7, 0)),
-            None if divided is None else _division(divided, routers), count(fields.get(10, 0)),
+            MessageType(fields[0]),
+            count(fields[1]),
+            count(fields.get(2, 0)),
+            number_below(fields.get(3, -1), routers, -1),
+            count(fields.get(4, 0)),
+            count(fields.get(5, 0)),
+            count(fields.get(6, 0)),
+            bool(fields.get(7, 0)),
+            None if divided is None else _division(divided, routers),
+            count(fields.get(10, 0)),
             tuple(
                 News(count(start), count(incarnation), State(state), number_below(number, routers, 0))
                 for number, start, incarnation, state, *_ in rows
             ),
-        )  # fmt: skip
+        )
 
 
 def _division(row: Any, routers: int) -> Division:
     serial, among, place, active, span, *_ = row
     if number_below(among, routers + 1, 1) <= number_below(place, routers, -1):
-        raise Unreadable("out of range")
+        raise DatagramDecodeError("out of range")
     return Division(count(serial), among, place, bool(active), count(span))
 
 
 def count(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < HIGHEST:
-        raise Unreadable("out of range")
+        raise DatagramDecodeError("out of range")
     return value
 
 
 def number_below(value: Any, below: int, least: int) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not least <= value < below:
-        raise Unreadable("out of range")
+        raise DatagramDecodeError("out of range")
     return value
--- a/marbleworks/membership/failure_detector.py
+++ b/marbleworks/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from marbleworks.membership.codec import Message, News, State, What
+from marbleworks.membership.codec import Message, MessageType, News, State
 
 ROUNDS = 3  # routers that are asked to probe for us
 ANSWER_WITHIN = 0.4  # part of a period in which a probe's answer is expected, by a healthy router
@@ -69,7 +69,7 @@
     rounds: bool = False
 
 
-class Members:
+class FailureDetector:
     """me: our number of `count`, by the settings. period: seconds between probes. suspicion: seconds that one
     has to refute, in a group of ten."""
 
@@ -164,9 +164,9 @@
             for number, start in self.met.items():
                 if 1 <= start <= AHEAD:
                     self._believe(News(start, 0, State.UP, number), "it was there", now)
-            return [(n, self._say(What.PING)) for n in self._others()]
+            return [(n, self._say(MessageType.PING)) for n in self._others()]
         self.next = min(now + self.period / 2, self.asked_until)
-        return [(n, Message(What.JOIN, 0)) for n in self._others() if n not in self.seen_of_me]
+        return [(n, Message(MessageType.JOIN, 0)) for n in self._others() if n not in self.seen_of_me]
 
     def _others(self) -> Iterator[int]:
         return (n for n in range(self.count) if n != self.me)
@@ -181,7 +181,7 @@
                 probe.rounds = True
                 helpers = [n for n in self.living() if n not in (self.me, probe.about)]
                 asked = sorted(helpers, key=lambda n: self._chance(n))[:ROUNDS]
-                out += [(n, self._say(What.ASK_ROUND, no=probe.no, about=probe.about)) for n in asked]
+                out += [(n, self._say(MessageType.ASK_ROUND, no=probe.no, about=probe.about)) for n in asked]
             elif probe.rounds and now >= probe.until:
                 del self.probes[probe.no]
                 self.health = min(self.health + 1, WORST_HEALTH)
@@ -218,7 +218,7 @@
             self.probes[self.no] = Probe(
                 number, self.no, now, now + ANSWER_WITHIN * stretch, now + 0.95 * stretch
             )
-            out.append((number, self._say(What.PING, no=self.no, to=number, now=now)))
+            out.append((number, self._say(MessageType.PING, no=self.no, to=number, now=now)))
         return out
 
     def _chance(self, salt: int) -> float:
@@ -229,7 +229,7 @@
     # What is said, with news on it.
 
     def _say(
-        self, what: What, no: int = 0, about: int = -1, to: int | None = None, now: float = 0.0
+        self, what: MessageType, no: int = 0, about: int = -1, to: int | None = None, now: float = 0.0
     ) -> Message:
         return Message(what, self.start, no, about, self.digest, news=self._news_for(to, now))
 
@@ -262,16 +262,16 @@
         """What a router said, and what is said back."""
         if self.yielded or peer == self.me:
             return []
-        if m.what is What.JOIN:
+        if m.what is MessageType.JOIN:
             known = self.members.get(peer)
-            return [(peer, Message(What.SEEN, self.start, no=known.news.start if known else 0))]
-        if m.what is What.SEEN:
+            return [(peer, Message(MessageType.SEEN, self.start, no=known.news.start if known else 0))]
+        if m.what is MessageType.SEEN:
             return self._seen(peer, m, now)
         if not self.joined:
             return []
         known = self.members.get(peer)
         if known is not None and m.start < known.news.start:  # it has been followed by another of its name
-            return [(peer, Message(What.SEEN, self.start, no=known.news.start))]
+            return [(peer, Message(MessageType.SEEN, self.start, no=known.news.start))]
         if known is None or m.start > known.news.start:
             if m.start - (known.news.start if known else 0) > AHEAD or m.start < 1:
                 self.forged += 1
@@ -286,20 +286,20 @@
         for news in m.news:
             self._told(news, peer, now)
         out: Out = []
-        if m.what is What.PING:
-            out.append((peer, self._say(What.ACK, no=m.no, to=peer, now=now)))
-        elif m.what is What.ACK:
+        if m.what is MessageType.PING:
+            out.append((peer, self._say(MessageType.ACK, no=m.no, to=peer, now=now)))
+        elif m.what is MessageType.ACK:
             out += self._acked(peer, m, now)
-        elif m.what is What.ASK_ROUND and 0 <= m.about < self.count and m.about not in (self.me, peer):
+        elif m.what is MessageType.ASK_ROUND and 0 <= m.about < self.count and m.about not in (self.me, peer):
             if len(self.relays) < 64:
                 self.no += 1
                 self.relays[self.no] = peer, m.no, now + 4 * self.period
-                out.append((m.about, self._say(What.PING, no=self.no, to=m.about, now=now)))
-        elif m.what is What.ROUND:
+                out.append((m.about, self._say(MessageType.PING, no=self.no, to=m.about, now=now)))
+        elif m.what is MessageType.ROUND:
             probe = self.probes.get(m.no)
             if probe is not None and probe.about == m.about:
                 self._answered(probe, now)
-        elif m.what is What.LEAVE:
+        elif m.what is MessageType.LEAVE:
             self._believe(News(m.start, sender.news.incarnation, State.LEFT, peer), "it leaves", now)
         return out
 
@@ -334,7 +334,7 @@
         relay = self.relays.pop(m.no, None)
         if relay is not None:
             asker, no, _ = relay
-            return [(asker, self._say(What.ROUND, no=no, about=peer))]
+            return [(asker, self._say(MessageType.ROUND, no=no, about=peer))]
         probe = self.probes.get(m.no)
         if probe is not None and probe.about == peer:
             self._answered(probe, now)
@@ -457,4 +457,4 @@
         if not self.joined or self.yielded:
             return []
         self._believe(News(self.start, self.incarnation, State.LEFT, self.me), "we leave", now)
-        return [(n, Message(What.LEAVE, self.start)) for n in self.living() if n != self.me] * 2
+        return [(n, Message(MessageType.LEAVE, self.start)) for n in self.living() if n != self.me] * 2
--- a/marbleworks/membership/leader_election.py
+++ b/marbleworks/membership/leader_election.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from marbleworks.membership.codec import Division, Message, What
+from marbleworks.membership.codec import Division, Message, MessageType
 
 DRIFT = 0.02  # bound on how much faster or slower than another's a router's clock may run
 EAGER = 4  # votes asked for in one term
@@ -60,7 +60,7 @@
     until: float = -math.inf  # and can't use any of ours from then on
 
 
-class Rights:
+class LeaderElection:
     """me: our number of `count`, by the settings, among which the majority counts. term: seconds for which a
     vote binds; lease: seconds for which a part may be used; kept: part of the whole that is divided by the
     settings' number and that each router may always use."""
@@ -151,11 +151,14 @@
                     (
                         number,
                         Message(
-                            What.VOTE, start, no=no, token=given.token if given else 0,
+                            MessageType.VOTE,
+                            start,
+                            no=no,
+                            token=given.token if given else 0,
                             division=self._told(number),
                         ),
                     )
-                )  # fmt: skip
+                )
         if self.changing:
             self.next = now + SOON
         return out
@@ -220,7 +223,7 @@
     # What is heard.
 
     def heard(self, peer: int, m: Message, start: int, now: float) -> Out:
-        if m.what is What.VOTE:
+        if m.what is MessageType.VOTE:
             granted = self._grants(peer, m.start, now)
             if granted and m.division is not None:
                 began = self.tokens.get(m.token)
@@ -233,9 +236,11 @@
             self.tokens = {t: at for t, at in self.tokens.items() if at > now - self.lease}
             held = self.held.serial if self.held is not None and (peer, m.start) == self.divider else 0
             wait = 0 if granted else math.ceil(1000.0 * (self.bound_until - now))
-            said = Message(What.VOTED, start, no=m.no, token=token, held=held, granted=granted, wait=wait)
+            said = Message(
+                MessageType.VOTED, start, no=m.no, token=token, held=held, granted=granted, wait=wait
+            )
             return [(peer, said)]
-        if m.what is What.VOTED:
+        if m.what is MessageType.VOTED:
             sent = self.asked.get(m.no)
             if sent is not None and m.granted:
                 self._voted(peer, sent, now)
--- a/marbleworks/membership/node.py
+++ b/marbleworks/membership/node.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marbleworks.membership.codec import Message, State, What
-from marbleworks.membership.failure_detector import Change, Members, Out
-from marbleworks.membership.leader_election import Rights, Standing
+from marbleworks.membership.codec import Message, MessageType, State
+from marbleworks.membership.failure_detector import Change, FailureDetector, Out
+from marbleworks.membership.leader_election import LeaderElection, Standing
 
 
 @dataclass(frozen=True)
-class Heed:
+class LeaderRef:
     """Whom to ask for parts, as subsystems are told: the divider that has our vote and its start (-1, 0:
     none), our own start (0: none yet), and how long and for which time we have the right ourselves."""
 
@@ -28,13 +28,13 @@
     yielded: bool
 
 
-class Fellow:
+class MembershipNode:
     """terms: seconds by `period`, `suspicion`, `term` and `lease`, and the part `kept`."""
 
     def __init__(self, me: int, count: int, seed: int, now: float, terms: dict[str, Any]) -> None:
         self.me, self.term = me, float(terms["term"])
-        self.members = Members(me, count, seed, now, terms["period"], terms["suspicion"])
-        self.rights = Rights(me, count, now, terms["term"], terms["lease"], terms["kept"])
+        self.members = FailureDetector(me, count, seed, now, terms["period"], terms["suspicion"])
+        self.rights = LeaderElection(me, count, now, terms["term"], terms["lease"], terms["kept"])
 
     @property
     def there(self) -> bool:
@@ -42,7 +42,7 @@
         return self.members.joined and not self.members.yielded
 
     def heard(self, peer: int, message: Message, now: float) -> Out:
-        if message.what not in (What.VOTE, What.VOTED):
+        if message.what not in (MessageType.VOTE, MessageType.VOTED):
             return self.members.heard(peer, message, now)
         known = self.members.members.get(peer)
         if known is not None and message.start != known.news.start:
@@ -73,12 +73,12 @@
         living = self.members.living() if self.there else [self.me]
         return self.rights.standing(len(living), self.members.reached_since(now - self.term), now)
 
-    def heed(self, now: float) -> Heed:
+    def heed(self, now: float) -> LeaderRef:
         rights, members = self.rights, self.members
         divider, start = rights.bound_to if now < rights.bound_until else (-1, 0)
         until = rights.until() if rights.reigning else -math.inf
         own = members.start if members.joined else 0
-        return Heed(divider, start, own, rights.reigns, until, members.yielded)
+        return LeaderRef(divider, start, own, rights.reigns, until, members.yielded)
 
     def leave(self, now: float) -> Out:
         """A planned stop: it uses its part no longer, and then says so."""
--- a/marbleworks/membership/options.py
+++ b/marbleworks/membership/options.py
@@ -1,24 +1,28 @@
 """What the operator may say of routers that know each other."""
 
-from marbleworks.operator_config.value_types import Kind, Section, Setting
+from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 PEERS = Section(
     "peers",
     "routers that know who of them is there, and divide among those",
     (
-        Setting("group", Kind.TEXT, "Routers of another group are not heard.", "routers"),
-        Setting("period", Kind.SPAN, "Between probes of one peer.", 0.2, 0.05, 10.0),
-        Setting("suspicion", Kind.SPAN, "Within which a suspected peer must refute.", 1.0, 0.2, 60.0),
-        Setting("term", Kind.SPAN, "For which a vote for the router that divides binds.", 2.4, 0.5, 120.0),
-        Setting("lease", Kind.SPAN, "For which a part that was given may be used.", 1.6, 0.5, 120.0),
+        Setting("group", ValueType.TEXT, "Routers of another group are not heard.", "routers"),
+        Setting("period", ValueType.SPAN, "Between probes of one peer.", 0.2, 0.05, 10.0),
+        Setting("suspicion", ValueType.SPAN, "Within which a suspected peer must refute.", 1.0, 0.2, 60.0),
+        Setting(
+            "term", ValueType.SPAN, "For which a vote for the router that divides binds.", 2.4, 0.5, 120.0
+        ),
+        Setting("lease", ValueType.SPAN, "For which a part that was given may be used.", 1.6, 0.5, 120.0),
         Setting(
             "kept",
-            Kind.SHARE,
+            ValueType.SHARE,
             "Of each whole what is never divided anew: a router that is cut off has its share.",
             0.25,
             0.01,
             1.0,
         ),
-        Setting("pace", Kind.PACE, "Bytes a second that this may send, and each peer.", 16000.0, 500.0, 1e6),
+        Setting(
+            "pace", ValueType.PACE, "Bytes a second that this may send, and each peer.", 16000.0, 500.0, 1e6
+        ),
     ),
 )
--- a/marbleworks/membership/report.py
+++ b/marbleworks/membership/report.py
@@ -16,7 +16,7 @@
 HEADS = ("router", "start", "incarnation", "state", "since", "view", "answered")
 
 
-class Unasked(Exception):
+class HealthQueryError(Exception):
     """Why there is no view."""
 
 
@@ -24,7 +24,7 @@
     """What a router shows of a subsystem, as its `shown` gives it; raises Unasked."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
-        raise Unasked("expected host:port")
+        raise HealthQueryError("expected host:port")
     try:
         with socket.create_connection((host, int(port)), WITHIN) as sock:
             sock.sendall(msgpack.packb([0, 1, "health", [{"about": about}]]))
@@ -32,15 +32,15 @@
             while True:
                 data = sock.recv(65536)
                 if not data:
-                    raise Unasked("the router ended the connection")
+                    raise HealthQueryError("the router ended the connection")
                 unpacker.feed(data)
                 for message in unpacker:
                     told = message[3][1]
                     if not told:
-                        raise Unasked(f"the router has no section ({about})")
+                        raise HealthQueryError(f"the router has no section ({about})")
                     return dict(told)
     except (OSError, IndexError, TypeError) as err:
-        raise Unasked(str(err)) from None
+        raise HealthQueryError(str(err)) from None
 
 
 def table(view: dict[str, Any]) -> list[str]:
@@ -73,7 +73,7 @@
         looks += 1
         try:
             view = asked(address)
-        except Unasked as err:
+        except HealthQueryError as err:
             if looks == 1:
                 raise
             now = {"router": f"does not answer: {err}"}
--- a/marbleworks/membership/service.py
+++ b/marbleworks/membership/service.py
@@ -13,11 +13,11 @@
 from dataclasses import replace
 from typing import Any
 
-from marbleworks.membership.codec import MARK, State, Unreadable, decode, encode, group_of
+from marbleworks.membership.codec import MARK, DatagramDecodeError, State, decode, encode, group_of
 from marbleworks.membership.failure_detector import Out
-from marbleworks.membership.node import Fellow, Heed
+from marbleworks.membership.node import LeaderRef, MembershipNode
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.datagrams import Kind, Peers
+from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 
 SAID = 10.0  # seconds between log lines on what one peer sends that can't be read
 SOONEST = 0.01  # seconds between two ticks at least
@@ -30,27 +30,27 @@
 Divided = Callable[[float, int, int, float, float], None]  # as `Gateway.divide` has it
 
 
-class Steward(Actor):
+class MembershipService(Actor):
     """divided: told, by a post of its own, what `Gateway.divide` takes; viewed: told the living routers and
     their starts. heeds: told whom to ask for parts."""
 
-    def __init__(self, terms: dict[str, Any], peers: Peers, seed: int, divided: Divided) -> None:
+    def __init__(self, terms: dict[str, Any], peers: DatagramTransport, seed: int, divided: Divided) -> None:
         now = time.monotonic()
         self.me, self.count = peers.me, len(peers.addresses)
         self.group = group_of(f"{terms['group']} {self.count}")
-        self.fellow = Fellow(self.me, self.count, seed, now, terms)
+        self.fellow = MembershipNode(self.me, self.count, seed, now, terms)
         self.members, self.rights = self.fellow.members, self.fellow.rights
         self.divided, self.kept = divided, terms["kept"] / self.count
         self.stood = 1.0 / self.count, self.count, self.me, math.inf
-        self.heeds: list[Callable[[Heed], None]] = []
-        self.heed: Heed | None = None
+        self.heeds: list[Callable[[LeaderRef], None]] = []
+        self.heed: LeaderRef | None = None
         self.viewed: list[Callable[[dict[int, int]], None]] = []
         self.cut = self.right = ""
         self.unreadable: dict[int, dict[str, int]] = {}  # by peer and why
         self.said: dict[int, float] = {}
         super().__init__()
-        self.tell = peers.register(Kind("peers", MARK, terms["pace"]), self._came)
-        self.post(self.rung)
+        self.tell = peers.register(DatagramKind("peers", MARK, terms["pace"]), self._came)
+        self.post(self.on_timer)
 
     def _came(self, peer: int, data: bytes) -> None:
         self.post(self.heard, peer, data)
@@ -58,7 +58,7 @@
     def heard(self, peer: int, data: bytes) -> None:
         try:
             message = decode(self.group, self.count, data)
-        except Unreadable as err:
+        except DatagramDecodeError as err:
             why = self.unreadable.setdefault(peer, {})
             why[str(err)] = why.get(str(err), 0) + 1
             if clock() > self.said.get(peer, 0.0) + SAID:
@@ -69,7 +69,7 @@
         self._send(self.fellow.heard(peer, message, now))
         self._settle(now)
 
-    def rung(self) -> None:
+    def on_timer(self) -> None:
         now = time.monotonic()
         self._send(self.fellow.tick(now))
         self._settle(now)
@@ -82,9 +82,13 @@
                 LOG.error("peer name taken", number=change.number, start=change.start, cause=change.cause)
             else:
                 LOG.info(
-                    EVENTS[change.state], number=change.number, start=change.start, cause=change.cause,
-                    view=self.members.view, digest=f"{self.members.digest:08x}",
-                )  # fmt: skip
+                    EVENTS[change.state],
+                    number=change.number,
+                    start=change.start,
+                    cause=change.cause,
+                    view=self.members.view,
+                    digest=f"{self.members.digest:08x}",
+                )
         if changes:
             living = {n: self.members.members[n].news.start for n in self.members.living()}
             for told in self.viewed:
@@ -94,9 +98,13 @@
         if standing.cut.value != self.cut or right != self.right:
             self.cut, self.right = standing.cut.value, right
             LOG.info(
-                "peers standing", cut=self.cut, right=right, sure=round(standing.sure, 2),
-                part=round(standing.part, 4), among=standing.among,
-            )  # fmt: skip
+                "peers standing",
+                cut=self.cut,
+                right=right,
+                sure=round(standing.sure, 2),
+                part=round(standing.part, 4),
+                among=standing.among,
+            )
         stood = standing.part, standing.among, standing.place, standing.until
         if stood != self.stood:
             self.stood = stood
@@ -107,7 +115,7 @@
             told_heed = replace(heed, right_until=clock() + (heed.right_until - now))
             for heeds in self.heeds:
                 heeds(told_heed)
-        self.due = clock() + max(min(self.fellow.due(), standing.until) - now, SOONEST)
+        self.wake_at = clock() + max(min(self.fellow.due(), standing.until) - now, SOONEST)
 
     def _send(self, out: Out) -> None:
         for to, message in out:
@@ -128,17 +136,35 @@
             agrees = "itself" if number == self.me else "agrees" if member.digest == m.digest else "differs"
             if agrees == "differs" and member.differs_since is not None:
                 agrees += f" for {now - member.differs_since:.1f} s"
-            rows.append([
-                str(number), str(member.news.start), str(member.news.incarnation),
-                member.news.state.name.lower(), f"{now - member.since:.1f} s", agrees,
-                "-" if number == self.me else f"{now - member.reached:.1f} s ago"
-                if member.reached > 0 else "never",
-            ])  # fmt: skip
+            rows.append(
+                [
+                    str(number),
+                    str(member.news.start),
+                    str(member.news.incarnation),
+                    member.news.state.name.lower(),
+                    f"{now - member.since:.1f} s",
+                    agrees,
+                    "-"
+                    if number == self.me
+                    else f"{now - member.reached:.1f} s ago"
+                    if member.reached > 0
+                    else "never",
+                ]
+            )
         return {
-            "me": str(self.me), "view": str(m.view), "digest": f"{m.digest:08x}",
-            "cut": standing.cut.value, "sure": f"{standing.sure:.2f}", "health": str(m.health),
-            "right": self.right, "part": f"{standing.part:.4f}", "among": str(standing.among),
-            "place": str(standing.place), "yielded": "yes" if m.yielded else "no",
-            "divider": str(self.rights.divider[0]), "forged": str(m.forged),
-            "unreadable": str(sum(sum(why.values()) for why in self.unreadable.values())), "rows": rows,
-        }  # fmt: skip
+            "me": str(self.me),
+            "view": str(m.view),
+            "digest": f"{m.digest:08x}",
+            "cut": standing.cut.value,
+            "sure": f"{standing.sure:.2f}",
+            "health": str(m.health),
+            "right": self.right,
+            "part": f"{standing.part:.4f}",
+            "among": str(standing.among),
+            "place": str(standing.place),
+            "yielded": "yes" if m.yielded else "no",
+            "divider": str(self.rights.divider[0]),
+            "forged": str(m.forged),
+            "unreadable": str(sum(sum(why.values()) for why in self.unreadable.values())),
+            "rows": rows,
+        }
--- a/marbleworks/net/actor.py
+++ b/marbleworks/net/actor.py
@@ -25,7 +25,7 @@
     return _BEGAN + time.monotonic()
 
 
-def start(work: Callable[..., Any], *args: Any) -> gevent.Greenlet[..., Any]:
+def spawn(work: Callable[..., Any], *args: Any) -> gevent.Greenlet[..., Any]:
     """A greenlet whose failure is logged by us and harms no other."""
     return gevent.spawn(_guarded, work, *args)
 
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.mailbox: PriorityQueue[Mail] = PriorityQueue()
         self.posted, self.finished = 0, False
-        self.due: float | None = None  # when `rung` is wanted, at the latest
+        self.wake_at: float | None = None  # when `rung` is wanted, at the latest
         self.greenlet = gevent.spawn(self._run)
 
     def post(self, what: Callable[..., Any], *args: Any) -> None:
@@ -49,7 +49,7 @@
         self.posted += 1
         self.mailbox.put((0, 0.0, self.posted, what, args))
 
-    def post_new(self, place: float, what: Callable[..., Any], *args: Any) -> None:
+    def post_new_work(self, place: float, what: Callable[..., Any], *args: Any) -> None:
         """The same for new work, which comes after all that concerns work already begun, by place."""
         self.posted += 1
         self.mailbox.put((1, place, self.posted, what, args))
@@ -58,7 +58,7 @@
         """Posted last. A greenlet that is killed would keep its frame, and all that it knows, in a cycle."""
         self.finished = True
 
-    def rung(self) -> None:
+    def on_timer(self) -> None:
         """The one timer is due."""
 
     def _run(self) -> None:
@@ -69,14 +69,14 @@
                 if now > ran + TURN:  # a full mailbox keeps no other greenlet waiting
                     gevent.sleep(0)
                     ran = now = clock()
-                left = None if self.due is None else self.due - now
+                left = None if self.wake_at is None else self.wake_at - now
                 if left is not None and left <= 0:
-                    what, args = self.rung, ()
+                    what, args = self.on_timer, ()
                 else:
                     _, _, _, what, args = self.mailbox.get(timeout=left)
             except Empty:
-                what, args = self.rung, ()
-            if what == self.rung:
-                self.due = None
+                what, args = self.on_timer, ()
+            if what == self.on_timer:
+                self.wake_at = None
             _guarded(what, *args)
             del what, args  # an answer of many pages, perhaps, while the next mail is long in coming
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -19,13 +19,13 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.net.actor import LOG, TURN, Actor, clock, start
-from marbleworks.net.dispatcher import Desk
-from marbleworks.net.messages import Open
+from marbleworks.net.actor import LOG, TURN, Actor, clock, spawn
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.net.messages import OpenRequest
 from marbleworks.net.statement_parser import table_group
 from marbleworks.net.stream import Ended, Reason, Stream
-from marbleworks.ports import Shelf
-from marbleworks.settings import Deployment
+from marbleworks.ports import ResultStore
+from marbleworks.settings import Settings
 
 ANSWER = 1  # the kind of message that is ours; 0 is a call and 2 a notice
 MOST_OPEN = 32  # calls on a connection, by the protocol
@@ -42,9 +42,13 @@
 
 
 BOUNDS: dict[str, Any] = {  # so that no message takes memory out of proportion to its bytes
-    "max_buffer_size": MOST_MESSAGE, "max_str_len": MOST_MESSAGE, "max_bin_len": MOST_MESSAGE,
-    "max_array_len": MOST_PARTS, "max_map_len": MOST_PARTS, "max_ext_len": 0,
-}  # fmt: skip
+    "max_buffer_size": MOST_MESSAGE,
+    "max_str_len": MOST_MESSAGE,
+    "max_bin_len": MOST_MESSAGE,
+    "max_array_len": MOST_PARTS,
+    "max_map_len": MOST_PARTS,
+    "max_ext_len": 0,
+}
 PAGE = "page"  # in place of a command's id, which is hexadecimal
 LINGER = 0.25  # seconds in which what a client still says is read by nobody, before its connection ends
 MOST_LINGER = 1 << 18  # and bytes
@@ -54,34 +58,34 @@
 
 
 @dataclass(eq=False)
-class Asked:
+class PendingCall:
     """An open call. It keeps its place until it is answered or, given up, until the desk has heard that."""
 
     ref: str  # of the command, or PAGE
     deadline: float
-    command: Open | None = None
+    command: OpenRequest | None = None
     given_up: bool = False  # nothing is owed for it
 
 
-class Unfit(Exception):
+class InvalidCallError(Exception):
     """A call that gets an error for its answer."""
 
 
-class Front:
+class ClientListener:
     def __init__(
-        self, address: tuple[str, int], desk: Desk, deployment: Deployment, share: BoundedSemaphore
+        self, address: tuple[str, int], desk: Dispatcher, deployment: Settings, share: BoundedSemaphore
     ) -> None:
         self.desk, self.deployment, self.share = desk, deployment, share
         self.healthy = True
-        self.shelf: Shelf | None = None  # where results are kept, if anywhere
+        self.shelf: ResultStore | None = None  # where results are kept, if anywhere
         self.about: Callable[[str], dict[str, Any]] | None = None  # what `health` may be asked besides
-        self.clients: dict[Client, None] = {}  # in the order in which they came
+        self.clients: dict[ClientSession, None] = {}  # in the order in which they came
         self.entering: Any = None  # accepted, and without a place yet: one at most
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
         self.sock.listen(socket.SOMAXCONN)
-        self.accepting = start(self._accept)
+        self.accepting = spawn(self._accept)
 
     def _accept(self) -> None:
         while True:
@@ -107,7 +111,7 @@
             self.share.release()
             sock.close()
             raise
-        Client(self, stream)
+        ClientSession(self, stream)
         gevent.sleep(0)  # it is heard before the next one is let in
 
     def _make_room(self) -> bool:
@@ -149,16 +153,16 @@
             client.stream.end(Reason.STOPPING)
 
 
-class Client(Actor):
-    def __init__(self, front: Front, stream: Stream) -> None:
+class ClientSession(Actor):
+    def __init__(self, front: ClientListener, stream: Stream) -> None:
         super().__init__()
         self.front, self.desk, self.deployment, self.stream = front, front.desk, front.deployment, stream
-        self.calls: dict[int, Asked] = {}  # open ones, by the client's number for them
+        self.calls: dict[int, PendingCall] = {}  # open ones, by the client's number for them
         self.spoke_at, self.told = (0.0, False)  # a whole message last came then; whether one was sent
         self.writing = False
         self.parting: Reason | None = None  # from then on what comes is read by nobody
         front.clients[self] = None
-        start(self._read)
+        spawn(self._read)
 
     # What the desk asks.
 
@@ -186,7 +190,7 @@
         if asked is not None and (asked.command is None or not asked.given_up):
             self.calls.pop(call, None)  # the reader may have ended while it was written
 
-    def forget(self, command: Open) -> None:
+    def forget(self, command: OpenRequest) -> None:
         """The desk has heard that it was given up. Its number may be another's by now."""
         asked = self.calls.get(command.call)
         if asked is not None and asked.command is command:
@@ -315,7 +319,7 @@
             case [0, int(call), str(method), [dict(fields), *body]] if call not in self.calls:  # type: ignore[has-type]
                 try:
                     self._call(call, method, fields, body)
-                except Unfit as err:
+                except InvalidCallError as err:
                     self._say([ANSWER, call, ["Invalid", {"why": str(err)}], None])
             case [2, "cancel", [int() as given_up]]:
                 self._left(given_up)
@@ -331,7 +335,7 @@
             asked.given_up = True
             if asked.command is not None:
                 asked.command.left = True
-                self.desk.post(self.desk.client_left, asked.command)
+                self.desk.post(self.desk.on_client_disconnect, asked.command)
 
     def _call(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
         if method == "health":
@@ -344,56 +348,56 @@
             self._take(call, method, fields, body)
 
     def _take(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
-        if method not in self.deployment.profiles:
-            raise Unfit("unknown method")
+        if method not in self.deployment.class_index:
+            raise InvalidCallError("unknown method")
         if sum(not asked.given_up for asked in self.calls.values()) >= MOST_OPEN:
-            raise Unfit("too many open calls")
+            raise InvalidCallError("too many open calls")
         if len(body) != 1 or not isinstance(body[0], bytes):
-            raise Unfit("the body is not bin")
+            raise InvalidCallError("the body is not bin")
         ref = fields.get("id")
         if not isinstance(ref, str) or not ID.fullmatch(ref):
-            raise Unfit("id is not 16 hex digits")
+            raise InvalidCallError("id is not 16 hex digits")
         tenant = self._tenant(fields)
-        now, longest = clock(), self.deployment.client_timeouts[self.deployment.profiles[method]]
+        now, longest = clock(), self.deployment.client_timeouts_s[self.deployment.class_index[method]]
         wait = _number(fields, "wait", 2000.0 * longest)
         fleet = self.deployment.fleet  # what none of its engines could do is no estimate
-        cost = _number(fields, "cost", 1000.0 * longest * max(fleet.cores))
-        memory = _number(fields, "need_mb", max(fleet.memory))
+        cost = _number(fields, "cost", 1000.0 * longest * max(fleet.cores_by_kind))
+        memory = _number(fields, "need_mb", max(fleet.memory_mb_by_kind))
         if wait <= 0:
-            raise Unfit("wait is not above 0")
+            raise InvalidCallError("wait is not above 0")
         deadline = now + wait / 1000.0
         # Commands are taken by when their clients began to wait: for a retry that was before this try.
         place = deadline - longest
         group = table_group(body[0].decode("utf-8", "replace"))
         shelf = self.front.shelf if fields.get("spool") == "1" else None
         tray = shelf.tray(tenant, method, body[0]) if shelf is not None else None
-        command = Open(ref, self, call, method, body[0], now, deadline, tray=tray)
-        self.calls[call] = Asked(ref, deadline, command)
-        self.desk.post_new(
+        command = OpenRequest(ref, self, call, method, body[0], now, deadline, tray=tray)
+        self.calls[call] = PendingCall(ref, deadline, command)
+        self.desk.post_new_work(
             place,
-            self.desk.take,
+            self.desk.submit,
             ref,
             command,
             group,
             "",
             (cost / 1000.0, memory),
-            self.deployment.tenants.get(tenant, -1),
+            self.deployment.tenant_index.get(tenant, -1),
         )
 
     def _tenant(self, fields: dict[Any, Any]) -> str:
         """Who asks; nobody in particular where the deployment has no tenants."""
         tenant = fields.get("tenant", "")
-        if not self.deployment.tenants:
+        if not self.deployment.tenant_index:
             return ""
-        if not isinstance(tenant, str) or tenant not in self.deployment.tenants:
-            raise Unfit("unknown tenant")
+        if not isinstance(tenant, str) or tenant not in self.deployment.tenant_index:
+            raise InvalidCallError("unknown tenant")
         return tenant
 
-    def _kept(self, shelf: Shelf, call: int, method: str, fields: dict[Any, Any]) -> None:
+    def _kept(self, shelf: ResultStore, call: int, method: str, fields: dict[Any, Any]) -> None:
         """A call for a result that is kept; no command, and no engine hears of it."""
         token, number, tenant = fields.get("spool"), fields.get("page", ""), self._tenant(fields)
         if not isinstance(token, str) or not 0 < len(token) <= MOST_TOKEN:
-            raise Unfit("spool is not a token")
+            raise InvalidCallError("spool is not a token")
         if method == "release":
             good = shelf.release(token, tenant)
             self._say(
@@ -401,13 +405,13 @@
             )
             return
         if not isinstance(number, str) or not COUNT.fullmatch(number):
-            raise Unfit("page is not a number from 1")
+            raise InvalidCallError("page is not a number from 1")
         if sum(asked.ref == PAGE for asked in self.calls.values()) >= MOST_PAGES:
-            raise Unfit("too many open calls for pages")
-        self.calls[call] = Asked(PAGE, clock() + shelf.patience)
-        start(self._page, shelf, call, token, tenant, int(number))
+            raise InvalidCallError("too many open calls for pages")
+        self.calls[call] = PendingCall(PAGE, clock() + shelf.patience)
+        spawn(self._page, shelf, call, token, tenant, int(number))
 
-    def _page(self, shelf: Shelf, call: int, token: str, tenant: str, number: int) -> None:
+    def _page(self, shelf: ResultStore, call: int, token: str, tenant: str, number: int) -> None:
         """A greenlet of its own: the page is in hand until it has been written or the client has gone."""
         said = shelf.page(token, tenant, number)
         if isinstance(said, str):
@@ -430,5 +434,5 @@
 def _number(fields: dict[Any, Any], name: str, most: float) -> float:
     text = fields.get(name)
     if not isinstance(text, str) or not FIGURE.fullmatch(text) or float(text) > most:
-        raise Unfit(f"{name} is not a number in range")
+        raise InvalidCallError(f"{name} is not a number in range")
     return float(text)
--- a/marbleworks/net/datagrams.py
+++ b/marbleworks/net/datagrams.py
@@ -13,32 +13,32 @@
 
 from gevent import socket
 
-from marbleworks.net.actor import LOG, Actor, clock, start
+from marbleworks.net.actor import LOG, Actor, clock, spawn
 
-MOST = 256  # bytes of a datagram, by the protocol
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram, by the protocol
 BURST = 2.0  # seconds of a kind's pace that may be saved up
 SAID = 10.0  # seconds between log lines on what is dropped
-Heard = Callable[[int, bytes], None]
+DatagramHandler = Callable[[int, bytes], None]
 
 
 @dataclass(frozen=True)
-class Kind:
+class DatagramKind:
     """name: of its owner. mark: the first byte of each; None: those of `length` bytes, which begin with
     anything. pace: bytes a second that the kind may send, and that each peer may send of it."""
 
     name: str
     mark: int | None
-    pace: float = math.inf
+    max_bytes_per_s: float = math.inf
     length: int = 0
 
-    def fits(self, data: bytes) -> bool:
+    def matches(self, data: bytes) -> bool:
         return data[0] == self.mark if self.mark is not None else len(data) == self.length
 
 
-NEWS = Kind("news", None, length=5)  # of an engine, from one decision module to the others
+LOAD_UPDATE = DatagramKind("news", None, length=5)  # of an engine, from one decision module to the others
 
 
-class Pace:
+class RateLimit:
     """So many bytes a second, some seconds of them saved up."""
 
     def __init__(self, pace: float) -> None:
@@ -54,33 +54,35 @@
         return True
 
 
-class Peers(Actor):
+class DatagramTransport(Actor):
     def __init__(
         self, listen: tuple[str, int], peers: list[tuple[str, int]], everyone: tuple[str, int], me: int
     ) -> None:
         super().__init__()
         self.addresses, self.everyone, self.me = peers, everyone, me
         self.numbers = {address: number for number, address in enumerate(peers)}
-        self.kinds: list[tuple[Kind, Heard, Pace]] = []
-        self.from_each: dict[tuple[str, int], Pace] = {}  # by kind and peer, of those that are registered
+        self.kinds: list[tuple[DatagramKind, DatagramHandler, RateLimit]] = []
+        self.from_each: dict[
+            tuple[str, int], RateLimit
+        ] = {}  # by kind and peer, of those that are registered
         self.dropped: dict[str, int] = {}  # by why; a handful of them
         self.said = -math.inf
         self.sent_bytes: dict[str, int] = {}  # by kind
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(listen)
 
-    def register(self, kind: Kind, heard: Heard) -> Callable[..., None]:
+    def register(self, kind: DatagramKind, heard: DatagramHandler) -> Callable[..., None]:
         """What of that kind comes is given to `heard`, which must only post. Returns what tells: (data) all
         peers, (data, number) one."""
-        self.kinds.append((kind, heard, Pace(kind.pace)))
+        self.kinds.append((kind, heard, RateLimit(kind.max_bytes_per_s)))
         pace = self.kinds[-1][2]
         return lambda data, to=None: self.post(self._tell, kind, pace, data, to)
 
     def listen(self) -> None:
-        start(self._listen)
+        spawn(self._listen)
 
-    def _tell(self, kind: Kind, pace: Pace, data: bytes, to: int | None) -> None:
-        if len(data) > MOST:
+    def _tell(self, kind: DatagramKind, pace: RateLimit, data: bytes, to: int | None) -> None:
+        if len(data) > MAX_DATAGRAM_BYTES:
             LOG.error("datagram too long", bytes=len(data))
             return
         if not pace.allows(len(data), clock()):
@@ -95,17 +97,17 @@
     def _listen(self) -> None:
         while True:
             try:
-                data, sender = self.sock.recvfrom(MOST + 1)
+                data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError as err:
                 LOG.warning("datagram not read", error=str(err))
                 continue
             number = self.numbers.get(sender)
-            if number is None or number == self.me or not 0 < len(data) <= MOST:
+            if number is None or number == self.me or not 0 < len(data) <= MAX_DATAGRAM_BYTES:
                 self._drop("no peer's")
                 continue
             for kind, heard, _ in self.kinds:  # the news first: its first byte is anything
-                if kind.fits(data):
-                    pace = self.from_each.setdefault((kind.name, number), Pace(kind.pace))
+                if kind.matches(data):
+                    pace = self.from_each.setdefault((kind.name, number), RateLimit(kind.max_bytes_per_s))
                     if pace.allows(len(data), clock()):
                         heard(number, data)
                     else:
--- a/marbleworks/net/discovery.py
+++ b/marbleworks/net/discovery.py
@@ -17,10 +17,10 @@
 import gevent
 from gevent import socket
 
-from marbleworks.model import EngineEntry, Listed
-from marbleworks.net.actor import LOG, Actor, clock, start
-from marbleworks.net.dispatcher import Desk
-from marbleworks.settings import Deployment, DeploymentError
+from marbleworks.model import EngineEntry, EngineStatus
+from marbleworks.net.actor import LOG, Actor, clock, spawn
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.settings import Settings, SettingsError
 
 SERVICE = "_rpc._tcp.mesh.local."
 MOST_ANSWER = 8000  # bytes, by the protocol
@@ -29,15 +29,17 @@
 ASK_EVERY = TOLD_AFTER / 3  # so that one lost answer leaves time for another
 ASK_AGAIN = ASK_EVERY / 2  # where none has come
 PAUSE = 0.05  # seconds after the socket has failed
-STATES = {"Ready": Listed.UP, "Terminating": Listed.DRAINING, "Gone": Listed.GONE}
+STATES = {"Ready": EngineStatus.UP, "Terminating": EngineStatus.DRAINING, "Gone": EngineStatus.GONE}
 Listing = tuple[EngineEntry, tuple[str, int]]
 
 
-class Directory(Actor):
-    def __init__(self, desk: Desk, deployment: Deployment, known: Any, nameserver: tuple[str, int]) -> None:
+class EngineDiscovery(Actor):
+    def __init__(
+        self, desk: Dispatcher, deployment: Settings, known: Any, nameserver: tuple[str, int]
+    ) -> None:
         super().__init__()
         self.desk, self.deployment = desk, deployment
-        self.zones = {zone.lower(): zone for zone in deployment.zones}
+        self.zones = {zone.lower(): zone for zone in deployment.zone_index}
         self.index: dict[str, int] = {}  # of the engines of the last list
         self.numbers = count()
         self.last = -1  # number of the last event known
@@ -49,14 +51,14 @@
         # One for life, for all name servers: when one is wanted, descriptors may be used up.
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._known(known)
-        start(self._listen)
-        self.due = clock()
+        spawn(self._listen)
+        self.wake_at = clock()
 
     def move(self, nameserver: tuple[str, int]) -> None:
         """Another name server goes on with the same numbers."""
         self.nameserver = nameserver
         self.asked.clear()
-        self.due = clock()
+        self.wake_at = clock()
 
     def _known(self, known: Any) -> None:
         try:
@@ -65,12 +67,12 @@
                 self._listed([self._member(member) for member in pool["members"]], bool(pool.get("complete")))
             self.last = int(known["rev"])
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            raise DeploymentError(f"known: {err!r}") from None
+            raise SettingsError(f"known: {err!r}") from None
 
     def _listed(self, listing: list[Listing], whole: bool) -> None:
-        there = {entry.name: not entry.gone for entry, _ in listing}
+        there = {entry.name: not entry.is_gone for entry, _ in listing}
         self.index = {name: be for name, be in self.index.items() if there.get(name, not whole)}
-        self.desk.post(self.desk.listed, listing, whole)
+        self.desk.post(self.desk.update_engines, listing, whole)
 
     def _member(self, member: dict[str, Any]) -> Listing:
         host, _, port = member["host_port"].rpartition(":")
@@ -82,7 +84,7 @@
         )
 
     def _entry(
-        self, name: str, words: tuple[str, str], cell: int, listed: Listed, started: float
+        self, name: str, words: tuple[str, str], cell: int, listed: EngineStatus, started: float
     ) -> EngineEntry:
         """Ids and zones are labels of names, and those may come in either case (RFC 1035, 2.3.3); the
         decisions of all routers go by one spelling."""
@@ -90,12 +92,12 @@
         if name not in self.index:
             self.index[name] = next(self.numbers)
         be = self.index[name]
-        return self.deployment.entry(be, name, (zone, words[1]), cell, listed, started)
+        return self.deployment.engine_entry(be, name, (zone, words[1]), cell, listed, started)
 
-    def rung(self) -> None:
+    def on_timer(self) -> None:
         """Asks once; sooner again where no answer comes."""
         now = clock()
-        self.due = now + ASK_AGAIN
+        self.wake_at = now + ASK_AGAIN
         self.asked = {no: asked for no, asked in self.asked.items() if asked[0] > now - MOST_LATE}
         question = dns.message.make_query(SERVICE, dns.rdatatype.SRV)
         self.asked[question.id] = now, question
@@ -140,7 +142,7 @@
 
     def _answered(self, number: int) -> None:
         del self.asked[number]
-        self.due = clock() + ASK_EVERY
+        self.wake_at = clock() + ASK_EVERY
 
 
 def _engines(answer: dns.message.Message, entry: Any) -> list[Listing]:
@@ -159,7 +161,7 @@
     for srv in targets:
         name, zone = (label.decode() for label in srv.target.labels[:2])
         fact = facts[srv.target]
-        state = Listed.UP if srv.priority == 0 else Listed.DRAINING
+        state = EngineStatus.UP if srv.priority == 0 else EngineStatus.DRAINING
         words, started = (zone, fact.get("kind", "")), float(fact.get("started", 0)) / 1000.0
         found = entry(name, words, int(fact.get("cell", -1)), state, started)
         listing.append((found, (hosts[srv.target], srv.port)))
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -8,47 +8,53 @@
 
 from collections.abc import Callable
 
-from marbleworks.model import Ending, EngineEntry, LoadReport
+from marbleworks.model import AttemptOutcome, EngineEntry, LoadReport
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.messages import Good, Open, Place, Send
-from marbleworks.ports import Doorkeeper
-from marbleworks.scheduling.scheduler import Gateway
-from marbleworks.settings import Deployment
+from marbleworks.net.messages import AttemptCall, AttemptResult, EnginePort, OpenRequest
+from marbleworks.ports import RequestAdmission
+from marbleworks.scheduling.scheduler import Scheduler
+from marbleworks.settings import Settings
 
-MakePlace = Callable[["Desk", str, tuple[str, int]], Place]  # an engine's actor, by its name and address
+EngineClientFactory = Callable[
+    ["Dispatcher", str, tuple[str, int]], EnginePort
+]  # an engine's actor, by its name and address
 
 
-class Desk(Actor):
+class Dispatcher(Actor):
     def __init__(
-        self, deployment: Deployment, seed: int, make_place: MakePlace, tell: Callable[[bytes], None]
+        self, deployment: Settings, seed: int, make_place: EngineClientFactory, tell: Callable[[bytes], None]
     ) -> None:
-        self.deployment, self.make_place, self.tell = deployment, make_place, tell
-        self.open: dict[str, Open] = {}
-        self.engines: dict[int, Place] = {}
+        self.settings, self.make_engine_client, self.tell = deployment, make_place, tell
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.engine_clients: dict[int, EnginePort] = {}
         self.stop_by: float | None = None
-        self.door: Doorkeeper | None = None
-        self.gateway = Gateway(self, seed, deployment.profile_list, deployment.rules, deployment.fleet)
+        self.admission: RequestAdmission | None = None
+        self.scheduler = Scheduler(self, seed, deployment.request_classes, deployment.rules, deployment.fleet)
         super().__init__()
 
     # What the others tell.
 
-    def take(self, ref: str, new: Open, group: int, key: str, told: tuple[float, float], tenant: int) -> None:
+    def submit(
+        self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
+    ) -> None:
         if new.left:  # its client was ahead of it
             _close(new)
             return
-        if ref in self.open:  # a client's id is new with every command, or the engine would mix them up
+        if (
+            ref in self.open_requests
+        ):  # a client's id is new with every command, or the engine would mix them up
             new.client.post(new.client.fail, new.call, "the id is in use")
             _close(new)
             return
-        self.open[ref] = new
-        if self.door is None:
+        self.open_requests[ref] = new
+        if self.admission is None:
             self.admit(ref, new, group, key, told, tenant)
         else:
             try:
-                self.door.take(ref, new, group, key, told, tenant)
+                self.admission.take(ref, new, group, key, told, tenant)
             except Exception:
-                if self.open.get(ref) is new and new.handle is None and not new.over:
-                    del self.open[ref]  # a mistake at the door costs this command alone
+                if self.open_requests.get(ref) is new and new.handle is None and not new.over:
+                    del self.open_requests[ref]  # a mistake at the door costs this command alone
                     new.client.post(new.client.fail, new.call, "failed")
                     _close(new)
                 raise
@@ -56,7 +62,7 @@
     def admit(
         self,
         ref: str,
-        new: Open,
+        new: OpenRequest,
         group: int,
         key: str,
         told: tuple[float, float],
@@ -65,121 +71,123 @@
     ) -> None:
         """Hands a command to the decisions. wait: the seconds after which it may come back, where the door
         says that there is no room for it now."""
-        profile = self.deployment.profiles[new.profile]
+        profile = self.settings.class_index[new.profile]
         deadline = new.deadline if self.stop_by is None else min(new.deadline, self.stop_by)
         left = deadline - clock()
         try:
             if wait is None and new.tray is not None:
                 wait = new.tray.wait
-            new.handle = self.gateway.take(ref, profile, group, key, told, tenant, new.came, left, wait)
+            new.handle = self.scheduler.submit(ref, profile, group, key, told, tenant, new.came, left, wait)
         finally:
             if new.handle is None:  # a mistake in the module costs this command alone
-                del self.open[ref]
+                del self.open_requests[ref]
                 new.client.post(new.client.fail, new.call, "failed")
                 _close(new)
         self._forget(ref)
 
-    def client_left(self, command: Open) -> None:
+    def on_client_disconnect(self, command: OpenRequest) -> None:
         """Its client has closed or cancelled. Goes before new commands, so the command itself may still be
         in the mailbox; another of the same id may be open."""
         command.client.post(command.client.forget, command)
-        if self.open.get(command.ref) is not command or command.over:
+        if self.open_requests.get(command.ref) is not command or command.over:
             return
-        if self.door is not None and self.door.left(command.ref):
+        if self.admission is not None and self.admission.left(command.ref):
             command.over = True
-            del self.open[command.ref]
+            del self.open_requests[command.ref]
             _close(command)
         elif command.handle is not None:
             command.over = True
-            command.handle.client_left()
+            command.handle.on_client_disconnect()
             self._forget(command.ref)
 
-    def answered(self, ref: str, send_no: int, good: Good) -> None:
-        command = self.open[ref]
+    def on_answer(self, ref: str, send_no: int, good: AttemptResult) -> None:
+        command = self.open_requests[ref]
         if not command.over:
             command.over = True
             command.client.post(command.client.answer, command.call, bytes(good.body), good.told)
         elif command.tray is not None:
             command.tray.unwanted(good.told)
         if command.handle is not None:
-            command.handle.answered(send_no, good.need, good.report)
-        if self.door is not None:
-            self.door.answered(ref, good.need)
+            command.handle.on_answer(send_no, good.need, good.report)
+        if self.admission is not None:
+            self.admission.answered(ref, good.need)
         self._forget(ref)
 
-    def ended(self, ref: str, send_no: int, how: Ending, report: LoadReport | None) -> None:
-        command = self.open[ref]
+    def on_attempt_end(self, ref: str, send_no: int, how: AttemptOutcome, report: LoadReport | None) -> None:
+        command = self.open_requests[ref]
         if command.handle is not None:
-            command.handle.ended(send_no, how, command.over, report)
+            command.handle.on_attempt_end(send_no, how, command.over, report)
         self._forget(ref)
 
-    def not_kept(self, ref: str, send_no: int, wait: float) -> None:
+    def on_result_not_stored(self, ref: str, send_no: int, wait: float) -> None:
         """The result ran and has no place: that ends the command, since the next one would have none
         either."""
-        command = self.open[ref]
+        command = self.open_requests[ref]
         if command.handle is not None:
             if not command.over:
-                self.gateway.give_up(command.handle, wait)
-            command.handle.ended(send_no, Ending.CANCELLED, True, None)
+                self.scheduler.give_up(command.handle, wait)
+            command.handle.on_attempt_end(send_no, AttemptOutcome.CANCELLED, True, None)
         self._forget(ref)
 
-    def reading(self, ref: str, send_no: int) -> None:
-        command = self.open.get(ref)
+    def on_result_reading(self, ref: str, send_no: int) -> None:
+        command = self.open_requests.get(ref)
         if command is not None and command.handle is not None:
-            command.handle.reading(send_no)
+            command.handle.on_result_reading(send_no)
 
-    def still_out(self, ref: str, send_no: int) -> None:
-        command = self.open.get(ref)
+    def on_attempt_alive(self, ref: str, send_no: int) -> None:
+        command = self.open_requests.get(ref)
         if command is not None and command.handle is not None:
-            command.handle.progressed(send_no, None)
-
-    def listed(self, engines: list[tuple[EngineEntry, tuple[str, int]]], whole: bool) -> None:
-        left = {entry.be: address for entry, address in engines if not entry.gone}
-        gone = {entry.be for entry, _ in engines} | (self.engines.keys() if whole else set())
-        for be in [be for be in gone & self.engines.keys() if left.get(be) != self.engines[be].address]:
-            engine = self.engines.pop(be)  # lives on for as long as a send there does
+            command.handle.on_progress(send_no, None)
+
+    def update_engines(self, engines: list[tuple[EngineEntry, tuple[str, int]]], whole: bool) -> None:
+        left = {entry.engine_id: address for entry, address in engines if not entry.is_gone}
+        gone = {entry.engine_id for entry, _ in engines} | (self.engine_clients.keys() if whole else set())
+        for be in [
+            be for be in gone & self.engine_clients.keys() if left.get(be) != self.engine_clients[be].address
+        ]:
+            engine = self.engine_clients.pop(be)  # lives on for as long as a send there does
             engine.post(engine.retire)
         for entry, address in engines:
-            if entry.be in left:
-                if entry.be not in self.engines:
-                    self.engines[entry.be] = self.make_place(self, entry.name, address)
-                engine = self.engines[entry.be]
-                engine.post(engine.listed, entry.up, entry.started)
-        self.gateway.listed([entry for entry, _ in engines], whole)
-        if self.gateway.allotment is not None:
-            self.gateway.allotment.listed()
-        if self.door is not None:
-            self.door.listed()
-
-    def short_of_descriptors(self, engine: Place) -> None:
-        for other in self.engines.values():
+            if entry.engine_id in left:
+                if entry.engine_id not in self.engine_clients:
+                    self.engine_clients[entry.engine_id] = self.make_engine_client(self, entry.name, address)
+                engine = self.engine_clients[entry.engine_id]
+                engine.post(engine.listed, entry.is_up, entry.started_at)
+        self.scheduler.update_engines([entry for entry, _ in engines], whole)
+        if self.scheduler.shared_budgets is not None:
+            self.scheduler.shared_budgets.listed()
+        if self.admission is not None:
+            self.admission.listed()
+
+    def short_of_descriptors(self, engine: EnginePort) -> None:
+        for other in self.engine_clients.values():
             if other is not engine:
                 other.post(other.spare, engine)
 
     def stop(self, by: float) -> None:
         """Everything gets its final answer by then; what still comes is taken for no longer."""
         self.stop_by = by
-        self.due = min(self.due or by, by)
+        self.wake_at = min(self.wake_at or by, by)
 
-    def rung(self) -> None:
+    def on_timer(self) -> None:
         if self.stop_by is not None and clock() >= self.stop_by:
-            if self.door is not None:
-                self.door.stop()
-            for command in list(self.open.values()):
+            if self.admission is not None:
+                self.admission.stop()
+            for command in list(self.open_requests.values()):
                 if not command.over and command.handle is not None:
-                    self.gateway.give_up(command.handle)
+                    self.scheduler.give_up(command.handle)
         else:
-            self.gateway.awake()
+            self.scheduler.on_timer()
             if self.stop_by is not None:
-                self.due = min(self.due or self.stop_by, self.stop_by)
+                self.wake_at = min(self.wake_at or self.stop_by, self.stop_by)
 
     def _forget(self, ref: str) -> None:
-        command = self.open.get(ref)
+        command = self.open_requests.get(ref)
         if command is not None and command.handle is not None and command.handle.settled:
-            del self.open[ref]
+            del self.open_requests[ref]
             _close(command)
-            if self.door is not None:
-                self.door.over(ref, False)
+            if self.admission is not None:
+                self.admission.over(ref, False)
 
     # What the gateway asks for.
 
@@ -187,29 +195,31 @@
         return clock()
 
     def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        command, engine = self.open[ref], self.engines[be]
-        send = Send(ref, len(command.engines), command.profile, command.statement, command.memory, until)
+        command, engine = self.open_requests[ref], self.engine_clients[be]
+        send = AttemptCall(
+            ref, len(command.engines), command.profile, command.statement, command.memory, until
+        )
         send.tray, send.begin_by, send.wanted = command.tray, begin_by, command.wanted
         command.engines.append(engine)
         engine.post(engine.send, send)
 
     def cancel(self, ref: str, send_no: int) -> None:
-        engine = self.open[ref].engines[send_no]
+        engine = self.open_requests[ref].engines[send_no]
         engine.post(engine.cancel, ref, send_no)
 
     def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        self.open[ref].memory = round(memory)  # there is no field for a priority
+        self.open_requests[ref].memory = round(memory)  # there is no field for a priority
 
     def shed(self, ref: str, come_back: float) -> None:
-        command = self.open[ref]
+        command = self.open_requests[ref]
         command.over = True
         command.client.post(command.client.shed, command.call, come_back)
-        if self.door is not None:
-            self.post(self.door.over, ref, True)
+        if self.admission is not None:
+            self.post(self.admission.over, ref, True)
         self.post(self._forget, ref)  # the module closes it after this
 
     def fail(self, ref: str) -> None:
-        command = self.open[ref]
+        command = self.open_requests[ref]
         command.over = True
         command.client.post(command.client.fail, command.call, "failed")
         self.post(self._forget, ref)
@@ -221,12 +231,12 @@
         self.tell(data)
 
     def wake(self, at: float) -> None:
-        self.due = min(self.due or at, at)
+        self.wake_at = min(self.wake_at or at, at)
 
     def log(self, text: str) -> None:
         LOG.info("decided", what=text)
 
 
-def _close(command: Open) -> None:
+def _close(command: OpenRequest) -> None:
     if command.tray is not None:
         command.tray.close()
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -19,15 +19,15 @@
 from gevent.event import AsyncResult
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.model import Ending, LoadReport
-from marbleworks.net.actor import LOG, Actor, clock, start
-from marbleworks.net.messages import Good, Send
+from marbleworks.model import AttemptOutcome, LoadReport
+from marbleworks.net.actor import LOG, Actor, clock, spawn
+from marbleworks.net.messages import AttemptCall, AttemptResult
 from marbleworks.net.stream import Ended, Reason, Stream, connect
-from marbleworks.ports import NotKept, Sheet
-from marbleworks.settings import Deployment
+from marbleworks.ports import ResultNotStoredError, ResultWriter
+from marbleworks.settings import Settings
 
 if TYPE_CHECKING:
-    from marbleworks.net.dispatcher import Desk
+    from marbleworks.net.dispatcher import Dispatcher
 
 MOST_RESULT = 48_000  # bytes of a whole result, by the protocol
 MOST_PAGE = 6_000  # and of a page
@@ -42,7 +42,7 @@
 CONTROL = re.compile(rb"[\x00-\x08\x0b-\x1f\x7f]")
 
 
-class CalledOff(Exception):
+class AttemptCancelledError(Exception):
     """Thrown into the greenlet of a send that is not to go on."""
 
     def __init__(self, reason: Reason) -> None:
@@ -50,10 +50,10 @@
         self.reason = reason
 
 
-class Withheld(Exception):
+class AttemptWithheldError(Exception):
     """A send whose first byte must not leave after all."""
 
-    def __init__(self, how: Ending) -> None:
+    def __init__(self, how: AttemptOutcome) -> None:
         super().__init__(how.value)
         self.how = how
 
@@ -160,37 +160,44 @@
         self.parser = None  # each refers to the other, and would stay until garbage is looked for
 
 
-def places(deployment: Deployment, share: BoundedSemaphore) -> Callable[[Desk, str, tuple[str, int]], Engine]:
+def engine_client_factory(
+    deployment: Settings, share: BoundedSemaphore
+) -> Callable[[Dispatcher, str, tuple[str, int]], EngineClient]:
     """What makes an actor for an engine. share: descriptors that all of them may hold together."""
-    return lambda desk, name, address: Engine(desk, name, address, deployment, share)
+    return lambda desk, name, address: EngineClient(desk, name, address, deployment, share)
 
 
-class Engine(Actor):
+class EngineClient(Actor):
     def __init__(
-        self, desk: Desk, name: str, address: tuple[str, int], deployment: Deployment, share: BoundedSemaphore
+        self,
+        desk: Dispatcher,
+        name: str,
+        address: tuple[str, int],
+        deployment: Settings,
+        share: BoundedSemaphore,
     ) -> None:
         super().__init__()
         self.desk, self.name, self.address, self.share = desk, name, address, share
         self.deployment, self.up, self.started = deployment, True, 0.0
-        self.connect_time = deployment.rules.connect_time
+        self.connect_time = deployment.rules.connect_timeout_s
         self.retired = False  # gone from the list: ends with its last send
         self.idle: list[Connection] = []  # the last used is last
         self.connections = 0  # those there are, idle or not
-        self.owed: Engine | None = None  # the one that gets the descriptor of the next that is free
+        self.owed: EngineClient | None = None  # the one that gets the descriptor of the next that is free
         self.waiting: deque[AsyncResult[Connection | None]] = deque()
-        self.sends: dict[tuple[str, int], Send] = {}
+        self.sends: dict[tuple[str, int], AttemptCall] = {}
 
     # What the desk asks.
 
-    def send(self, send: Send) -> None:
+    def send(self, send: AttemptCall) -> None:
         self.sends[send.ref, send.no] = send
-        send.greenlet = start(self._carry, send)
+        send.greenlet = spawn(self._carry, send)
 
     def cancel(self, ref: str, no: int) -> None:
         send = self.sends.get((ref, no))
         if send is not None and not send.called_off:
             send.called_off = True
-            start(self._call_off, send)
+            spawn(self._call_off, send)
 
     def listed(self, up: bool, started: float) -> None:
         """Of its process: nothing goes out once it drains, and a new one has nothing of the old."""
@@ -211,7 +218,7 @@
             self._close_idle(Reason.REPLACED)
             self.post(self.finish)
 
-    def spare(self, other: Engine) -> None:
+    def spare(self, other: EngineClient) -> None:
         """Descriptors are short, and the other engine has none: one of ours goes, now or when it is free."""
         if self.idle:
             self._end(self.idle.pop(0), Reason.NO_ROOM)
@@ -223,79 +230,87 @@
         while self.waiting and self.share.acquire(blocking=False):
             self.waiting.popleft().set(None)
 
-    def rung(self) -> None:
+    def on_timer(self) -> None:
         """Ends well before the engine would what has not been used for long."""
-        old = clock() - self.deployment.idle_time / 2
+        old = clock() - self.deployment.idle_timeout_s / 2
         while self.idle and self.idle[0].idle_since <= old:
             self._end(self.idle.pop(0), Reason.IDLE)
-        self.due = self.idle[0].idle_since + self.deployment.idle_time / 2 if self.idle else None
+        self.wake_at = self.idle[0].idle_since + self.deployment.idle_timeout_s / 2 if self.idle else None
 
     # The life of a send.
 
-    def _carry(self, send: Send) -> None:
-        how, report, result, not_kept = Ending.UNUSED, None, None, None
+    def _carry(self, send: AttemptCall) -> None:
+        how, report, result, not_kept = AttemptOutcome.UNSENT, None, None, None
         send.begun = True
         try:
             if send.stopped is not None:
-                raise CalledOff(send.stopped)
+                raise AttemptCancelledError(send.stopped)
             result = self._result(send)
-            how, report = result if isinstance(result, tuple) else (Ending.ERRED, None)
-        except CalledOff as off:
+            how, report = result if isinstance(result, tuple) else (AttemptOutcome.ERROR, None)
+        except AttemptCancelledError as off:
             if off.reason is Reason.REPLACED:
-                how = Ending.CUT_OFF if send.posted else Ending.WITHDRAWN
+                how = AttemptOutcome.CONNECTION_LOST if send.posted else AttemptOutcome.WITHHELD
             else:
-                how = Ending.CANCELLED if send.posted else Ending.UNUSED
-        except Withheld as err:
+                how = AttemptOutcome.CANCELLED if send.posted else AttemptOutcome.UNSENT
+        except AttemptWithheldError as err:
             how = err.how
-        except NotKept as err:
-            not_kept = err.wait
+        except ResultNotStoredError as err:
+            not_kept = err.retry_after_s
         except Ended as err:
             if send.posted:
-                how = Ending.SILENT if err.reason is Reason.SILENT else Ending.CUT_OFF
-                start(self._give_up, send)
+                how = (
+                    AttemptOutcome.TIMED_OUT
+                    if err.reason is Reason.SILENT
+                    else AttemptOutcome.CONNECTION_LOST
+                )
+                spawn(self._give_up, send)
             elif clock() >= min(send.begin_by, send.until):
-                how = Ending.WITHDRAWN if clock() < send.until else Ending.UNUSED
+                how = AttemptOutcome.WITHHELD if clock() < send.until else AttemptOutcome.UNSENT
             elif err.reason is not Reason.NO_ROOM:
-                how = Ending.REFUSED if err.reason is Reason.REFUSED else Ending.NOT_CONNECTED
+                how = (
+                    AttemptOutcome.CONNECTION_REFUSED
+                    if err.reason is Reason.REFUSED
+                    else AttemptOutcome.CONNECT_TIMEOUT
+                )
         except Exception:
-            how = Ending.ERRED if send.posted else Ending.UNUSED
+            how = AttemptOutcome.ERROR if send.posted else AttemptOutcome.UNSENT
             raise
         finally:
             self.sends.pop((send.ref, send.no), None)
             self._rest()
-            if isinstance(result, Good):
-                self.desk.post(self.desk.answered, send.ref, send.no, result)
+            if isinstance(result, AttemptResult):
+                self.desk.post(self.desk.on_answer, send.ref, send.no, result)
             elif not_kept is not None:
-                self.desk.post(self.desk.not_kept, send.ref, send.no, not_kept)
+                self.desk.post(self.desk.on_result_not_stored, send.ref, send.no, not_kept)
             else:
-                how = Ending.CANCELLED if send.called_off and send.posted else how
-                self.desk.post(self.desk.ended, send.ref, send.no, how, report)
+                how = AttemptOutcome.CANCELLED if send.called_off and send.posted else how
+                self.desk.post(self.desk.on_attempt_end, send.ref, send.no, how, report)
 
-    def _result(self, send: Send) -> Good | tuple[Ending, LoadReport | None]:
+    def _result(self, send: AttemptCall) -> AttemptResult | tuple[AttemptOutcome, LoadReport | None]:
         answer = self._post(send)
         while answer.status == 202:
-            self.desk.post(self.desk.still_out, send.ref, send.no)
+            self.desk.post(self.desk.on_attempt_alive, send.ref, send.no)
             answer = self._get(send, 0)
         report = self._report(answer)
         if answer.never_ran and answer.status in (503, 504):
-            return (Ending.TURNED_AWAY if answer.status == 503 else Ending.UNUSED), report
+            return (AttemptOutcome.REJECTED if answer.status == 503 else AttemptOutcome.UNSENT), report
         if answer.status != 200:
-            return Ending.ERRED, report
-        good = Good(answer.body, _need(answer), report)
+            return AttemptOutcome.ERROR, report
+        good = AttemptResult(answer.body, _need(answer), report)
         if send.tray is not None:
             return self._kept(send, good, answer.sheets, send.tray.sheet())
         for number in range(1, answer.sheets):
             page = self._get(send, number)
             if page.status != 200:
-                return Ending.ERRED, report
+                return AttemptOutcome.ERROR, report
             good.body += page.body
             if len(good.body) > MOST_RESULT:
-                return Ending.ERRED, report
+                return AttemptOutcome.ERROR, report
         return good
 
     def _kept(
-        self, send: Send, good: Good, pages: int, sheet: Sheet
-    ) -> Good | tuple[Ending, LoadReport | None]:
+        self, send: AttemptCall, good: AttemptResult, pages: int, sheet: ResultWriter
+    ) -> AttemptResult | tuple[AttemptOutcome, LoadReport | None]:
         """Reads a result of any size into its sheet, and frees the engine as soon as it has said all."""
         told_at = 0.0
         try:
@@ -303,23 +318,23 @@
             for number in range(1, pages):
                 if clock() > told_at + NEWS_WITHIN:
                     told_at = clock()
-                    self.desk.post(self.desk.reading, send.ref, send.no)
+                    self.desk.post(self.desk.on_result_reading, send.ref, send.no)
                 page = self._get(send, number)
                 if page.status != 200:
-                    return Ending.ERRED, good.report
+                    return AttemptOutcome.ERROR, good.report
                 sheet.add(page.body, send.until)
-            self.desk.post(self.desk.reading, send.ref, send.no)
-            start(self._give_up, send)
+            self.desk.post(self.desk.on_result_reading, send.ref, send.no)
+            spawn(self._give_up, send)
             first, good.told = sheet.finish(send.until)
-        except NotKept:
-            start(self._give_up, send)
+        except ResultNotStoredError:
+            spawn(self._give_up, send)
             raise
         finally:
             sheet.drop()  # unless it is whole
         good.body = bytearray(first)
         return good
 
-    def _post(self, send: Send) -> Answer:
+    def _post(self, send: AttemptCall) -> Answer:
         tries, withheld = TRIES, None
         while True:
             conn = self._connection(send.ref, min(send.until, send.begin_by), self.connect_time)
@@ -334,27 +349,27 @@
                 if not send.posted and (err.reason is Reason.SILENT or tries <= 0):
                     raise
             if withheld is not None:
-                raise Withheld(withheld)
+                raise AttemptWithheldError(withheld)
             if send.posted:  # a command belongs to no connection: its news may come on another
                 return self._get(send, 0)
             tries -= 1  # else the connection had ended, and the call never came whole
 
-    def _withheld(self, send: Send) -> Ending | None:
+    def _withheld(self, send: AttemptCall) -> AttemptOutcome | None:
         """Asked right before the first byte: whether the send must not begin after all. Guards against what
         came while it waited for mail, a greenlet, a descriptor, a connection or another try."""
         now = clock()
         if send.called_off or not send.wanted() or now >= send.until - MOMENT:
-            return Ending.UNUSED  # nobody has a use for another try
-        return None if self.up and now < send.begin_by else Ending.WITHDRAWN
+            return AttemptOutcome.UNSENT  # nobody has a use for another try
+        return None if self.up and now < send.begin_by else AttemptOutcome.WITHHELD
 
-    def _start(self, send: Send) -> bytes:
+    def _start(self, send: AttemptCall) -> bytes:
         fields = f"X-Hop-Id: {send.ref}\r\nX-Sort: {send.profile}\r\n"
         fields += f"X-Budget: {int((send.until - clock()) * 1000)}\r\n"
         if send.memory:
             fields += f"X-Allot: {send.memory}\r\n"
         return self._request("POST", "/o", fields, send.statement)
 
-    def _get(self, send: Send, page: int) -> Answer:
+    def _get(self, send: AttemptCall, page: int) -> Answer:
         """Asks; again on another connection where the answer is spoilt, cut off or late, until the query must
         have ended for want of questions."""
         request, since, tries = self._request("GET", f"/o/{send.ref}/{page}"), clock(), TRIES
@@ -392,7 +407,7 @@
         try:
             yield
         except BaseException as err:
-            self._end(conn, err.reason if isinstance(err, Ended | CalledOff) else Reason.FAULT)
+            self._end(conn, err.reason if isinstance(err, Ended | AttemptCancelledError) else Reason.FAULT)
             raise
         conn.idle_since = clock()
         if self.owed is not None:
@@ -407,20 +422,20 @@
         else:
             self._end(conn, Reason.IDLE)
 
-    def _give_up(self, send: Send) -> None:
+    def _give_up(self, send: AttemptCall) -> None:
         with suppress(Ended):  # the engine is silent or gone: nothing more can be done for the command there
             self._call(send.ref, self._request("DELETE", f"/o/{send.ref}"), clock() + self.connect_time)
 
-    def _call_off(self, send: Send) -> None:
+    def _call_off(self, send: AttemptCall) -> None:
         """Gives the command up at the engine, then ends whatever still waits for news of it."""
         if send.posted:
             self._give_up(send)
             send.greenlet.join(self.connect_time)
         self._stop(send, Reason.CALLED_OFF)
 
-    def _stop(self, send: Send, why: Reason) -> None:
+    def _stop(self, send: AttemptCall, why: Reason) -> None:
         if send.begun:
-            send.greenlet.kill(CalledOff(why), block=False)
+            send.greenlet.kill(AttemptCancelledError(why), block=False)
         else:  # killed before its first step, a greenlet would never tell the desk
             send.stopped = why
 
@@ -432,7 +447,7 @@
         while True:
             if self.idle:
                 conn = self.idle.pop()
-                conn.keep = clock() - conn.idle_since < self.deployment.idle_time / 2
+                conn.keep = clock() - conn.idle_since < self.deployment.idle_timeout_s / 2
             elif self.share.acquire(blocking=False):
                 break
             else:
@@ -483,7 +498,7 @@
             self.share.release()
         else:
             self.idle.append(conn)
-            self.due = self.due or conn.idle_since + self.deployment.idle_time / 2
+            self.wake_at = self.wake_at or conn.idle_since + self.deployment.idle_timeout_s / 2
 
     def _request(self, verb: str, path: str, fields: str = "", body: bytes = b"") -> bytes:
         length = f"Content-Length: {len(body)}\r\n" if verb == "POST" else ""
@@ -493,7 +508,7 @@
     def _report(self, answer: Answer) -> LoadReport | None:
         pairs = (pair.split(":", 1) for pair in answer.fields.get("x-report", "").split(";") if ":" in pair)
         try:
-            return self.deployment.report({name.strip(): value for name, value in pairs})
+            return self.deployment.load_report({name.strip(): value for name, value in pairs})
         except ValueError:
             LOG.warning("unreadable report", engine=self.name)
             return None
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -15,11 +15,11 @@
 
 from marbleworks.model import LoadReport
 from marbleworks.net.stream import Reason, Stream
-from marbleworks.ports import Tray
-from marbleworks.scheduling.scheduler import Command
+from marbleworks.ports import ResultReservation
+from marbleworks.scheduling.scheduler import RequestState
 
 
-class Asker(Protocol):
+class ClientPort(Protocol):
     """A client's connection, as the desk answers it. Each is posted."""
 
     stream: Stream
@@ -32,17 +32,17 @@
 
     def fail(self, call: int, why: str) -> None: ...
 
-    def forget(self, command: Open) -> None: ...
+    def forget(self, command: OpenRequest) -> None: ...
 
 
-class Place(Protocol):
+class EnginePort(Protocol):
     """An engine's connections, as the desk uses them. Each is posted."""
 
     address: tuple[str, int]
 
     def post(self, what: Callable[..., None], *args: Any) -> None: ...
 
-    def send(self, send: Send) -> None: ...
+    def send(self, send: AttemptCall) -> None: ...
 
     def cancel(self, ref: str, no: int) -> None: ...
 
@@ -56,22 +56,22 @@
 
 
 @dataclass(eq=False)
-class Open:
+class OpenRequest:
     """A command on its way; over once it has its final answer or its client has left."""
 
     ref: str
-    client: Asker
+    client: ClientPort
     call: int  # the client's number for it
     profile: str
     statement: bytes
     came: float
     deadline: float
-    handle: Command | None = None
+    handle: RequestState | None = None
     memory: int = 0
-    engines: list[Place] = field(default_factory=list)  # of each send
+    engines: list[EnginePort] = field(default_factory=list)  # of each send
     over: bool = False
     left: bool = False  # a latch that its client alone closes, before any mail of it is read
-    tray: Tray | None = None  # room for its result, where that is to be kept
+    tray: ResultReservation | None = None  # room for its result, where that is to be kept
 
     def wanted(self) -> bool:
         """Whether anyone still waits for it, also where the end of the connection is not read yet."""
@@ -79,7 +79,7 @@
 
 
 @dataclass(eq=False)
-class Send:
+class AttemptCall:
     """One send and what it needs; the greenlet is the one that carries it."""
 
     ref: str
@@ -88,7 +88,7 @@
     statement: bytes
     memory: int
     until: float
-    tray: Tray | None = None  # where its result goes page by page; None: it is given on whole
+    tray: ResultReservation | None = None  # where its result goes page by page; None: it is given on whole
     begin_by: float = math.inf  # the latest moment for its first byte, by the decisions
     wanted: Callable[[], bool] = lambda: True  # asked right before that byte
     posted: float = 0.0  # when the call was whole on its connection; 0: not yet
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class Good:
+class AttemptResult:
     """A good end: the whole result, the work and memory it took where told, and the engine's load."""
 
     body: bytearray
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -20,14 +20,14 @@
 from gevent.lock import BoundedSemaphore
 
 from marbleworks.net.actor import LOG, clock
-from marbleworks.net.client_listener import Front
-from marbleworks.net.datagrams import NEWS, Peers
-from marbleworks.net.discovery import Directory
-from marbleworks.net.dispatcher import Desk
-from marbleworks.net.engine_client import places
-from marbleworks.ports import Shelf
-from marbleworks.settings import Deployment, DeploymentError
-from marbleworks.startup_signals import Early
+from marbleworks.net.client_listener import ClientListener
+from marbleworks.net.datagrams import LOAD_UPDATE, DatagramTransport
+from marbleworks.net.discovery import EngineDiscovery
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.net.engine_client import engine_client_factory
+from marbleworks.ports import ResultStore
+from marbleworks.settings import Settings, SettingsError
+from marbleworks.startup_signals import StartupSignals
 
 OWN_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files opened in passing
 STILL_COMES = 0.6  # seconds after SIGTERM in which clients may still come, by the protocol
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Station:
+class RouterConfig:
     """Where one router stands: its addresses, its limits and the deployment it serves."""
 
     name: str
@@ -48,10 +48,10 @@
     nameserver: tuple[str, int]
     sockets: int
     known: Any
-    deployment: Deployment
+    settings: Settings
 
     @classmethod
-    def read(cls, path: str) -> Station:
+    def read(cls, path: str) -> RouterConfig:
         try:
             raw = json.loads(Path(path).read_text("utf-8"))
             return cls(
@@ -64,14 +64,14 @@
                 nameserver=_address(raw["nameserver"]),
                 sockets=int(raw["limits"]["sockets"]),
                 known=raw["known"],
-                deployment=Deployment(raw["settings"]),
+                settings=Settings(raw["settings"]),
             )
         except OSError as err:
-            raise DeploymentError(f"{path}: {err.strerror}") from None
+            raise SettingsError(f"{path}: {err.strerror}") from None
         except KeyError as err:
-            raise DeploymentError(f"{path}: {err.args[0]} is missing") from None
+            raise SettingsError(f"{path}: {err.args[0]} is missing") from None
         except (ValueError, TypeError, AttributeError) as err:
-            raise DeploymentError(f"{path}: {err}") from None
+            raise SettingsError(f"{path}: {err}") from None
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -81,25 +81,25 @@
     return host, int(port)
 
 
-def _reload(path: str, directory: Directory, fittings: Fittings | None) -> None:
+def _reload(path: str, directory: EngineDiscovery, fittings: RouterSubsystems | None) -> None:
     """At SIGHUP: of the file, only the address of the name server may change while a router runs."""
     try:
-        station = Station.read(path)
+        station = RouterConfig.read(path)
         directory.post(directory.move, station.nameserver)
         LOG.info("reloaded", nameserver=":".join(map(str, station.nameserver)))
-    except DeploymentError as err:
+    except SettingsError as err:
         LOG.warning("not reloaded", error=str(err))
     if fittings is not None:
         fittings.reload()
 
 
-class Fittings(Protocol):
+class RouterSubsystems(Protocol):
     """The subsystems of the operator's file, of which nothing else here knows anything."""
 
-    shelf: Shelf | None
+    shelf: ResultStore | None
     about: Callable[[str], dict[str, Any]] | None  # what `health` tells of a subsystem by its name
 
-    def join(self, desk: Desk, deployment: Deployment, peers: Peers, name: str) -> None:
+    def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
         """Before anyone is listened to."""
 
     def stopping(self) -> None:
@@ -110,7 +110,12 @@
     def close(self) -> None: ...
 
 
-def serve(station: Station, path: str, fittings: Fittings | None = None, early: Early | None = None) -> None:
+def serve(
+    station: RouterConfig,
+    path: str,
+    fittings: RouterSubsystems | None = None,
+    early: StartupSignals | None = None,
+) -> None:
     """Runs until SIGTERM and until all that was taken is answered; path is read again at SIGHUP. early: the
     signals that came before this."""
     structlog.configure(
@@ -126,24 +131,28 @@
     third = station.sockets // 3  # which is what the usual clients hold at most; others may come besides
     clients = BoundedSemaphore(third + OWN_DESCRIPTORS // 2)
     engines = BoundedSemaphore(station.sockets - third - 2 * OWN_DESCRIPTORS)
-    deployment, stop = station.deployment, gevent.event.Event()
-    longest = min(max(deployment.client_timeouts), LONGEST_STOP)
+    deployment, stop = station.settings, gevent.event.Event()
+    longest = min(max(deployment.client_timeouts_s), LONGEST_STOP)
     gevent.signal_handler(signal.SIGTERM, stop.set)
     gevent.signal_handler(signal.SIGINT, stop.set)
-    peers = Peers(station.peer_listen, station.peers, station.everyone, deployment.fleet.me)
-    tell = peers.register(NEWS, lambda peer, data: desk.post(desk.gateway.heard, peer, data))
-    desk = Desk(deployment, station.seed, places(deployment, engines), tell)
+    peers = DatagramTransport(
+        station.peer_listen, station.peers, station.everyone, deployment.fleet.router_index
+    )
+    tell = peers.register(
+        LOAD_UPDATE, lambda peer, data: desk.post(desk.scheduler.receive_load_update, peer, data)
+    )
+    desk = Dispatcher(deployment, station.seed, engine_client_factory(deployment, engines), tell)
     peers.listen()
-    directory = Directory(desk, deployment, station.known, station.nameserver)
+    directory = EngineDiscovery(desk, deployment, station.known, station.nameserver)
     gevent.signal_handler(signal.SIGHUP, _reload, path, directory, fittings)
-    if early is not None and early.reload:
+    if early is not None and early.reload_requested:
         _reload(path, directory, None)
-    if early is not None and early.stop:
+    if early is not None and early.stop_requested:
         LOG.info("stopped", name=station.name, after=0.0)  # before anyone was listened to
         return
     if fittings is not None:
         fittings.join(desk, deployment, peers, station.name)
-    front = Front(station.listen, desk, deployment, clients)
+    front = ClientListener(station.listen, desk, deployment, clients)
     if fittings is not None:
         front.shelf, front.about = fittings.shelf, fittings.about
     gc.collect()
--- a/marbleworks/operator_config/document.py
+++ b/marbleworks/operator_config/document.py
@@ -10,19 +10,19 @@
 from pathlib import Path
 from typing import Any
 
-from marbleworks.operator_config.sexpr import Form, Misread, read_forms
+from marbleworks.operator_config.sexpr import ConfigSyntaxError, Form, read_forms
 from marbleworks.operator_config.value_types import Section
 
 Values = dict[str, Any]
 Sections = Mapping[str, Section]
 
 
-class OperatorError(Exception):
+class OperatorConfigError(Exception):
     """One plain line: file, line, column and what was expected."""
 
 
 @dataclass(frozen=True)
-class Book:
+class OperatorConfig:
     """The sections that a file names, each with a value for every setting, the defaults filled in."""
 
     among: Sections
@@ -30,18 +30,18 @@
     sections: dict[str, Values]
 
     @classmethod
-    def read(cls, among: Sections, path: str) -> Book:
+    def read(cls, among: Sections, path: str) -> OperatorConfig:
         """Reads and checks a file; raises OperatorError."""
         try:
             text = Path(path).read_text("utf-8")
         except OSError as err:
-            raise OperatorError(f"{path}: {err.strerror}") from None
+            raise OperatorConfigError(f"{path}: {err.strerror}") from None
         except UnicodeDecodeError:
-            raise OperatorError(f"{path}: expected UTF-8") from None
+            raise OperatorConfigError(f"{path}: expected UTF-8") from None
         try:
             return cls(among, path, sections_of(among, text))
-        except Misread as err:
-            raise OperatorError(f"{path}:{err}") from None
+        except ConfigSyntaxError as err:
+            raise OperatorConfigError(f"{path}:{err}") from None
 
     def has(self, name: str) -> bool:
         return name in self.sections
@@ -60,11 +60,11 @@
     for form in read_forms(text):
         section = among.get(form.name)
         if section is None:
-            raise Misread(
+            raise ConfigSyntaxError(
                 form.line, form.column, f"expected a section of {', '.join(among)}, found '{form.name}'"
             )
         if form.name in found:
-            raise Misread(form.line, form.column, f"expected section '{form.name}' once")
+            raise ConfigSyntaxError(form.line, form.column, f"expected section '{form.name}' once")
         found[form.name] = _values(section, form)
     return found
 
@@ -73,29 +73,35 @@
     values: Values = {}
     for part in form.parts:
         if not isinstance(part, Form):
-            raise Misread(part.line, part.column, f"expected a setting in parentheses, found '{part.text}'")
+            raise ConfigSyntaxError(
+                part.line, part.column, f"expected a setting in parentheses, found '{part.text}'"
+            )
         setting = section[part.name]
         if setting is None:
             names = ", ".join(s.name for s in section.settings)
-            raise Misread(part.line, part.column, f"expected a setting of {names}, found '{part.name}'")
+            raise ConfigSyntaxError(
+                part.line, part.column, f"expected a setting of {names}, found '{part.name}'"
+            )
         of, value = setting.read(part)
         if setting.by:
             if of in values.setdefault(part.name, {}):
-                raise Misread(part.line, part.column, f"expected '{part.name}' of \"{of}\" once")
+                raise ConfigSyntaxError(part.line, part.column, f"expected '{part.name}' of \"{of}\" once")
             values[part.name][of] = value
         elif part.name in values:
-            raise Misread(part.line, part.column, f"expected '{part.name}' once")
+            raise ConfigSyntaxError(part.line, part.column, f"expected '{part.name}' once")
         else:
             values[part.name] = value
     for setting in section.settings:
         if setting.name not in values:
             if setting.default is None and not setting.by:
-                raise Misread(form.line, form.column, f"expected '{setting.name}' in section '{form.name}'")
+                raise ConfigSyntaxError(
+                    form.line, form.column, f"expected '{setting.name}' in section '{form.name}'"
+                )
             values[setting.name] = {} if setting.by else setting.default
     return values
 
 
-def changes(old: Book, new: Book) -> tuple[dict[str, Values], list[str]]:
+def changes(old: OperatorConfig, new: OperatorConfig) -> tuple[dict[str, Values], list[str]]:
     """What may change while running, by section, and the names of what differs and needs a restart."""
     live: dict[str, Values] = {}
     restart: list[str] = []
--- a/marbleworks/operator_config/sexpr.py
+++ b/marbleworks/operator_config/sexpr.py
@@ -27,7 +27,7 @@
 _PARSER = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
 
 
-class Misread(Exception):
+class ConfigSyntaxError(Exception):
     """What is wrong with a file, at a line and a column that count from 1."""
 
     def __init__(self, line: int, column: int, what: str) -> None:
@@ -59,7 +59,7 @@
 def read_forms(text: str) -> list[Form]:
     """The forms of a whole text; raises Misread."""
     if len(text) > MOST_TEXT:
-        raise Misread(1, 1, f"expected at most {MOST_TEXT} characters, found {len(text)}")
+        raise ConfigSyntaxError(1, 1, f"expected at most {MOST_TEXT} characters, found {len(text)}")
     try:
         tree = _PARSER.parse(text)
     except UnexpectedEOF:
@@ -68,17 +68,21 @@
         if err.token.type == "$END":
             raise _at_end(text) from None
         wanted = " or ".join(sorted(MEANT[name] for name in err.expected if name in MEANT)) or "the end"
-        raise Misread(err.line, err.column, f"expected {wanted}, found {str(err.token)[:40]!r}") from None
+        raise ConfigSyntaxError(
+            err.line, err.column, f"expected {wanted}, found {str(err.token)[:40]!r}"
+        ) from None
     except UnexpectedCharacters as err:
-        raise Misread(err.line, err.column, f"expected no {err.char!r} here") from None
+        raise ConfigSyntaxError(err.line, err.column, f"expected no {err.char!r} here") from None
     except UnexpectedInput as err:
-        raise Misread(max(err.line, 1), max(err.column, 1), "expected a form") from None
+        raise ConfigSyntaxError(max(err.line, 1), max(err.column, 1), "expected a form") from None
     return [_form(child) for child in tree.children if isinstance(child, Tree)]
 
 
-def _at_end(text: str) -> Misread:
+def _at_end(text: str) -> ConfigSyntaxError:
     line = text.count("\n") + 1
-    return Misread(line, len(text) - (text.rfind("\n") + 1) + 1, "expected ')', found the end of the file")
+    return ConfigSyntaxError(
+        line, len(text) - (text.rfind("\n") + 1) + 1, "expected ')', found the end of the file"
+    )
 
 
 def _form(tree: Tree[Token]) -> Form:
--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from marbleworks.operator_config.sexpr import Atom, Form, Misread
+from marbleworks.operator_config.sexpr import Atom, ConfigSyntaxError, Form
 
 SIZES = {
     "B": 1.0,
@@ -29,7 +29,7 @@
 PACES = {f"{unit}/s": value for unit, value in SIZES.items()}
 
 
-class Kind(Enum):
+class ValueType(Enum):
     """What a value is, and the units it is written in."""
 
     SIZE = "size"
@@ -44,33 +44,42 @@
 
     @property
     def units(self) -> dict[str, float]:
-        return {Kind.SIZE: SIZES, Kind.SPAN: SPANS, Kind.PACE: PACES, Kind.SHARE: {"%": 0.01}}.get(self, {})
+        return {
+            ValueType.SIZE: SIZES,
+            ValueType.SPAN: SPANS,
+            ValueType.PACE: PACES,
+            ValueType.SHARE: {"%": 0.01},
+        }.get(self, {})
 
     @property
     def example(self) -> str:
         return {
-            Kind.SIZE: "a size such as 2 GB", Kind.SPAN: "a time such as 10 min",
-            Kind.PACE: "a pace such as 4 KB/s", Kind.SHARE: "a share such as 25 %",
-            Kind.COUNT: "a whole number", Kind.RATIO: "a number",
-            Kind.TEXT: "a text in quotes", Kind.SWITCH: "on or off",
-            Kind.GROUP: "settings in parentheses",
-        }[self]  # fmt: skip
+            ValueType.SIZE: "a size such as 2 GB",
+            ValueType.SPAN: "a time such as 10 min",
+            ValueType.PACE: "a pace such as 4 KB/s",
+            ValueType.SHARE: "a share such as 25 %",
+            ValueType.COUNT: "a whole number",
+            ValueType.RATIO: "a number",
+            ValueType.TEXT: "a text in quotes",
+            ValueType.SWITCH: "on or off",
+            ValueType.GROUP: "settings in parentheses",
+        }[self]
 
     def written(self, value: Any) -> str:
         """The value as the file would have it, in the largest unit that fits."""
         if value is None:
             return "none"
-        if self is Kind.TEXT:
+        if self is ValueType.TEXT:
             return f'"{value}"'
-        if self is Kind.SWITCH:
+        if self is ValueType.SWITCH:
             return "on" if value else "off"
-        if self in (Kind.COUNT, Kind.RATIO):
-            return f"{value:g}" if self is Kind.RATIO else str(int(value))
+        if self in (ValueType.COUNT, ValueType.RATIO):
+            return f"{value:g}" if self is ValueType.RATIO else str(int(value))
         fits = [
             (size, unit) for unit, size in self.units.items() if value >= size and not unit.endswith("iB")
         ]
         size, unit = max(fits, default=min((size, unit) for unit, size in self.units.items()))
-        if self is Kind.SPAN and unit == "min" and value % 60:
+        if self is ValueType.SPAN and unit == "min" and value % 60:
             size, unit = 1.0, "s"
         return f"{value / size:g} {unit}"
 
@@ -84,7 +93,7 @@
     its value is a dict of theirs, of which fit says what was expected where they don't go together."""
 
     name: str
-    kind: Kind
+    kind: ValueType
     meaning: str
     default: Any = None
     least: float = 0.0
@@ -97,7 +106,7 @@
 
     @property
     def bounds(self) -> str:
-        if self.kind in (Kind.TEXT, Kind.SWITCH, Kind.GROUP):
+        if self.kind in (ValueType.TEXT, ValueType.SWITCH, ValueType.GROUP):
             return ""
         most = self.kind.written(self.most) if self.most < math.inf else ""
         return (
@@ -112,19 +121,23 @@
         if self.by:
             first = parts.pop(0) if parts else None
             if not isinstance(first, Atom) or not first.quoted or not first.text:
-                raise Misread(form.line, form.column, f"expected a {self.by} in quotes after '{self.name}'")
+                raise ConfigSyntaxError(
+                    form.line, form.column, f"expected a {self.by} in quotes after '{self.name}'"
+                )
             of = first.text
             if self.check is not None and (expected := self.check(of)):
-                raise Misread(first.line, first.column, f"expected {expected} for '{self.name}'")
+                raise ConfigSyntaxError(first.line, first.column, f"expected {expected} for '{self.name}'")
         if self.inner:
             return of, self._group(form, parts)
         atoms = [part for part in parts if isinstance(part, Atom)]
         if not atoms or len(atoms) < len(parts):
-            raise Misread(form.line, form.column, f"expected {self.kind.example} for '{self.name}'")
+            raise ConfigSyntaxError(form.line, form.column, f"expected {self.kind.example} for '{self.name}'")
         value, used = self._value(atoms)
         if len(atoms) > used:
             extra = atoms[used]
-            raise Misread(extra.line, extra.column, f"expected ')' after the value of '{self.name}'")
+            raise ConfigSyntaxError(
+                extra.line, extra.column, f"expected ')' after the value of '{self.name}'"
+            )
         return of, value
 
     def _group(self, form: Form, parts: list[Atom | Form]) -> dict[str, Any]:
@@ -133,41 +146,43 @@
             setting = next((s for s in self.inner if isinstance(part, Form) and s.name == part.name), None)
             if setting is None or not isinstance(part, Form):
                 names = ", ".join(s.name for s in self.inner)
-                raise Misread(part.line, part.column, f"expected a setting of {names} in '{self.name}'")
+                raise ConfigSyntaxError(
+                    part.line, part.column, f"expected a setting of {names} in '{self.name}'"
+                )
             values[setting.name] = setting.read(part)[1]
         if self.fit is not None and (expected := self.fit(values)):
-            raise Misread(form.line, form.column, f"expected {expected} in '{self.name}'")
+            raise ConfigSyntaxError(form.line, form.column, f"expected {expected} in '{self.name}'")
         return values
 
     def _value(self, atoms: list[Atom]) -> tuple[Any, int]:
         first = atoms[0]
-        wrong = Misread(first.line, first.column, f"expected {self.kind.example} for '{self.name}'")
-        if self.kind is Kind.TEXT:
+        wrong = ConfigSyntaxError(first.line, first.column, f"expected {self.kind.example} for '{self.name}'")
+        if self.kind is ValueType.TEXT:
             if not first.quoted:
                 raise wrong
             if self.check is not None and (expected := self.check(first.text)):
-                raise Misread(first.line, first.column, f"expected {expected} for '{self.name}'")
+                raise ConfigSyntaxError(first.line, first.column, f"expected {expected} for '{self.name}'")
             return first.text, 1
-        if self.kind is Kind.SWITCH:
+        if self.kind is ValueType.SWITCH:
             if first.text not in ("on", "off") or first.quoted:
                 raise wrong
             return first.text == "on", 1
         if first.number is None:
             raise wrong
         value, used = first.number, 1
-        if self.kind is Kind.COUNT:
+        if self.kind is ValueType.COUNT:
             if value != int(value):
                 raise wrong
             value = int(value)
-        elif self.kind is not Kind.RATIO:
+        elif self.kind is not ValueType.RATIO:
             unit = atoms[1] if len(atoms) > 1 else None
             if unit is None or unit.quoted or unit.text not in self.kind.units:
                 at = unit or first
                 units = ", ".join(self.kind.units)
-                raise Misread(at.line, at.column, f"expected a unit of {units} for '{self.name}'")
+                raise ConfigSyntaxError(at.line, at.column, f"expected a unit of {units} for '{self.name}'")
             value, used = value * self.kind.units[unit.text], 2
         if not self.least <= value <= self.most:
-            raise Misread(first.line, first.column, f"expected {self.bounds} for '{self.name}'")
+            raise ConfigSyntaxError(first.line, first.column, f"expected {self.bounds} for '{self.name}'")
         return value, used
 
 
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -9,15 +9,15 @@
 from typing import Any, Protocol
 
 
-class NotKept(Exception):
+class ResultNotStoredError(Exception):
     """A result can't be kept. wait: seconds until one may be, infinite where that can't be said."""
 
-    def __init__(self, wait: float, why: str) -> None:
-        super().__init__(why)
-        self.wait = wait
+    def __init__(self, retry_after_s: float, reason: str) -> None:
+        super().__init__(reason)
+        self.retry_after_s = retry_after_s
 
 
-class Sheet(Protocol):
+class ResultWriter(Protocol):
     """Where the rows of one send go, in order. Whatever raises NotKept has dropped it."""
 
     def add(self, rows: bytes, until: float) -> None:
@@ -29,12 +29,12 @@
     def drop(self) -> None: ...
 
 
-class Tray(Protocol):
+class ResultReservation(Protocol):
     """Room for the result of one command. wait: None, or the seconds until there is some."""
 
     wait: float | None
 
-    def sheet(self) -> Sheet: ...
+    def sheet(self) -> ResultWriter: ...
 
     def close(self) -> None:
         """The command has its final answer and no send of it is out."""
@@ -43,12 +43,12 @@
         """What was kept by those words reaches nobody."""
 
 
-class Shelf(Protocol):
+class ResultStore(Protocol):
     """Results that are kept for their clients, as a front sees them."""
 
     patience: float  # seconds that a client may take to read a page
 
-    def tray(self, tenant: str, profile: str, statement: bytes) -> Tray: ...
+    def tray(self, tenant: str, profile: str, statement: bytes) -> ResultReservation: ...
 
     def page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
         """A page, from 1, and what is told with it; or why there is none. In hand until `given`; may wait."""
@@ -58,7 +58,7 @@
     def release(self, token: str, tenant: str) -> bool: ...
 
 
-class Doorkeeper(Protocol):
+class RequestAdmission(Protocol):
     """Who lets commands in to the decisions, as the desk sees it. Takes what `Desk.admit` takes, and calls
     that once for each command that is not called off before."""
 
@@ -78,7 +78,7 @@
     def stop(self) -> None: ...
 
 
-class Allotment(Protocol):
+class SharedBudgets(Protocol):
     """What this router may use of budgets that it shares with others, as the decisions see it. It says how
     much; where, whether again and what to shed stay with them. profile, tenant and be are indices."""
 
@@ -114,7 +114,7 @@
         """Engines came or went."""
 
 
-class Port(Protocol):
+class SchedulerPort(Protocol):
     """What the decisions ask of the platform. A command is named by the ref it was taken with."""
 
     def now(self) -> float: ...
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -1,7 +1,7 @@
 """The decisions of a marbleworks router: what runs, where, when and on what terms.
 
 A platform makes one Gateway for each router and calls it: listed, take (which returns the handle that later
-news of a command are calls on) and awake. The Gateway asks its Port; port and types are in interface.py.
+news of a command are calls on) and awake. The Gateway asks its Port; port and types are in model.py.
 
 The ordinary path of a command is Gateway.consider. docs/design.md says what is kept of the paper and why.
 """
@@ -12,8 +12,16 @@
 import zlib
 from collections import deque
 
-from marbleworks.model import Effect, Ending, EngineEntry, Fleet, HouseRules, LoadReport, Profile
-from marbleworks.ports import Allotment, Port
+from marbleworks.model import (
+    AttemptOutcome,
+    DeploymentRules,
+    EngineEntry,
+    FleetInfo,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+)
+from marbleworks.ports import SchedulerPort, SharedBudgets
 
 Need = tuple[float, float]  # work and memory
 Seen = tuple[float, float]  # when, and what
@@ -22,18 +30,18 @@
 INSTANT = 0.01  # seconds between reviews at least
 BEAT = 0.05  # seconds between reviews while anything is held; four between looks at what is out
 HOMES = 0.5  # part of the fleet that a table group calls home
-MOST_HOMES = 1024  # different ones
+MAX_HOME_SETS = 1024  # different ones
 MOST_RIVALS = 6  # K: conflicting declarations that any node of a graph may face
 HOLD_PART = 0.15  # part of its time to the latency target that LOW may delay a command
 MEMORY_PART = 0.9  # part of a paging engine's memory that commands out may need, all routers together
 PER_CORE = 3.0  # threads a core, all routers together, that the lane allows under pressure
-CLOSE = 0.6  # part of its time to the latency target after which an answer is a close call
+CLOSE_CALL_RATIO = 0.6  # part of its time to the latency target after which an answer is a close call
 CLOSE_PART = 0.25  # the fleet is strained when this part of its answers are
 STRAINED = 1.6  # an engine is under pressure when commands take this many times their time alone
 LATELY = 1.0  # seconds for which a report may decide between two engines
 FRESH = 10.0  # seconds for which pace, load and a tenant's rate are remembered
 AGEING = 0.1  # work per benefit that a second of waiting makes up for in the lane
-COLD_TRUST = 0.7  # part of a fresh engine's nominal floor that we count on
+SLOW_START_TRUST = 0.7  # part of a fresh engine's nominal floor that we count on
 SPONSORS = 4  # routers that may send to a fresh engine: each has a share that holds a command
 RUNAWAY = 5.0  # times its expected time that a send may still need before it is called off
 UNTOLD = (2.0, 1.0)  # times what it ran that it is thought to need untold; where it may stand behind a load
@@ -81,14 +89,14 @@
         return j in seen
 
 
-class Engine:  # what one router knows of it
+class EngineState:  # what one router knows of it
     def __init__(self, entry: EngineEntry, cores: int) -> None:
         self.entry, self.cores, self.mark = entry, cores, zlib.crc32(entry.name.encode()).to_bytes(4)
         self.takes: list[bool] = []  # the profiles whose placement allows it
         self.free = 1.0  # the part of it that profiles bound to fewer engines leave to the others
         self.lot = 0  # our place in the order of its sponsors, while it is fresh
         self.barred = False  # we were told that it drains or is gone
-        self.out, self.loading = list[Send](), list[int]()  # loading: the table groups of loads out there
+        self.out, self.loading = list[Attempt](), list[int]()  # loading: the table groups of loads out there
         self.threads, self.memory = 0, 0.0  # of ours that are out there
         self.pace = 1.0  # how many times its time alone a command takes there; the fleet's where not known
         self.start_anew()
@@ -102,8 +110,8 @@
         self.refuses = False  # nobody listened there when we last asked
 
 
-class Send:
-    def __init__(self, cmd: Command, no: int, engine: Engine, at: float) -> None:
+class Attempt:
+    def __init__(self, cmd: RequestState, no: int, engine: EngineState, at: float) -> None:
         self.cmd, self.no, self.engine, self.at = cmd, no, engine, at
         self.share, self.stands, self.cancelled = 0.0, False, False  # share: done, by the last note
         self.retry = self.cold = 0.0  # what it counts in the retry budget, and of what a fresh engine bears
@@ -114,7 +122,7 @@
     return sum(n[i] for _, n in needs) / (sum(t[i] for t, _ in needs) or 1.0) if needs else 1.0
 
 
-def pace_of(slowness: deque[Seen], out: list[Send], now: float, usual: float) -> float:
+def pace_of(slowness: deque[Seen], out: list[Attempt], now: float, usual: float) -> float:
     recent(slowness, now - FRESH)
     late = [(now - s.at) / (s.cmd.alone() + MARGIN) for s in out if not s.stands]
     seen = sorted([pace for _, pace in slowness] + [x for x in late if x > STRAINED])
@@ -127,32 +135,41 @@
     return seen
 
 
-class Command:
+class RequestState:
     """The handle of a command: what the platform hears of it later is a call here."""
 
-    def __init__(self, gw: Gateway, ref: str, index: int, group: int, told: Need, came: float, left: float):
-        now, p = gw.port.now(), gw.profiles[index]
+    def __init__(self, gw: Scheduler, ref: str, index: int, group: int, told: Need, came: float, left: float):
+        now, p = gw.port.now(), gw.request_classes[index]
         self.gateway, self.ref, self.index, self.told, self.tenant = gw, ref, index, told, -1
         self.profile, self.group, self.taken, self.deadline = p, group, came, now + left
-        self.work, self.memory = told[0] * gw.bias[index][0] or gw.usual(index), told[1] * gw.bias[index][1]
+        self.work, self.memory = (
+            told[0] * gw.estimate_bias[index][0] or gw.mean_work(index),
+            told[1] * gw.estimate_bias[index][1],
+        )
         gw.lag = max(now - came, 0.999 * gw.lag)  # an outcome may wait as long in a router short of CPU
         self.last = self.deadline - max(MARGIN / 2, min(LAST_PART * left, LAST), min(2.0 * gw.lag, left / 2))
-        self.target = min(self.taken + p.target + p.stretch * self.alone(), self.deadline)
-        self.benefit, self.key = p.benefit, ""
+        self.target = min(
+            self.taken + p.latency_target_s + p.latency_target_growth * self.alone(), self.deadline
+        )
+        self.benefit, self.key = p.priority_weight, ""
         self.no = gw.count = gw.count + 1  # place in the order of taking
-        self.over = self.joined = self.erred = False
+        self.completed = self.joined = self.erred = False
         self.sends = self.unsent = self.runaways = 0  # unsent: never left; runaways: called off for pace
-        self.out, self.tried, self.asked = (list[Send](), list[Engine](), list[Engine]())  # asked: for load
-        self.may_have_run: Send | None = None
+        self.out, self.tried, self.asked = (
+            list[Attempt](),
+            list[EngineState](),
+            list[EngineState](),
+        )  # asked: for load
+        self.may_have_run: Attempt | None = None
         self.asked_at = self.doubt_until = -math.inf
 
     @property
     def left(self) -> int:  # its sends that count: what never left is none, as often again as may be sent
-        return self.sends - min(self.unsent, self.gateway.rules.max_sends)
+        return self.sends - min(self.unsent, self.gateway.rules.max_attempts)
 
     @property
     def settled(self) -> bool:
-        return self.over and not self.out
+        return self.completed and not self.out
 
     def past(self, now: float) -> bool:  # nothing of it can still take effect
         return self.settled and now >= self.doubt_until
@@ -161,15 +178,15 @@
         return self.work / self.profile.threads
 
     def close_call(self, now: float) -> float:  # 1 where most of the time to its target is gone
-        return float(now - self.taken > CLOSE * (self.target - self.taken))
+        return float(now - self.taken > CLOSE_CALL_RATIO * (self.target - self.taken))
 
-    def conflicts(self, other: Command) -> bool:  # in one table group: readers only with loads
-        return self.profile.loads or other.profile.loads
+    def conflicts(self, other: RequestState) -> bool:  # in one table group: readers only with loads
+        return self.profile.is_load or other.profile.is_load
 
     def rank(self, now: float) -> tuple[float, int]:
         return self.work / max(self.benefit, 1e-9) - AGEING * (now - self.taken), self.no
 
-    def answered(self, send_no: int, need: Need | None, report: LoadReport | None) -> None:
+    def on_answer(self, send_no: int, need: Need | None, report: LoadReport | None) -> None:
         """The answer has reached the client; need: work and memory it took, where engines tell."""
         gw, send = self.gateway, self._taken_back(send_no)
         if send is None:
@@ -185,72 +202,100 @@
         gw.close(self)
         gw.review()
 
-    def ended(self, send_no: int, how: Ending, over: bool, report: LoadReport | None) -> None:
+    def on_attempt_end(
+        self, send_no: int, how: AttemptOutcome, over: bool, report: LoadReport | None
+    ) -> None:
         """A send ended without an answer; over: the command's end is already settled."""
         gw, send, now = self.gateway, self._taken_back(send_no), self.gateway.port.now()
         if send is None:
             return
         gw.given_back(self, send_no, how.may_still_run)
-        if how.never_left:
+        if how.never_sent:
             gw.take_back(self, send)
         first = self.may_have_run  # the window for repeats counts from it, in whatever order sends end
         if not how.never_ran and (first is None or send.at < first.at):
             self.may_have_run = send
         if how.may_still_run:
-            self.doubt_until = now + gw.rules.key_rest
+            self.doubt_until = now + gw.rules.key_settle_s
         gw.heard_badly(send.engine, how, self)
         if over:
             gw.close(self)
-        elif not self.over and not self.out:
-            if how is not Ending.UNUSED and gw.may_go_again(self, now):
-                gw.held[self.no] = self
-                gw.consider(self)
+        elif not self.completed and not self.out:
+            if how is not AttemptOutcome.UNSENT and gw.may_retry(self, now):
+                gw.pending[self.no] = self
+                gw.try_schedule(self)
             else:
                 gw.give_up(self)
         gw.review()
 
-    def client_left(self) -> None:
+    def on_client_disconnect(self) -> None:
         self.gateway.close(self)
 
-    def _taken_back(self, send_no: int) -> Send | None:
+    def _taken_back(self, send_no: int) -> Attempt | None:
         send = next((s for s in self.out if s.no == send_no), None)
         if send is not None:
             for out in (self.out, send.engine.out, self.gateway.out):
                 out.remove(send)
-            if self.profile.loads:
+            if self.profile.is_load:
                 send.engine.loading.remove(self.group)
             send.engine.threads -= self.profile.threads
             send.engine.memory -= self.memory
         return send
 
-    def progressed(self, send_no: int, share: float | None, stands: bool = False) -> None:
+    def on_progress(self, send_no: int, share: float | None, stands: bool = False) -> None:
         """A note of a send that is out: the share done, where told, and whether it stands still."""
         for send in (s for s in self.out if s.no == send_no):
             send.share, send.stands = send.share if share is None else share, stands
             send.engine.heard = self.gateway.port.now()
 
-    def reading(self, send_no: int) -> None:
+    def on_result_reading(self, send_no: int) -> None:
         """The engine is done with a send, and its result is being read: that takes none of its threads."""
-        self.progressed(send_no, 1.0, stands=True)
+        self.on_progress(send_no, 1.0, stands=True)
         for send in (s for s in self.out if s.no == send_no):
             send.ran = send.ran or send.engine.heard
 
 
-class Gateway:
-    def __init__(self, port: Port, seed: int, profiles: list[Profile], rules: HouseRules, fleet: Fleet):
-        self.port, self.seed, self.profiles, self.rules, self.fleet = port, seed, profiles, rules, fleet
-        self.routers: float = max(fleet.routers, 1)  # by what the whole is divided for our part
+class Scheduler:
+    def __init__(
+        self,
+        port: SchedulerPort,
+        seed: int,
+        profiles: list[RequestClass],
+        rules: DeploymentRules,
+        fleet: FleetInfo,
+    ):
+        self.port, self.seed, self.request_classes, self.rules, self.fleet = (
+            port,
+            seed,
+            profiles,
+            rules,
+            fleet,
+        )
+        self.routers: float = max(fleet.router_count, 1)  # by what the whole is divided for our part
         # The sponsors of fresh engines are among so many; who is not told how many there are sponsors none.
-        self.among, self.place = max(fleet.routers, 1), fleet.me if fleet.routers else NONE
+        self.among, self.place = (
+            max(fleet.router_count, 1),
+            fleet.router_index if fleet.router_count else NONE,
+        )
         self.began = port.now()  # what was sent before, by a router of our number, is not known
         self.placed_until, self.kept = math.inf, 1.0
-        self.slack = rules.connect_time + MARGIN  # what is sent on a rule's time leaves within it, or not
-        self.allotment: Allotment | None = None  # our part of budgets shared with others, where there are any
-        self.engines, self.marks = dict[int, Engine](), dict[bytes, Engine]()  # marks: as peers call them
-        self.up, self.out = list[Engine](), list[Send]()  # up: those listed so, in the order of their ids
-        self.held, self.turns = dict[int, Command](), dict[str, list[Command]]()
-        self.graphs: dict[int, list[Command]] = {}  # nodes of each table group
-        self.homes: dict[int, dict[Engine, None]] = {}
+        self.slack = (
+            rules.connect_timeout_s + MARGIN
+        )  # what is sent on a rule's time leaves within it, or not
+        self.shared_budgets: SharedBudgets | None = (
+            None  # our part of budgets shared with others, where there are any
+        )
+        self.engines, self.marks = (
+            dict[int, EngineState](),
+            dict[bytes, EngineState](),
+        )  # marks: as peers call them
+        self.up, self.out = (
+            list[EngineState](),
+            list[Attempt](),
+        )  # up: those listed so, in the order of their ids
+        self.pending, self.turns = dict[int, RequestState](), dict[str, list[RequestState]]()
+        self.graphs: dict[int, list[RequestState]] = {}  # nodes of each table group
+        self.homes: dict[int, dict[EngineState, None]] = {}
         self.cores, self.bound = 0, dict[int, int]()  # of all; open to each profile that is kept from some
         self.count, self.draws, self.lag = 0, 0, 0.0  # lag: for which commands lately waited to be taken
         self.slowness, self.close_calls = deque[Seen](maxlen=SAMPLES), deque[Seen](maxlen=SAMPLES)
@@ -259,38 +304,45 @@
         self.waking, self.reviewed, self.watched = math.inf, -math.inf, -math.inf
         self.soonest = math.inf  # the first last moment among those held
         self.takes, self.retries = deque[Seen](), deque[Seen]()
-        most = (math.ceil(FRESH * rate / self.routers) for rate in rules.tenant_rates)
+        most = (math.ceil(FRESH * rate / self.routers) for rate in rules.tenant_rates_per_s)
         self.tenant_takes: list[deque[float]] = [deque(maxlen=n) for n in most]  # as their shares allow
         self.needs: list[deque[tuple[Need, Need]]] = [deque(maxlen=2 * SAMPLES) for _ in profiles]
-        self.bias: list[Need] = [(1.0, 1.0)] * len(profiles)
+        self.estimate_bias: list[Need] = [(1.0, 1.0)] * len(profiles)
         self.recent_work: deque[tuple[int, float]] = deque(maxlen=8 * SAMPLES)
 
-    def listed(self, entries: list[EngineEntry], whole: bool) -> None:
+    def update_engines(self, entries: list[EngineEntry], whole: bool) -> None:
         self.homes.clear()
-        named = {entry.be for entry in entries}
+        named = {entry.engine_id for entry in entries}
         for entry in entries:
-            engine = self.engines.setdefault(entry.be, Engine(entry, self.fleet.cores[entry.kind]))
-            if entry.started > engine.entry.started:
+            engine = self.engines.setdefault(
+                entry.engine_id, EngineState(entry, self.fleet.cores_by_kind[entry.machine_kind])
+            )
+            if entry.started_at > engine.entry.started_at:
                 engine.start_anew()
             engine.entry = entry
-            places = [(p.zones or [entry.zone], p.kinds or [entry.kind]) for p in self.profiles]
-            engine.takes = [entry.zone in zones and entry.kind in kinds for zones, kinds in places]
+            places = [
+                (p.allowed_zones or [entry.zone], p.allowed_machine_kinds or [entry.machine_kind])
+                for p in self.request_classes
+            ]
+            engine.takes = [entry.zone in zones and entry.machine_kind in kinds for zones, kinds in places]
             engine.lot = self._lot(entry)
-            engine.barred = not entry.up
-        for be in [be for be, e in self.engines.items() if e.entry.gone or (whole and be not in named)]:
+            engine.barred = not entry.is_up
+        for be in [be for be, e in self.engines.items() if e.entry.is_gone or (whole and be not in named)]:
             self.engines.pop(be).barred = True
         self.marks = {e.mark: e for e in self.engines.values()}
         self.up = sorted((e for e in self.engines.values() if not e.barred), key=lambda e: e.entry.name)
         self.cores = sum(e.cores for e in self.up)
-        open_to = [sum(e.cores for e in self.up if e.takes[q]) for q in range(len(self.profiles))]
+        open_to = [sum(e.cores for e in self.up if e.takes[q]) for q in range(len(self.request_classes))]
         self.bound = {q: cores for q, cores in enumerate(open_to) if 0 < cores < self.cores}
         self.review()
 
     def _lot(self, entry: EngineEntry) -> int:
         """All routers agree on the order of an engine's sponsors from its start alone, without talk."""
-        return (self.place - zlib.crc32(f"{entry.name}/{entry.started:.3f}".encode())) % self.among
+        return (self.place - zlib.crc32(f"{entry.name}/{entry.started_at:.3f}".encode())) % self.among
 
-    def divide(self, part: float, among: int, place: int, until: float = math.inf, kept: float = 1.0) -> None:
+    def set_router_share(
+        self, part: float, among: int, place: int, until: float = math.inf, kept: float = 1.0
+    ) -> None:
         """Our part of what all routers have together, and our place among those that may sponsor a fresh
         engine; -1: none of it, for now. From `until` on only the part kept, whether or not we are told."""
         self.placed_until, self.kept = until, kept
@@ -299,36 +351,44 @@
         self.routers, self.among, self.place = 1.0 / part, among, place if place >= 0 else NONE
         for engine in self.engines.values():
             engine.lot = self._lot(engine.entry)
-        most = [math.ceil(FRESH * rate * part) for rate in self.rules.tenant_rates]
+        most = [math.ceil(FRESH * rate * part) for rate in self.rules.tenant_rates_per_s]
         self.tenant_takes = [deque(t, maxlen=n) for t, n in zip(self.tenant_takes, most, strict=True)]
         self._keep_waking()  # what is held is weighed again at the next beat
 
-    def take(
-        self, ref: str, profile: int, group: int, key: str, told: Need, tenant: int, came: float, left: float,
+    def submit(
+        self,
+        ref: str,
+        profile: int,
+        group: int,
+        key: str,
+        told: Need,
+        tenant: int,
+        came: float,
+        left: float,
         wait: float | None = None,
-    ) -> Command:  # fmt: skip
+    ) -> RequestState:
         """Takes a command that came into the router then; told: estimates, 0 where there are none.
         wait: seconds until there is room for what it leaves behind, None where there is."""
-        cmd = Command(self, ref, profile, group, told, came, left)
+        cmd = RequestState(self, ref, profile, group, told, came, left)
         cmd.tenant = tenant
         cmd.benefit *= self._within_share(ref, tenant, cmd.taken)
-        if wait is None and self.allotment is not None:
-            wait = self.allotment.wait(ref, profile, tenant, cmd.target - self.port.now() - cmd.alone())
+        if wait is None and self.shared_budgets is not None:
+            wait = self.shared_budgets.wait(ref, profile, tenant, cmd.target - self.port.now() - cmd.alone())
         self.recent_work.append((profile, cmd.work))
-        recent(self.takes, self.port.now() - self.rules.extra_window).append((self.port.now(), 1.0))
-        if cmd.profile.in_order and key:
+        recent(self.takes, self.port.now() - self.rules.retry_budget_window_s).append((self.port.now(), 1.0))
+        if cmd.profile.ordered_by_key and key:
             cmd.key = key
             self.turns.setdefault(key, []).append(cmd)
-        self.held[cmd.no] = cmd
+        self.pending[cmd.no] = cmd
         # Guards against a router short of CPU: what spent most of its time to target waiting in it goes back.
         if wait is not None or cmd.close_call(self.port.now()):
             self.give_up(cmd, wait)
         else:
-            self.consider(cmd)
+            self.try_schedule(cmd)
         self._keep_waking()
         return cmd
 
-    def consider(self, cmd: Command) -> None:
+    def try_schedule(self, cmd: RequestState) -> None:
         """The ordinary path of a held command, from the taking to the engine."""
         now, p = self.port.now(), cmd.profile
         self._judge(now)
@@ -345,10 +405,14 @@
         if not fit:
             return
         # Guards against loads of other routers, only at the homes: readers leave those, not for a single one.
-        side = [e for e in fit if not (p.loads or p.waits) or (e in self._homes(cmd.group)) == p.loads]
-        side = side if len(side) >= (1 if p.loads else 2) else fit
-        loads_there = [c for c in self.graphs.get(cmd.group, []) if c.profile.loads]
-        if p.loads or (p.waits and loads_there):
+        side = [
+            e
+            for e in fit
+            if not (p.is_load or p.waits_for_loads) or (e in self._homes(cmd.group)) == p.is_load
+        ]
+        side = side if len(side) >= (1 if p.is_load else 2) else fit
+        loads_there = [c for c in self.graphs.get(cmd.group, []) if c.profile.is_load]
+        if p.is_load or (p.waits_for_loads and loads_there):
             # LOW: join the group's graph if nobody then faces more than K rivals, and go where none of our
             # loads is when E says that this hurts no rival more than letting the rival go first.
             cmd.joined = cmd.joined or self._join(cmd)
@@ -361,7 +425,7 @@
         if cmd.work <= self.mark and not self.strained:  # cheap ones balance nothing: they save the crossing
             side = [e for e in side if e.entry.zone == self.fleet.zone] or side
         two = [e for e in cmd.asked if e in side] or self._two(cmd, side, now)
-        if self.rules.probes and cmd.work > self.mark and not self._asked(cmd, two, now):
+        if self.rules.allows_probes and cmd.work > self.mark and not self._asked(cmd, two, now):
             return
         known = all(e.reported > now - LATELY for e in two)  # then the one that reports less
         engine = min(two, key=lambda e: e.threads / e.cores + e.load) if known else two[0]
@@ -373,24 +437,24 @@
     def review(self) -> None:
         """Weighs again all that is held: cheapest per benefit first, with ageing."""
         now = self.port.now()
-        if self.held and now >= self.reviewed + INSTANT - 1e-6:  # what comes sooner waits for the next
+        if self.pending and now >= self.reviewed + INSTANT - 1e-6:  # what comes sooner waits for the next
             self.crowded.clear()
-            for cmd in sorted(self.held.values(), key=lambda c: c.rank(now)):
-                if cmd.no in self.held:
-                    self.consider(cmd)
+            for cmd in sorted(self.pending.values(), key=lambda c: c.rank(now)):
+                if cmd.no in self.pending:
+                    self.try_schedule(cmd)
             self.reviewed = 2.0 * self.port.now() - now  # a long one leaves as much time to all else
-        elif self.held:
-            if self.allotment is not None:  # what just came free of a part is used at once
-                self.consider(min(self.held.values(), key=lambda c: c.rank(now)))
+        elif self.pending:
+            if self.shared_budgets is not None:  # what just came free of a part is used at once
+                self.try_schedule(min(self.pending.values(), key=lambda c: c.rank(now)))
             self._wake(self.reviewed + INSTANT)
         self._keep_waking()
 
-    def awake(self) -> None:
+    def on_timer(self) -> None:
         now = self.port.now()
         if now >= self.soonest - TOLD / 2:  # nothing that is held waits past its own last moment
-            for cmd in [c for c in self.held.values() if now >= c.last - TOLD / 2]:
+            for cmd in [c for c in self.pending.values() if now >= c.last - TOLD / 2]:
                 self.give_up(cmd)
-            self.soonest = min((c.last for c in self.held.values()), default=math.inf)
+            self.soonest = min((c.last for c in self.pending.values()), default=math.inf)
         if now >= self.waking - 1e-6:  # else an earlier wish, overtaken
             self.waking = math.inf
             self._judge(self.port.now())
@@ -400,61 +464,63 @@
         if min(self.soonest, self.waking) < math.inf:  # of our wishes a platform keeps the first alone
             self.port.wake(min(self.soonest, self.waking))
 
-    def give_up(self, cmd: Command, wait: float | None = None) -> None:
+    def give_up(self, cmd: RequestState, wait: float | None = None) -> None:
         """The final answer, at once: shed where a further try is known to do no harm, else failed.
         wait: seconds until a further try may find what this one lacked."""
         p = cmd.profile
-        harmless = p.effect is Effect.REPLAYABLE or (cmd.may_have_run is None and not cmd.out)
-        if harmless or (p.effect is Effect.UNIQUED and p.scope == "all"):
-            self.port.shed(cmd.ref, min(self.rules.come_back, math.inf if wait is None else wait))
+        harmless = p.idempotency is Idempotency.IDEMPOTENT or (cmd.may_have_run is None and not cmd.out)
+        if harmless or (p.idempotency is Idempotency.IDEMPOTENCY_KEY and p.idempotency_scope == "all"):
+            self.port.shed(cmd.ref, min(self.rules.max_retry_after_s, math.inf if wait is None else wait))
         else:
             self.port.fail(cmd.ref)
         self.close(cmd)
 
-    def close(self, cmd: Command) -> None:
+    def close(self, cmd: RequestState) -> None:
         """Sends of a finished command can no longer matter and are cancelled."""
-        cmd.over = True
-        self.held.pop(cmd.no, None)
-        if self.allotment is not None:
-            self.allotment.over(cmd.ref)
+        cmd.completed = True
+        self.pending.pop(cmd.no, None)
+        if self.shared_budgets is not None:
+            self.shared_budgets.over(cmd.ref)
         if cmd.joined:
             self.graphs[cmd.group].remove(cmd)
             cmd.joined = False
-        for send in [s for s in cmd.out if self.rules.cancels and not s.cancelled]:
+        for send in [s for s in cmd.out if self.rules.allows_cancel and not s.cancelled]:
             send.cancelled = True
             self.port.cancel(cmd.ref, send.no)
 
-    def given_back(self, cmd: Command, send_no: int, doubt: bool) -> None:
-        if self.allotment is not None:
-            self.allotment.give_back(cmd.ref, send_no, doubt)
+    def given_back(self, cmd: RequestState, send_no: int, doubt: bool) -> None:
+        if self.shared_budgets is not None:
+            self.shared_budgets.give_back(cmd.ref, send_no, doubt)
 
-    def take_back(self, cmd: Command, send: Send) -> None:
+    def take_back(self, cmd: RequestState, send: Attempt) -> None:
         """It never left, and counts in no budget."""
         cmd.unsent += 1
         for counted, what in ((self.retries, send.retry), (send.engine.cold_sent, send.cold)):
             if what and (send.at, what) in counted:
                 counted.remove((send.at, what))
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def receive_load_update(self, peer: int, data: bytes) -> None:
         """A peer has news of an engine: which one, whether it is full, its load in 32nds."""
         engine = self.marks.get(data[:4]) if len(data) == 5 else None
         if engine is not None:
             engine.load, engine.full, engine.reported = data[4] % 128 / 32.0, data[4] > 127, self.port.now()
 
-    def _reported(self, engine: Engine, r: LoadReport) -> None:
+    def _reported(self, engine: EngineState, r: LoadReport) -> None:
         now, granted, busy = self.port.now(), r.memory_granted or 0.0, r.disks_busy or 0.0
-        full = (r.waiting or 0.0) >= 1.0 or granted > 0.95 or busy > 0.95
-        load = (r.inflight or 0.0) / engine.cores + (r.waiting or 0.0) + granted + busy
-        if self.rules.peers and now > engine.reported + LATELY:  # one router's news serves all of them
+        full = (r.waiting_for_memory or 0.0) >= 1.0 or granted > 0.95 or busy > 0.95
+        load = (r.in_flight or 0.0) / engine.cores + (r.waiting_for_memory or 0.0) + granted + busy
+        if (
+            self.rules.allows_peer_messages and now > engine.reported + LATELY
+        ):  # one router's news serves all of them
             self.port.tell_peers(engine.mark + bytes([128 * full + min(127, round(32.0 * load))]))
         engine.load, engine.full, engine.reported, engine.heard = load, full, now, now
 
-    def probed(self, be: int, reached: bool, report: LoadReport | None) -> None:
+    def on_probe_result(self, be: int, reached: bool, report: LoadReport | None) -> None:
         engine = self.engines.get(be)  # perhaps gone meanwhile
         if engine and reached and report is not None:
             self._reported(engine, report)
         elif engine and not reached:
-            self.heard_badly(engine, Ending.UNREACHED)
+            self.heard_badly(engine, AttemptOutcome.UNREACHABLE)
         self.review()
 
     def _graph(self, group: int, now: float) -> Wtpg:
@@ -465,13 +531,13 @@
             graph.start[a.no] = a.work
             graph.conflicts[a.no] = {b.no: b.work for b in held if a is not b and a.conflicts(b)}
         for loads in (True, False):
-            out = [self._remaining(c, now) for c in nodes if c.out and c.profile.loads == loads]
+            out = [self._remaining(c, now) for c in nodes if c.out and c.profile.is_load == loads]
             if out:
                 graph.start[-loads] = max(out)
-                graph.precedes[-loads] = {b.no: b.work for b in held if loads or b.profile.loads}
+                graph.precedes[-loads] = {b.no: b.work for b in held if loads or b.profile.is_load}
         return graph
 
-    def _remaining(self, cmd: Command, now: float) -> float:
+    def _remaining(self, cmd: RequestState, now: float) -> float:
         """Cost still to come. On a slow engine time runs and work does not: notes and pace correct that."""
         left = cmd.work
         for send in cmd.out:
@@ -479,23 +545,23 @@
             left = min(left, cmd.work * (1.0 - send.share) if send.share else cmd.work - ran)
         return max(left, 0.0)
 
-    def _join(self, cmd: Command) -> bool:
+    def _join(self, cmd: RequestState) -> bool:
         nodes = self.graphs.setdefault(cmd.group, [])
         held = [c for c in nodes if not c.out]  # a load faces them all, a reader the loads among them
-        if len(held) <= MOST_RIVALS or not any(c.profile.loads for c in [cmd, *held]):
+        if len(held) <= MOST_RIVALS or not any(c.profile.is_load for c in [cmd, *held]):
             nodes.append(cmd)
         return cmd in nodes
 
-    def _least_e(self, cmd: Command, now: float) -> bool:
+    def _least_e(self, cmd: RequestState, now: float) -> bool:
         if not any(not c.out and c is not cmd and c.conflicts(cmd) for c in self.graphs[cmd.group]):
             return True
         graph = self._graph(cmd.group, now)
         e = graph.e(cmd.no)
         return not math.isinf(e) and all(e <= graph.e(rival) + 1e-9 for rival in graph.conflicts[cmd.no])
 
-    def _homes(self, group: int) -> dict[Engine, None]:
+    def _homes(self, group: int) -> dict[EngineState, None]:
         """The group's homes, the same at each router: first in its hash over the engines' ids."""
-        group %= MOST_HOMES
+        group %= MAX_HOME_SETS
         if group not in self.homes:
             up = sorted(self.up, key=lambda e: zlib.crc32(f"{group}/{e.entry.name}".encode()))
             self.homes[group] = dict.fromkeys(up[: math.ceil(HOMES * len(up))])
@@ -503,7 +569,7 @@
 
     def _judge(self, now: float) -> None:  # how the fleet is doing, once in a beat
         if now >= self.placed_until:  # we stood still, or nobody told us: others may have our part by now
-            self.divide(self.kept, self.among, NONE, kept=self.kept)
+            self.set_router_share(self.kept, self.among, NONE, kept=self.kept)
         if now < self.judged_at + BEAT:
             return
         self.judged_at, self.fleet_pace = now, pace_of(self.slowness, self.out, now, 1.0)
@@ -516,16 +582,18 @@
         self.mark = sum(w for _, w in self.recent_work) / max(len(self.recent_work), 1)
         self.graphs = {group: nodes for group, nodes in self.graphs.items() if nodes}
         self.turns = {k: line for k, line in self.turns.items() if not all(c.past(now) for c in line)}
-        self.bias = [(bias_of(needs, 0), bias_of(needs, 1)) for needs in self.needs]  # of their estimates
+        self.estimate_bias = [
+            (bias_of(needs, 0), bias_of(needs, 1)) for needs in self.needs
+        ]  # of their estimates
         # Guards against free commands on the few engines that a bound profile needs.
         part = (1.0 - 1.0 / self.routers) * self.cores / (sum(w for _, w in self.recent_work) or 1.0)
         used = {q: part * sum(w for p, w in self.recent_work if p == q) / c for q, c in self.bound.items()}
         for e in self.up if used else []:
             e.free = max(1.0 - sum(n for q, n in used.items() if e.takes[q]), LEAST_FREE)
 
-    def _fit(self, cmd: Command, now: float) -> list[Engine]:
+    def _fit(self, cmd: RequestState, now: float) -> list[EngineState]:
         """What the rules allow, the trusted of it unless that shuts out most; ejected ones, one at a time."""
-        if not self.may_go_again(cmd, now):
+        if not self.may_retry(cmd, now):
             return []
         allowed = [e for e in self.up if self._allowed(cmd, e, now)]
         # Guards against dead engines among few that are warm: that one refuses is no symptom but a proof.
@@ -534,41 +602,41 @@
         pool = trusted if 2 * len(trusted) >= len(allowed) else allowed
         return [e for e in pool if e not in cmd.tried] or pool
 
-    def _two(self, cmd: Command, engines: list[Engine], now: float) -> list[Engine]:
+    def _two(self, cmd: RequestState, engines: list[EngineState], now: float) -> list[EngineState]:
         """Fewest of our threads per core, chance among equals; a slow engine counts as a smaller one."""
         bound = not self.bound or cmd.index in self.bound  # else it is free
         room = {e: (1.0 if bound else e.free) * self._able(e, now) / e.pace for e in engines}
         return sorted(engines, key=lambda e: (e.threads + self._chance()) / room[e])[:2]
 
-    def _fresh(self, engine: Engine, now: float) -> bool:
-        return engine.entry.started > 0 and now - engine.entry.started < self.rules.cold_time
+    def _fresh(self, engine: EngineState, now: float) -> bool:
+        return engine.entry.started_at > 0 and now - engine.entry.started_at < self.rules.slow_start_s
 
-    def _able(self, engine: Engine, now: float) -> float:
+    def _able(self, engine: EngineState, now: float) -> float:
         """Its cores; when fresh, as far as warm, times the routers that one sponsor stands for."""
         if not self._fresh(engine, now):
             return engine.cores
         stands_for = self.among * self.slow_start_share(engine, now) / self._grown(engine, now)
         return engine.cores * self._warm(engine, now) * stands_for
 
-    def _warm(self, engine: Engine, now: float) -> float:
-        age = max((now - engine.entry.started) / self.rules.cold_time, 0.0)
-        return self.rules.cold_floor + (1.0 - self.rules.cold_floor) * age
+    def _warm(self, engine: EngineState, now: float) -> float:
+        age = max((now - engine.entry.started_at) / self.rules.slow_start_s, 0.0)
+        return self.rules.slow_start_floor + (1.0 - self.rules.slow_start_floor) * age
 
-    def _grown(self, engine: Engine, now: float) -> float:
+    def _grown(self, engine: EngineState, now: float) -> float:
         """How many times its floor a fresh engine bore when the oldest of what counts now may have left."""
-        if self.allotment is not None and self.allotment.cold(engine.entry.be) is not None:
+        if self.shared_budgets is not None and self.shared_budgets.cold(engine.entry.engine_id) is not None:
             return 1.0
-        then = now - self.rules.cold_span - self.slack
-        return self._warm(engine, then) / max(self.rules.cold_floor, 1e-9)
+        then = now - self.rules.overload_window_s - self.slack
+        return self._warm(engine, then) / max(self.rules.slow_start_floor, 1e-9)
 
-    def _cold_work(self, cmd: Command) -> float:
+    def _cold_work(self, cmd: RequestState) -> float:
         """Counted as its profile's mean, as engines' limits are, and as its own where that is more."""
-        return max(cmd.work, self.usual(cmd.index))
+        return max(cmd.work, self.mean_work(cmd.index))
 
-    def slow_start_share(self, engine: Engine, now: float) -> float:
+    def slow_start_share(self, engine: EngineState, now: float) -> float:
         """Our part of what a fresh engine bears at its start. As it warms sponsors are added, each with the
         same part; where all are, their parts grow."""
-        part = None if self.allotment is None else self.allotment.cold(engine.entry.be)
+        part = None if self.shared_budgets is None else self.shared_budgets.cold(engine.entry.engine_id)
         if part is not None or self.place == NONE:
             return part or 0.0
         grown = self._grown(engine, now)
@@ -576,12 +644,12 @@
             return grown / self.among
         return (engine.lot + 1 <= SPONSORS * grown) / SPONSORS
 
-    def _asked(self, cmd: Command, two: list[Engine], now: float) -> bool:
+    def _asked(self, cmd: RequestState, two: list[EngineState], now: float) -> bool:
         """Costly commands ask two engines for their load first, and wait for that a moment at most."""
         if not cmd.asked:
             cmd.asked_at, cmd.asked = now, two
             for engine in cmd.asked:
-                self.port.probe(engine.entry.be)
+                self.port.probe(engine.entry.engine_id)
         return now >= cmd.asked_at + BEAT or all(e.reported >= cmd.asked_at for e in cmd.asked)
 
     def _chance(self) -> float:
@@ -589,10 +657,10 @@
         self.draws += 1
         return zlib.crc32(str(zlib.crc32(f"{self.seed}/{self.draws}".encode())).encode()) / 2**32
 
-    def _room(self, cmd: Command, engine: Engine, now: float) -> bool:
+    def _room(self, cmd: RequestState, engine: EngineState, now: float) -> bool:
         """The thread bound, our part of it; it binds only under pressure, and cheap commands may pass it."""
-        memory = self.fleet.memory[engine.entry.kind] * MEMORY_PART / self.routers
-        if engine.out and self.rules.pages and engine.memory + cmd.memory > memory:
+        memory = self.fleet.memory_mb_by_kind[engine.entry.machine_kind] * MEMORY_PART / self.routers
+        if engine.out and self.rules.engines_swap and engine.memory + cmd.memory > memory:
             return False  # guards against memory that runs over, which slows all there
         if engine.pace <= STRAINED and not (engine.full and engine.reported > now - FRESH):
             return True  # it is under no pressure
@@ -603,77 +671,87 @@
         ours = sum(s.cmd.profile.threads for s in self.out) if self.strained else 0
         return not ours or ours + cmd.profile.threads <= bound * self.cores
 
-    def _allowed(self, cmd: Command, engine: Engine, now: float) -> bool:
+    def _allowed(self, cmd: RequestState, engine: EngineState, now: float) -> bool:
         p, entry, rules = cmd.profile, engine.entry, self.rules
         if engine.barred or now >= cmd.last - MARGIN / 2 or not engine.takes[cmd.index]:
             return False
-        if cmd.may_have_run is not None and p.effect is Effect.UNIQUED:
+        if cmd.may_have_run is not None and p.idempotency is Idempotency.IDEMPOTENCY_KEY:
             first = cmd.may_have_run.engine.entry
-            if not {"zone": first.zone == entry.zone, "cell": first.cell == entry.cell}.get(p.scope, True):
+            if not {"zone": first.zone == entry.zone, "cell": first.cell == entry.cell}.get(
+                p.idempotency_scope, True
+            ):
                 return False
-        allotment = self.allotment
-        if allotment is not None and not allotment.room(cmd.ref, cmd.index, cmd.tenant, entry.be):
+        allotment = self.shared_budgets
+        if allotment is not None and not allotment.room(cmd.ref, cmd.index, cmd.tenant, entry.engine_id):
             return False
         if not self._fresh(engine, now):
             return True
         # A fresh engine: no more in flight than its floor and its answers so far, and a budget of work.
-        floor = rules.cold_floor * engine.cores * self.slow_start_share(engine, now)
-        most = max(p.threads, rules.cold_multiple * floor + engine.answers)
-        if not floor or engine.threads + p.threads > most or now < self.began + rules.cold_span:
+        floor = rules.slow_start_floor * engine.cores * self.slow_start_share(engine, now)
+        most = max(p.threads, rules.overload_multiple * floor + engine.answers)
+        if not floor or engine.threads + p.threads > most or now < self.began + rules.overload_window_s:
             return False
-        budget = floor * COLD_TRUST * rules.cold_multiple * rules.cold_span
-        sent = sum(work for _, work in recent(engine.cold_sent, now - rules.cold_span - self.slack))
+        budget = floor * SLOW_START_TRUST * rules.overload_multiple * rules.overload_window_s
+        sent = sum(work for _, work in recent(engine.cold_sent, now - rules.overload_window_s - self.slack))
         return sent + self._cold_work(cmd) <= budget
 
-    def may_go_again(self, cmd: Command, now: float, spare: float = 1.0) -> bool:
+    def may_retry(self, cmd: RequestState, now: float, spare: float = 1.0) -> bool:
         """Whether the command's effect, its number of sends and the budget allow one more."""
         p, rules = cmd.profile, self.rules
-        if cmd.left >= rules.max_sends or (cmd.out and not rules.copies):
+        if cmd.left >= rules.max_attempts or (cmd.out and not rules.allows_hedging):
             return False
         doubtful = cmd.may_have_run is not None or bool(cmd.out)
-        if doubtful and p.effect is Effect.NON_REPLAYABLE:
+        if doubtful and p.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        if doubtful and p.effect is Effect.UNIQUED and now >= self._repeat_by(cmd):
+        if doubtful and p.idempotency is Idempotency.IDEMPOTENCY_KEY and now >= self._repeat_by(cmd):
             return False
         # What was sent may have left that much later, and so may this: each counts at its worst.
-        spent = len(recent(self.retries, now - rules.extra_window - self.slack))
-        took = len(recent(self.takes, now - rules.extra_window + self.slack))
-        earned = math.inf if rules.extra_share is None else rules.extra_floor + rules.extra_share * took
-        if self.allotment is not None:
-            earned = self.allotment.further(spare, earned)
+        spent = len(recent(self.retries, now - rules.retry_budget_window_s - self.slack))
+        took = len(recent(self.takes, now - rules.retry_budget_window_s + self.slack))
+        earned = (
+            math.inf
+            if rules.retry_budget_ratio is None
+            else rules.retry_budget_floor + rules.retry_budget_ratio * took
+        )
+        if self.shared_budgets is not None:
+            earned = self.shared_budgets.further(spare, earned)
         return not cmd.left or spare * (spent + 1) <= earned
 
-    def _repeat_by(self, cmd: Command) -> float:
+    def _repeat_by(self, cmd: RequestState) -> float:
         """When engines may begin to forget the first of its sends that may have run."""
-        return min(s.at for s in [cmd.may_have_run, *cmd.out] if s) + cmd.profile.window - MARGIN
+        return (
+            min(s.at for s in [cmd.may_have_run, *cmd.out] if s) + cmd.profile.idempotency_window_s - MARGIN
+        )
 
-    def _begin_by(self, cmd: Command, engine: Engine, now: float) -> float:
+    def _begin_by(self, cmd: RequestState, engine: EngineState, now: float) -> float:
         """The latest moment for a send's first byte: until then all that allows it now still does. Guards
         against mail, descriptors and connections that keep it waiting."""
-        by = [cmd.last] if self.allotment is None else [cmd.last, self.allotment.begin_by]
+        by = [cmd.last] if self.shared_budgets is None else [cmd.last, self.shared_budgets.begin_by]
         if cmd.left or self._fresh(engine, now):
             by.append(now + self.slack)
-        if cmd.profile.effect is Effect.UNIQUED and (cmd.may_have_run is not None or cmd.out):
+        if cmd.profile.idempotency is Idempotency.IDEMPOTENCY_KEY and (
+            cmd.may_have_run is not None or cmd.out
+        ):
             by.append(self._repeat_by(cmd))
         return min(by)
 
-    def _has_turn(self, cmd: Command, now: float) -> bool:
+    def _has_turn(self, cmd: RequestState, now: float) -> bool:
         line = self.turns[cmd.key] if cmd.key else [cmd]
         while line[0] is not cmd and line[0].past(now):
             line.pop(0)
         return line[0] is cmd
 
-    def _send(self, cmd: Command, engine: Engine, now: float) -> None:  # the last gate
-        allowed = self._allowed(cmd, engine, now) and self.may_go_again(cmd, now)
-        if cmd.over or not allowed or not self._has_turn(cmd, now):
+    def _send(self, cmd: RequestState, engine: EngineState, now: float) -> None:  # the last gate
+        allowed = self._allowed(cmd, engine, now) and self.may_retry(cmd, now)
+        if cmd.completed or not allowed or not self._has_turn(cmd, now):
             return
-        self.held.pop(cmd.no, None)
-        priority = 3 if cmd.work <= self.mark else 2 if cmd.profile.loads else 1
-        learned = self.rules.grants and len(self.needs[cmd.index]) >= SAMPLES // 2
+        self.pending.pop(cmd.no, None)
+        priority = 3 if cmd.work <= self.mark else 2 if cmd.profile.is_load else 1
+        learned = self.rules.accepts_memory_grants and len(self.needs[cmd.index]) >= SAMPLES // 2
         self.port.set_terms(cmd.ref, priority, 1.15 * cmd.memory if learned else 0.0)
-        if self.allotment is not None:
-            self.allotment.take(cmd.ref, cmd.sends, cmd.index, cmd.tenant, engine.entry.be)
-        send, begin_by = Send(cmd, cmd.sends, engine, now), self._begin_by(cmd, engine, now)
+        if self.shared_budgets is not None:
+            self.shared_budgets.take(cmd.ref, cmd.sends, cmd.index, cmd.tenant, engine.entry.engine_id)
+        send, begin_by = Attempt(cmd, cmd.sends, engine, now), self._begin_by(cmd, engine, now)
         if cmd.left:
             send.retry = 1.0
             self.retries.append((now, send.retry))
@@ -684,13 +762,13 @@
         for out in (cmd.out, engine.out, self.out):
             out.append(send)
         cmd.tried.append(engine)
-        if cmd.profile.loads:
+        if cmd.profile.is_load:
             engine.loading.append(cmd.group)
         engine.threads += cmd.profile.threads
         engine.memory += cmd.memory
-        self.port.send(cmd.ref, engine.entry.be, cmd.last, begin_by)
+        self.port.send(cmd.ref, engine.entry.engine_id, cmd.last, begin_by)
 
-    def heard_well(self, engine: Engine, report: LoadReport | None) -> None:
+    def heard_well(self, engine: EngineState, report: LoadReport | None) -> None:
         engine.heard, engine.refuses = self.port.now(), False
         engine.answers += 1
         engine.failed.append(False)
@@ -698,28 +776,35 @@
             self._reported(engine, report)
         engine.rest = FIRST_REST
 
-    def heard_badly(self, engine: Engine, how: Ending, cmd: Command | None = None) -> None:
+    def heard_badly(self, engine: EngineState, how: AttemptOutcome, cmd: RequestState | None = None) -> None:
         """Guards against engines that fail fast, which would look idle, and against dead ones. A command that
         errs wherever it goes speaks against one engine, not against each that it is sent to."""
         now = self.port.now()
         # It is the command that waits there, or one connection among others.
-        lives = how in (Ending.SILENT, Ending.NOT_CONNECTED) and now < engine.heard + LATELY
-        if how in (Ending.ERRED, Ending.TURNED_AWAY):
+        lives = (
+            how in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECT_TIMEOUT) and now < engine.heard + LATELY
+        )
+        if how in (AttemptOutcome.ERROR, AttemptOutcome.REJECTED):
             engine.heard = now
-        engine.refuses = how is Ending.REFUSED or (engine.refuses and engine.heard < now)
-        if how is Ending.ERRED and cmd is not None:
+        engine.refuses = how is AttemptOutcome.CONNECTION_REFUSED or (engine.refuses and engine.heard < now)
+        if how is AttemptOutcome.ERROR and cmd is not None:
             known, cmd.erred = cmd.erred, True
             if known:
                 return
-        if how is Ending.TURNED_AWAY:  # full, which is no illness but shows pressure: leave it be for a while
+        if (
+            how is AttemptOutcome.REJECTED
+        ):  # full, which is no illness but shows pressure: leave it be for a while
             engine.rests_until = max(now + FIRST_REST / 2, engine.rests_until)
             self.close_calls.append((now, 1.0))
-        elif how not in (Ending.CANCELLED, Ending.UNUSED, Ending.WITHDRAWN) and not lives:
+        elif (
+            how not in (AttemptOutcome.CANCELLED, AttemptOutcome.UNSENT, AttemptOutcome.WITHHELD)
+            and not lives
+        ):
             engine.failed.append(True)
-            if engine.rest > FIRST_REST or sum(engine.failed) >= 3 or how is not Ending.ERRED:
+            if engine.rest > FIRST_REST or sum(engine.failed) >= 3 or how is not AttemptOutcome.ERROR:
                 self._eject(engine, now, how.value)
 
-    def _eject(self, engine: Engine, now: float, why: str) -> None:
+    def _eject(self, engine: EngineState, now: float, why: str) -> None:
         if now >= engine.rests_until:
             engine.rests_until, engine.rest = now + engine.rest, min(2.0 * engine.rest, 8.0)
             self.port.log(f"engine {engine.entry.name} ejected for {engine.rests_until - now:.1f} s: {why}")
@@ -735,39 +820,41 @@
                 self._move(send, now)
         for s in [s for s in self.out if not s.stands and not s.cancelled]:
             # A runaway plan is drawn anew for each send; if the next one shows it too, the estimate is off.
-            left = (now - s.at) * ((1.0 - s.share) / s.share if s.share else UNTOLD[s.cmd.profile.waits])
+            left = (now - s.at) * (
+                (1.0 - s.share) / s.share if s.share else UNTOLD[s.cmd.profile.waits_for_loads]
+            )
             patience = RUNAWAY * 2.0**s.cmd.runaways
             if left > patience * s.cmd.alone() * s.engine.pace + 1.0 and self._move(s, now):
                 s.cmd.runaways += 1
 
-    def _move(self, send: Send, now: float) -> bool:
+    def _move(self, send: Attempt, now: float) -> bool:
         """Calls a send off and sends elsewhere, where the effect and half of the budget allow that."""
         cmd = send.cmd
-        if cmd.over or send.cancelled or len(cmd.out) > 1 or not self.rules.cancels:
+        if cmd.completed or send.cancelled or len(cmd.out) > 1 or not self.rules.allows_cancel:
             return False
-        fit = [e for e in self._fit(cmd, now) if e is not send.engine and self.may_go_again(cmd, now, 2.0)]
+        fit = [e for e in self._fit(cmd, now) if e is not send.engine and self.may_retry(cmd, now, 2.0)]
         if fit:
             self._send(cmd, self._two(cmd, fit, now)[0], now)
             send.cancelled = True
             self.port.cancel(cmd.ref, send.no)
         return bool(fit)
 
-    def usual(self, profile: int) -> float:
+    def mean_work(self, profile: int) -> float:
         works = [w for q, w in self.recent_work if q == profile] or [w for _, w in self.recent_work]
         return sum(works) / len(works) if works else 1.0
 
     def _within_share(self, ref: str, tenant: int, now: float) -> float:
         """What a tenant's commands are worth at its present rate."""
-        within = None if self.allotment is None else self.allotment.within(ref, tenant)
+        within = None if self.shared_budgets is None else self.shared_budgets.within(ref, tenant)
         if within is not None:
-            return 1.0 if within else self.rules.over_share
+            return 1.0 if within else self.rules.over_quota_weight
         times = self.tenant_takes[tenant] if 0 <= tenant < len(self.tenant_takes) else deque(maxlen=0)
         over = 0 < len(times) == times.maxlen and times[0] > now - FRESH
         times.append(now)
-        return self.rules.over_share if over else 1.0
+        return self.rules.over_quota_weight if over else 1.0
 
     def _keep_waking(self) -> None:
-        self._wake(self.port.now() + (BEAT if self.held else 4.0 * BEAT if self.out else math.inf))
+        self._wake(self.port.now() + (BEAT if self.pending else 4.0 * BEAT if self.out else math.inf))
 
     def _wake(self, at: float) -> None:
         if at < self.waking:
--- a/marbleworks/simulation/__main__.py
+++ b/marbleworks/simulation/__main__.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from marbleworks.scheduling.scheduler import Command, Gateway
-from marbleworks.settings import Deployment, DeploymentError
+from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.settings import Settings, SettingsError
 from marbleworks.simulation.wire import ENDINGS, Line, WireError, action, batches, entry, ms, need, report
 
 
-def deployment(line: Line) -> Deployment:
+def deployment(line: Line) -> Settings:
     try:
-        return Deployment(json.loads(line.tail))
-    except (ValueError, DeploymentError) as err:
+        return Settings(json.loads(line.tail))
+    except (ValueError, SettingsError) as err:
         raise WireError(f"provision: profile_data: {err}") from None
 
 
@@ -32,12 +32,12 @@
         self.deployment = deployment(line)
         self.engines: dict[str, int] = {}
         self.addresses: list[str] = []
-        self.commands: dict[str, Command] = {}
+        self.commands: dict[str, RequestState] = {}
         self.due = math.inf  # of the timers that were asked for, and can't be called off, the one that counts
-        self.gateway = Gateway(
+        self.gateway = Scheduler(
             self,
             line.whole("salt"),
-            self.deployment.profile_list,
+            self.deployment.request_classes,
             self.deployment.rules,
             self.deployment.fleet,
         )
@@ -93,23 +93,23 @@
         elif name == "timer":
             if self.now() >= self.due - ROUNDED:
                 self.due = math.inf
-                self.gateway.awake()
+                self.gateway.on_timer()
         elif name == "peers_known":
             self._listed(line, rosters)
         elif name == "aborted":
             cmd = self.commands.get(line.text("handle"))
             if cmd is not None:
-                cmd.client_left()
+                cmd.on_client_disconnect()
         elif name == "health_result":
             reached = line.text("disposition") == "delivered"
-            self.gateway.probed(self.engine(line), reached, report(line, self.deployment))
+            self.gateway.on_probe_result(self.engine(line), reached, report(line, self.deployment))
         elif name == "heard":
             body = line.text("body")
             try:
                 data = b"" if body == "-" else bytes.fromhex(body)
             except ValueError:
                 raise WireError(f"heard: body={body[:40]!r} is not hex") from None
-            self.gateway.heard(line.whole("from"), data)
+            self.gateway.receive_load_update(line.whole("from"), data)
         elif name != "first":  # streams are not among the profiles of this service
             raise WireError(f"{name[:40]}: not a known message")
         if name == "timer":
@@ -118,29 +118,29 @@
     def _take(self, line: Line) -> None:
         ref = line.text("handle")
         tenant = line.parts.get("org", "0")
-        self.commands[ref] = self.gateway.take(
+        self.commands[ref] = self.gateway.submit(
             ref,
-            profile=line.choice("cls", self.deployment.profiles),
+            profile=line.choice("cls", self.deployment.class_index),
             group=int(line.number("schema_no", 0.0)),
             key=line.parts.get("relation", ""),
             told=(line.seconds("est_cost_ms", 0.0), line.number("footprint_mb", 0.0)),
-            tenant=self.deployment.tenants.get(tenant, -1),
+            tenant=self.deployment.tenant_index.get(tenant, -1),
             came=self.now(),
             left=line.seconds("remaining_ms"),
         )
 
-    def _ended(self, cmd: Command, line: Line) -> None:
+    def _ended(self, cmd: RequestState, line: Line) -> None:
         send_no, over = line.whole("seq_no"), line.whole("complete", 0) == 1
         load = report(line, self.deployment)
         if line.text("disposition") == "delivered":
-            cmd.answered(send_no, need(line), load)
+            cmd.on_answer(send_no, need(line), load)
         else:
-            cmd.ended(send_no, line.choice("disposition", ENDINGS), over, load)
+            cmd.on_attempt_end(send_no, line.choice("disposition", ENDINGS), over, load)
 
-    def _note(self, cmd: Command, line: Line) -> None:
+    def _note(self, cmd: RequestState, line: Line) -> None:
         send_no, kind, amount = line.whole("seq_no"), line.whole("kind"), line.number("amount")
         if kind in (1, 2, 3):  # share done, spilling, standing still
-            cmd.progressed(send_no, amount if kind == 1 else None, stands=kind == 3)
+            cmd.on_progress(send_no, amount if kind == 1 else None, stands=kind == 3)
         else:
             raise WireError(f"interim: kind={kind} is not known")
 
@@ -154,10 +154,10 @@
         if number not in rosters:
             raise WireError(f"peers_known: roster_id={number} was never given")
         entries = [entry(item, self.deployment, self.engine(item)) for item in rosters[number]]
-        self.gateway.listed(entries, whole=how != "diff")
+        self.gateway.update_engines(entries, whole=how != "diff")
 
 
-class Drill:
+class Simulation:
     """All routers of one process; nothing passes between them but the batch's clock."""
 
     def __init__(self) -> None:
@@ -215,7 +215,7 @@
 
 
 def run(source: Iterable[str], sink: TextIO) -> None:
-    drill = Drill()
+    drill = Simulation()
     for now, frame, events in batches(source):
         sink.write("\n".join(drill.answer(now, frame, events)) + "\n")
         sink.flush()
--- a/marbleworks/simulation/wire.py
+++ b/marbleworks/simulation/wire.py
@@ -6,19 +6,19 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from marbleworks.model import Ending, EngineEntry, Listed, LoadReport
-from marbleworks.settings import Deployment
+from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus, LoadReport
+from marbleworks.settings import Settings
 
 ENDINGS = {
-    "app_error": Ending.ERRED,
-    "shed": Ending.TURNED_AWAY,
-    "expired": Ending.SILENT,
-    "dial_failed": Ending.UNREACHED,
-    "dropped": Ending.CUT_OFF,
-    "revoked": Ending.CANCELLED,
-    "unused": Ending.UNUSED,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.REJECTED,
+    "expired": AttemptOutcome.TIMED_OUT,
+    "dial_failed": AttemptOutcome.UNREACHABLE,
+    "dropped": AttemptOutcome.CONNECTION_LOST,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.UNSENT,
 }
-LISTED = {"IN": Listed.UP, "LAME": Listed.DRAINING, "OUT": Listed.GONE}
+LISTED = {"IN": EngineStatus.UP, "LAME": EngineStatus.DRAINING, "OUT": EngineStatus.GONE}
 
 
 class WireError(Exception):
@@ -75,17 +75,19 @@
             raise WireError(f"{self.name}: {key}={self.parts[key][:40]!r} is not known") from None
 
 
-def entry(line: Line, deployment: Deployment, be: int) -> EngineEntry:
+def entry(line: Line, deployment: Settings, be: int) -> EngineEntry:
     words = line.parts.get("site", ""), line.parts.get("machine", "")
     listed = line.choice("availability", LISTED)
     cell, started = line.whole("cohort", -1), line.seconds("started_at_ms", 0.0)
-    return deployment.entry(be, line.text("engine"), words, cell, listed, started)
+    return deployment.engine_entry(be, line.text("engine"), words, cell, listed, started)
 
 
-def report(line: Line, deployment: Deployment) -> LoadReport | None:
+def report(line: Line, deployment: Settings) -> LoadReport | None:
     row = line.parts.get("pressure", "")
     try:
-        return deployment.report(dict(zip(deployment.columns, row.split(","), strict=False)) if row else {})
+        return deployment.load_report(
+            dict(zip(deployment.load_report_columns, row.split(","), strict=False)) if row else {}
+        )
     except ValueError:
         raise WireError(f"{line.name}: pressure={row[:40]!r} is not a row of finite numbers") from None
 
--- a/marbleworks/spool/catalog.py
+++ b/marbleworks/spool/catalog.py
@@ -90,7 +90,7 @@
     until: float = -math.inf  # nothing in it is live from then on, as far as is known
 
 
-class Catalogue:
+class Catalog:
     def __init__(self, lifetimes: Lifetimes) -> None:
         self.lifetimes = lifetimes
         self.results: dict[bytes, Result] = {}
