--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from marbleworks.cells.homes import Ask, Grant, Granter, Here, Leader, Router
+from marbleworks.cells.home_leases import Ask, Grant, Granter, Here, Leader, Router
 from marbleworks.lab.explore import Broken, every_order
-from marbleworks.peers.rights import DRIFT
+from marbleworks.membership.leader_election import DRIFT
 
 LEASE, SETTLE = 1.0, 0.8
 DOUBT = 0.3  # seconds for which an engine may go on with a load that ended in doubt
@@ -187,9 +187,16 @@
 
 
 WEIGHTS = {
-    "anew": 0.04, "plan": 0.1, "learns": 0.6, "again": 0.15, "lost": 0.1, "doubt": 0.5, "begins": 2.0,
-    ">": 2.0, "time": 1.0,
-}  # fmt: skip
+    "anew": 0.04,
+    "plan": 0.1,
+    "learns": 0.6,
+    "again": 0.15,
+    "lost": 0.1,
+    "doubt": 0.5,
+    "begins": 2.0,
+    ">": 2.0,
+    "time": 1.0,
+}
 
 
 def paces(routers: int) -> list[float]:
