--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -2,7 +2,8 @@
 the cell's leader to its routers. No I/O, no clock.
 
 The same books serve each level (`budgets/allocation_ledger.py`). A `BudgetLeaseGranter` keeps those whose
-members are cells; a `BudgetLeaseHolder` is a cell's leader towards the level above: a purse whose use is what its own books may have out, and
+members are cells; a `BudgetLeaseHolder` is a cell's leader towards the level above: a purse whose use is what
+its own books may have out, and
 the backing of those books. It must never let more be given out in a cell than the cell holds, or a part be
 held for longer than the cell's lease bears. docs/design/cell-leases.md has the proof. Times are float seconds
 of one clock.
--- a/marbleworks/settings.py
+++ b/marbleworks/settings.py
@@ -1,6 +1,7 @@
-"""What a deployment tells its routers at start, decoded once: Profile, HouseRules, Fleet, indices of words.
+"""Reads the settings of a deployment, and is the only place that knows their names.
 
-Both platforms read the settings here. Nothing in this file decides, and nothing refers to a wire.
+Both platforms, the router on sockets and the simulation, read their settings here. Everything behind this
+module uses the types of `model.py`.
 """
 
 from __future__ import annotations
@@ -15,10 +16,14 @@
     EngineStatus,
     FleetInfo,
     Idempotency,
+    IdempotencyScope,
     LoadReport,
     RequestClass,
 )
 
+UNKNOWN_INDEX = -1
+"""Stands for a zone or machine kind that the settings do not name."""
+
 IDEMPOTENCY_BY_SETTING = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
@@ -37,7 +42,23 @@
 
 
 class Settings:
-    """The settings of one router, and the indices of the words they use."""
+    """The settings of one router, decoded.
+
+    Args:
+        raw: the settings as JSON decodes them.
+
+    Attributes:
+        zone_index: index of each zone by its name; so for machine kinds, tenants and request classes.
+        request_classes: the request classes, by index.
+        client_timeouts_s: how long clients wait for an answer, by request class.
+        load_report_columns: the names of a load report's columns, in order.
+        idle_timeout_s: after this time an idle connection to an engine is closed.
+        rules: what the deployment demands and allows.
+        fleet: what is known of the fleet before any engine list arrives.
+
+    Raises:
+        SettingsError: a setting is missing or has a value that it may not have.
+    """
 
     def __init__(self, raw: Any) -> None:
         try:
@@ -48,77 +69,72 @@
             raise SettingsError(f"settings: {err}") from None
 
     def _read(self, raw: dict[str, Any]) -> None:
-        def index(names: Iterable[str]) -> dict[str, int]:
-            return {name: i for i, name in enumerate(names)}
-
-        self.zone_index = index(raw["zones"])
-        self.machine_kind_index = index(raw["kinds"])
-        self.tenant_index = index(org["name"] for org in raw.get("orgs", []))
-        self.class_index = index(cls["name"] for cls in raw["classes"])
+        self.zone_index = _index(raw["zones"])
+        self.machine_kind_index = _index(raw["kinds"])
+        self.tenant_index = _index(org["name"] for org in raw.get("orgs", []))
+        self.class_index = _index(cls["name"] for cls in raw["classes"])
         self.load_report_columns: list[str] = list(raw["feedback"]["columns"])
-        limits, rules, kind = raw["policy_limits"], raw["rules"], raw["specifics"]
         self.client_timeouts_s = [cls["deadline_ms"] / 1000.0 for cls in raw["classes"]]
-        # For the platform alone: a time that a real network needs and the module does not.
-        self.idle_timeout_s = limits["idle_close_ms"] / 1000.0
-
-        def allowed(names: list[str] | None, among: dict[str, int]) -> tuple[int, ...] | None:
-            return None if not names else tuple(among.get(name, -1) for name in names)
-
+        self.idle_timeout_s = raw["policy_limits"]["idle_close_ms"] / 1000.0
         self.request_classes = [
-            RequestClass(
-                priority_weight=float(cls["credit"]),
-                latency_target_s=cls["slo_ms"] / 1000.0,
-                latency_target_growth=float(cls.get("aim_stretch", 0.0)),
-                idempotency=IDEMPOTENCY_BY_SETTING[cls["repeat"]],
-                idempotency_scope=cls.get("key_scope", "all"),
-                idempotency_window_s=cls.get("window_ms", 0.0) / 1000.0,
-                ordered_by_key=bool(cls.get("in_order", False)),
-                allowed_zones=allowed(cls.get("zones_allowed"), self.zone_index),
-                allowed_machine_kinds=allowed(cls.get("allowed_on"), self.machine_kind_index),
-                threads=int(kind["parallelism"][i]),
-                is_load=bool(kind["class_load"][i]),
-                waits_for_loads=bool(kind["class_waits"][i]),
-            )
-            for i, cls in enumerate(raw["classes"])
+            self._request_class(cls, raw["specifics"], i) for i, cls in enumerate(raw["classes"])
         ]
-        self.rules = DeploymentRules(
-            slow_start_floor=float(rules["start_capacity"]),
-            slow_start_s=rules["cold_ms"] / 1000.0,
-            overload_multiple=float(rules["fall_multiple"]),
-            overload_window_s=rules["fall_ms"] / 1000.0,
-            key_settle_s=rules.get("settle_after_doubt_ms", 0.0) / 1000.0,
-            retry_budget_floor=float(rules.get("extra_floor", 0.0)),
-            retry_budget_ratio=rules.get("repeat_ratio"),
-            retry_budget_window_s=rules.get("look_back_ms", 0.0) / 1000.0,
-            max_attempts=int(limits["max_attempts"]),
-            allows_hedging=bool(limits["second_copies"]),
-            allows_cancel=bool(limits["cancel"]),
-            accepts_memory_grants=bool(kind["takes_grants"]),
-            allows_peer_messages=bool(limits["peers"]),
-            allows_probes=bool(limits["probing"]),
-            engines_swap=kind["when_short"] == "swap",
-            connect_timeout_s=limits["connect_timeout_ms"] / 1000.0,
-            max_retry_after_s=limits["max_retry_after_ms"] / 1000.0 if limits["retry_after"] else 0.0,
-            over_quota_weight=float(raw.get("over_share_worth", 1.0)),
-            tenant_rates_per_s=tuple(float(org.get("quota_per_s", 0.0)) for org in raw.get("orgs", [])),
+        self.rules = _rules(raw)
+        self.fleet = self._fleet(raw)
+
+    def _request_class(self, cls: dict[str, Any], specifics: dict[str, Any], i: int) -> RequestClass:
+        return RequestClass(
+            priority_weight=float(cls["credit"]),
+            latency_target_s=cls["slo_ms"] / 1000.0,
+            latency_target_growth=float(cls.get("aim_stretch", 0.0)),
+            idempotency=IDEMPOTENCY_BY_SETTING[cls["repeat"]],
+            idempotency_scope=IdempotencyScope(cls.get("key_scope", "all")),
+            idempotency_window_s=cls.get("window_ms", 0.0) / 1000.0,
+            ordered_by_key=bool(cls.get("in_order", False)),
+            allowed_zones=_indices(cls.get("zones_allowed"), self.zone_index),
+            allowed_machine_kinds=_indices(cls.get("allowed_on"), self.machine_kind_index),
+            threads=int(specifics["parallelism"][i]),
+            is_load=bool(specifics["class_load"][i]),
+            waits_for_loads=bool(specifics["class_waits"][i]),
         )
-        self.fleet = FleetInfo(
+
+    def _fleet(self, raw: dict[str, Any]) -> FleetInfo:
+        specifics = raw["specifics"]
+        return FleetInfo(
             router_count=int(raw.get("instances", 0)),
-            router_index=int(raw.get("me", -1)),
-            zone=self.zone_index.get(raw.get("az", ""), -1),
-            cores_by_kind=tuple(int(n) for n in kind["cores_by_kind"]),
-            memory_mb_by_kind=tuple(float(n) for n in kind["memory_by_kind_mb"]),
+            router_index=int(raw.get("me", UNKNOWN_INDEX)),
+            zone=self.zone_index.get(raw.get("az", ""), UNKNOWN_INDEX),
+            cores_by_kind=tuple(int(n) for n in specifics["cores_by_kind"]),
+            memory_mb_by_kind=tuple(float(n) for n in specifics["memory_by_kind_mb"]),
         )
 
     def engine_entry(
-        self, be: int, name: str, words: tuple[str, str], cell: int, listed: EngineStatus, started: float
+        self,
+        engine_id: int,
+        name: str,
+        words: tuple[str, str],
+        cell: int,
+        status: EngineStatus,
+        started_at: float,
     ) -> EngineEntry:
-        """An engine as a list has it; words: its zone and its kind of machine."""
-        zone, kind = self.zone_index.get(words[0], -1), self.machine_kind_index.get(words[1], -1)
-        return EngineEntry(be, name, zone, kind, cell, listed, started)
+        """Makes an engine's entry from an engine list's words; words: its zone and its machine kind."""
+        zone, machine_kind = words
+        return EngineEntry(
+            engine_id,
+            name,
+            self.zone_index.get(zone, UNKNOWN_INDEX),
+            self.machine_kind_index.get(machine_kind, UNKNOWN_INDEX),
+            cell,
+            status,
+            started_at,
+        )
 
     def load_report(self, values: Mapping[str, str]) -> LoadReport | None:
-        """A load report by the names of its columns; None where there is none."""
+        """Reads a load report from its columns' values by name; None where there are no values.
+
+        Raises:
+            ValueError: a value is no number, is below 0 or is not finite.
+        """
         if not values:
             return None
         known = {
@@ -129,3 +145,36 @@
         if not all(0 <= value < math.inf for value in known.values()):
             raise ValueError("a load report out of range")
         return LoadReport(**known)
+
+
+def _index(names: Iterable[str]) -> dict[str, int]:
+    return {name: i for i, name in enumerate(names)}
+
+
+def _indices(names: list[str] | None, index: dict[str, int]) -> tuple[int, ...] | None:
+    return None if not names else tuple(index.get(name, UNKNOWN_INDEX) for name in names)
+
+
+def _rules(raw: dict[str, Any]) -> DeploymentRules:
+    limits, rules, specifics = raw["policy_limits"], raw["rules"], raw["specifics"]
+    return DeploymentRules(
+        slow_start_floor=float(rules["start_capacity"]),
+        slow_start_s=rules["cold_ms"] / 1000.0,
+        overload_multiple=float(rules["fall_multiple"]),
+        overload_window_s=rules["fall_ms"] / 1000.0,
+        key_settle_s=rules.get("settle_after_doubt_ms", 0.0) / 1000.0,
+        retry_budget_floor=float(rules.get("extra_floor", 0.0)),
+        retry_budget_ratio=rules.get("repeat_ratio"),
+        retry_budget_window_s=rules.get("look_back_ms", 0.0) / 1000.0,
+        max_attempts=int(limits["max_attempts"]),
+        allows_hedging=bool(limits["second_copies"]),
+        allows_cancel=bool(limits["cancel"]),
+        accepts_memory_grants=bool(specifics["takes_grants"]),
+        allows_peer_messages=bool(limits["peers"]),
+        allows_probes=bool(limits["probing"]),
+        engines_swap=specifics["when_short"] == "swap",
+        connect_timeout_s=limits["connect_timeout_ms"] / 1000.0,
+        max_retry_after_s=limits["max_retry_after_ms"] / 1000.0 if limits["retry_after"] else 0.0,
+        over_quota_weight=float(raw.get("over_share_worth", 1.0)),
+        tenant_rates_per_s=tuple(float(org.get("quota_per_s", 0.0)) for org in raw.get("orgs", [])),
+    )
--- a/marbleworks/startup_signals.py
+++ b/marbleworks/startup_signals.py
@@ -1,7 +1,7 @@
-"""Signals that come before anybody can act on them: while a router is still imported and wired.
+"""Records signals that arrive while a router is still being imported and wired.
 
-It owns what has come. Without it SIGHUP would end the process, and SIGTERM end it by itself. It must never
-import anything that is slow, or act.
+Without it SIGHUP would end the process, and SIGTERM would end it without a planned stop. Nothing slow may be
+imported here: until this module is imported, signals have their default effect.
 """
 
 from __future__ import annotations
@@ -13,7 +13,11 @@
 
 
 class StartupSignals:
-    """From when it is made until others handle these signals."""
+    """Records signals from its creation until other handlers are set.
+
+    Attributes:
+        received: the numbers of the signals that arrived.
+    """
 
     def __init__(self) -> None:
         self.received: set[int] = set()
@@ -25,8 +29,10 @@
 
     @property
     def stop_requested(self) -> bool:
+        """Whether a signal asked the process to stop."""
         return bool(self.received & {signal.SIGTERM, signal.SIGINT})
 
     @property
     def reload_requested(self) -> bool:
+        """Whether a signal asked for the configuration to be read again."""
         return signal.SIGHUP in self.received
