--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -1,6 +1,6 @@
 """Rare orders: what comes between two lines is made to come there every time, on real connections.
 
-The table in docs/architecture.md names, for each wait in the life of a command, the test here.
+The table in docs/design/attempts.md names, for each wait in the life of a command, the test here.
 """
 
 from __future__ import annotations
