--- a/marbleworks/background/__init__.py
+++ b/marbleworks/background/__init__.py
@@ -1,1 +1,1 @@
-"""Work that nobody waits for, done beside the commands without delaying them."""
+"""Background tasks: work that no request waits for, within a share of the core and a rate of bytes."""
--- a/marbleworks/background/task_queue.py
+++ b/marbleworks/background/task_queue.py
@@ -1,98 +1,129 @@
-"""Which chore goes next: priorities, ages, deadlines and budgets, without I/O and without a clock.
+"""Decides which background task runs next: priorities, ages, deadlines and budgets, without I/O or a clock.
 
-It owns what waits and what was spent. It must never run a chore: whoever does asks `next`, does one step and
-says what that step took by `spent`. Times are float seconds on any one clock.
+The queue runs nothing: its owner asks `TaskQueue.next_task`, runs one step of that task and reports its cost
+with `TaskQueue.record_step`. Times are float seconds of any one clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BURST = 0.25  # seconds of either budget that may be saved up
-MOST_WAITING = 256  # chores; a subsystem has a handful of each kind
+BURST_S = 0.25
+"""Seconds of a budget's rate that may be saved up."""
+MAX_WAITING_TASKS = 256
+ROUNDING_S = 1e-6
+"""Added to a time of refill, so that the budget is above zero when it comes."""
 
 
 @dataclass(eq=False)
 class Task:
-    """One piece of work in steps. A smaller priority goes first; deadline: when it must have begun."""
+    """One piece of work in steps.
+
+    Attributes:
+        name: for the log.
+        priority: a smaller one runs first.
+        waiting_since: when it was added, or made its last step.
+        deadline: when it must have begun; None: at any time.
+    """
 
     name: str
     priority: int
-    since: float  # waits, or last made a step, since then
+    waiting_since: float
     deadline: float | None = None
 
 
-class Budget:
-    """So much a second, a burst of it saved up at most. What was overdrawn is paid back before more is
-    had."""
+class RateBudget:
+    """A token bucket: a rate a second with a bounded burst, which a step may overdraw.
 
-    def __init__(self, pace: float) -> None:
-        self.pace, self.left = pace, pace * BURST
-        self.at: float | None = None
+    What is overdrawn is refilled before anything else may be spent.
+    """
 
-    def filled(self, now: float) -> float:
-        if self.at is not None:
-            self.left = min(self.left + self.pace * max(now - self.at, 0.0), self.pace * BURST)
-        self.at = now
-        return self.left
+    def __init__(self, rate_per_s: float) -> None:
+        self.rate_per_s = rate_per_s
+        self.available = rate_per_s * BURST_S
+        self.refilled_at: float | None = None
 
-    def ready(self, now: float) -> float:
-        """When something of it may be spent again."""
-        left = self.filled(now)
-        return now if left > 0 else now - left / self.pace + 1e-6
+    def refill(self, now: float) -> float:
+        """Returns what is available now; below zero while overdrawn."""
+        if self.refilled_at is not None:
+            earned = self.rate_per_s * max(now - self.refilled_at, 0.0)
+            self.available = min(self.available + earned, self.rate_per_s * BURST_S)
+        self.refilled_at = now
+        return self.available
+
+    def available_at(self, now: float) -> float:
+        """Returns when something may be spent again."""
+        available = self.refill(now)
+        return now if available > 0 else now - available / self.rate_per_s + ROUNDING_S
 
 
 class TaskQueue:
-    """The chores that wait, and the two budgets: time on the core (share) and bytes a second.
+    """The waiting tasks and their two budgets: time on the core and bytes read or written.
+
+    A task whose deadline has passed runs first, the earliest deadline of them. Otherwise the smallest priority
+    less the age in units of `max_wait_s` runs, so that no task starves. While the router is backlogged, a task
+    runs only when its deadline has passed or it has waited for `max_wait_s`. The budgets bind every task.
 
-    A chore whose deadline has passed goes first, the earliest of them. Else the least priority less its age
-    in units of patience, so that none waits for ever. While the desk is behind, a chore goes only when its
-    deadline has passed or it has waited for patience. Budgets bind all alike.
+    Args:
+        core_share: share of the core, seconds a second.
+        bytes_per_s: bytes read or written a second.
+        max_wait_s: the wait after which a task runs although the router is backlogged.
     """
 
-    def __init__(self, core: float, pace: float, patience: float) -> None:
-        self.core, self.bytes, self.patience = Budget(core), Budget(pace), patience
+    def __init__(self, core_share: float, bytes_per_s: float, max_wait_s: float) -> None:
+        self.core_budget = RateBudget(core_share)
+        self.io_budget = RateBudget(bytes_per_s)
+        self.max_wait_s = max_wait_s
         self.waiting: list[Task] = []
 
-    def change(self, core: float, pace: float, patience: float) -> None:
-        self.core.pace, self.bytes.pace, self.patience = core, pace, patience
+    def set_limits(self, core_share: float, bytes_per_s: float, max_wait_s: float) -> None:
+        """Changes the limits that the queue was made with."""
+        self.core_budget.rate_per_s = core_share
+        self.io_budget.rate_per_s = bytes_per_s
+        self.max_wait_s = max_wait_s
 
-    def add(self, chore: Task) -> bool:
-        """Whether there was room for it among those that wait."""
-        if len(self.waiting) >= MOST_WAITING:
+    def add(self, task: Task) -> bool:
+        """Adds a task; returns False where the queue is full."""
+        if len(self.waiting) >= MAX_WAITING_TASKS:
             return False
-        self.waiting.append(chore)
+        self.waiting.append(task)
         return True
 
-    def remove(self, chore: Task) -> None:
-        if chore in self.waiting:
-            self.waiting.remove(chore)
+    def remove(self, task: Task) -> None:
+        """Removes a task, if it is there."""
+        if task in self.waiting:
+            self.waiting.remove(task)
 
-    def next(self, now: float, behind: bool) -> Task | None:
-        """The chore whose step goes now; it stays among those that wait until removed."""
-        if self.core.filled(now) <= 0 or self.bytes.filled(now) <= 0:
+    def next_task(self, now: float, backlogged: bool) -> Task | None:
+        """Returns the task whose step runs now, or None; it stays in the queue until removed."""
+        if self.core_budget.refill(now) <= 0 or self.io_budget.refill(now) <= 0:
             return None
-        late = [c for c in self.waiting if c.deadline is not None and now >= c.deadline]
-        if late:
-            return min(late, key=lambda c: c.deadline or 0.0)
-        ready = [c for c in self.waiting if not behind or now - c.since >= self.patience]
-        return min(ready, key=lambda c: c.priority - (now - c.since) / self.patience) if ready else None
-
-    def spent(self, chore: Task, now: float, seconds: float, count: float) -> None:
-        """A step of it took so much time on the core and so many bytes."""
-        chore.since = now
-        self.core.filled(now)
-        self.bytes.filled(now)
-        self.core.left -= seconds
-        self.bytes.left -= count
-
-    def wake(self, now: float, behind: bool) -> float | None:
-        """When to ask again; None while nothing waits."""
+        overdue = [task for task in self.waiting if task.deadline is not None and now >= task.deadline]
+        if overdue:
+            return min(overdue, key=lambda task: task.deadline or 0.0)
+        ready = [
+            task for task in self.waiting if not backlogged or now - task.waiting_since >= self.max_wait_s
+        ]
+        return min(ready, key=lambda task: self._rank(task, now)) if ready else None
+
+    def _rank(self, task: Task, now: float) -> float:
+        return task.priority - (now - task.waiting_since) / self.max_wait_s
+
+    def record_step(self, task: Task, now: float, core_s: float, io_bytes: float) -> None:
+        """Charges a step of the task to the budgets."""
+        task.waiting_since = now
+        self.core_budget.refill(now)
+        self.io_budget.refill(now)
+        self.core_budget.available -= core_s
+        self.io_budget.available -= io_bytes
+
+    def next_wakeup(self, now: float, backlogged: bool) -> float | None:
+        """Returns when to ask `next_task` again; None while no task waits."""
         if not self.waiting:
             return None
-        paid = max(self.core.ready(now), self.bytes.ready(now))
-        if not behind:
-            return paid
-        given = [c.since + self.patience for c in self.waiting]
-        given += [c.deadline for c in self.waiting if c.deadline is not None]
-        return max(paid, min(given))
+        refilled = max(self.core_budget.available_at(now), self.io_budget.available_at(now))
+        if not backlogged:
+            return refilled
+        allowed = [task.waiting_since + self.max_wait_s for task in self.waiting]
+        allowed += [task.deadline for task in self.waiting if task.deadline is not None]
+        return max(refilled, min(allowed))
--- a/marbleworks/background/task_runner.py
+++ b/marbleworks/background/task_runner.py
@@ -1,7 +1,7 @@
-"""Runs chores step by step beside the commands, on a thread of its own where they touch files.
+"""Runs background tasks step by step beside the requests, blocking calls on a thread of their own.
 
-It owns the thread and asks `order.py` which chore goes next. It must never run two steps at once, or hold up
-the hub: a step that needs a file or a long computation hands that over as Aside.
+A step runs in the hub's thread, so it must be short: a file access or a long computation is yielded as an
+`OffloadedCall`. `task_queue` decides which task's step runs next; no two run at once.
 """
 
 from __future__ import annotations
@@ -14,170 +14,253 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
+from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_queue import Task, TaskQueue
-from marbleworks.background.threads import Threads
+from marbleworks.background.threads import WorkerThreads
 from marbleworks.net.actor import LOG, clock, spawn
 
-LONGEST_SLEEP = 0.5  # seconds; `behind` is looked at again by then
-BEHIND = 16  # mails that wait for the desk
+MAX_SLEEP_S = 0.5
+"""The longest sleep: whether the router is backlogged is asked again by then."""
+MIN_SLEEP_S = 0.001
+STOP_TIMEOUT_S = 5.0
+BACKLOG_THRESHOLD = 16
+"""Mails in the dispatcher's mailbox above which the router is backlogged."""
 
 
 @dataclass(frozen=True)
 class OffloadedCall:
-    """Called on the chores' thread; the step gets what it returns or raises. count: bytes read and
-    written."""
+    """Yielded by a task: `work` is called on the tasks' thread, and the task gets what it returns or raises.
+
+    Attributes:
+        work: the call.
+        io_bytes: bytes that it reads or writes, for the budget.
+    """
 
     work: Callable[[], Any]
-    count: int = 0
+    io_bytes: int = 0
 
 
 @dataclass(frozen=True)
 class Wait:
-    """Something that another is doing; the step gets its outcome."""
+    """Yielded by a task: it gets the outcome of something that another greenlet does.
+
+    Attributes:
+        outcome: set or failed by the other greenlet.
+        io_bytes: bytes that this reads or writes, for the budget.
+    """
 
     outcome: AsyncResult[Any]
-    count: int = 0
+    io_bytes: int = 0
 
 
-Steps = Generator[OffloadedCall | Wait | None, Any, None]
+TaskSteps = Generator[OffloadedCall | Wait | None, Any, None]
 
 
 @dataclass(eq=False)
 class PeriodicTask:
-    """A chore that comes back: period after its end; it counts as late when it has not begun within."""
+    """A task that runs again and again.
+
+    Attributes:
+        name: for the log and for `TaskRunner.run_soon`.
+        priority: a smaller one runs first.
+        period_s: seconds from its end to its next start.
+        start: makes the generator of its steps.
+        start_within_s: after this time past `due_at` its start is overdue.
+        due_at: when it is to start next.
+        dedicated: whether it has a greenlet of its own, outside the queue and its budgets.
+        steps: the generator while it runs.
+        rerun: whether it is to start again right after its end.
+        next_value: what the next step is sent.
+        next_error: what is raised in the next step, if anything.
+        wake_event: wakes the greenlet of a dedicated task.
+    """
 
     name: str
     priority: int
-    period: Callable[[], float]
-    steps: Callable[[], Steps]
-    within: float
-    due: float = 0.0
-    apart: bool = False
-    running: Steps | None = None
-    again: bool = False  # it is wanted once more at its end
-    value: Any = None  # what the next step is sent
-    error: Exception | None = None
-    called: Event = field(default_factory=Event)  # where it runs apart
+    period_s: Callable[[], float]
+    start: Callable[[], TaskSteps]
+    start_within_s: float
+    due_at: float = 0.0
+    dedicated: bool = False
+    steps: TaskSteps | None = None
+    rerun: bool = False
+    next_value: Any = None
+    next_error: Exception | None = None
+    wake_event: Event = field(default_factory=Event)
 
 
 class TaskRunner:
-    def __init__(self, core: float, pace: float, patience: float, behind: Callable[[], bool]) -> None:
-        self.order, self.behind = TaskQueue(core, pace, patience), behind
-        self.rounds: list[PeriodicTask] = []
-        self.chores: dict[Task, PeriodicTask] = {}
-        self.pool, self.stopped, self.called = Threads(1), False, Event()
+    """Runs periodic tasks for as long as the router runs.
+
+    Args:
+        options: the tasks' share of the core, rate of bytes and longest wait.
+        is_backlogged: whether requests wait for the router.
+    """
+
+    def __init__(self, options: BackgroundOptions, is_backlogged: Callable[[], bool]) -> None:
+        self.queue = TaskQueue(options.core_share, options.bytes_per_s, options.max_wait_s)
+        self.is_backlogged = is_backlogged
+        self.periodic_tasks: list[PeriodicTask] = []
+        self.running: dict[Task, PeriodicTask] = {}
+        self.threads = WorkerThreads(1)
+        self.stopped = False
+        self.wake_event = Event()
         self.greenlet = spawn(self._run)
 
-    def every(
+    def configure(self, options: BackgroundOptions) -> None:
+        """Changes the limits while tasks run."""
+        self.queue.set_limits(options.core_share, options.bytes_per_s, options.max_wait_s)
+
+    def add_periodic(
         self,
         name: str,
         priority: int,
-        period: Callable[[], float],
-        steps: Callable[[], Steps],
-        within: float,
-        apart: bool = False,
+        period_s: Callable[[], float],
+        start: Callable[[], TaskSteps],
+        start_within_s: float,
+        dedicated: bool = False,
     ) -> None:
-        """A chore for as long as the router runs; its generator's yields are the ends of its steps. apart: it
-        is short and others rest on it, so it waits neither for them nor for the budgets."""
-        self.rounds.append(PeriodicTask(name, priority, period, steps, within, clock() + period(), apart))
-        if apart:
-            spawn(self._run_apart, self.rounds[-1])
-
-    def hurry(self, name: str) -> None:
-        """That chore is due now, or again at its end; it goes when its turn comes."""
-        for r in self.rounds:
-            if r.name == name:
-                r.due, r.again = 0.0, r.running is not None
-                (r.called if r.apart else self.called).set()
+        """Adds a task; each yield of its generator ends a step.
+
+        A dedicated task is short and others depend on it: it waits neither for them nor for the budgets.
+        """
+        due_at = clock() + period_s()
+        task = PeriodicTask(name, priority, period_s, start, start_within_s, due_at, dedicated)
+        self.periodic_tasks.append(task)
+        if dedicated:
+            spawn(self._run_dedicated, task)
+
+    def run_soon(self, name: str) -> None:
+        """Makes the task of that name due now, or again at its end if it runs."""
+        for task in self.periodic_tasks:
+            if task.name == name:
+                task.due_at = 0.0
+                task.rerun = task.steps is not None
+                (task.wake_event if task.dedicated else self.wake_event).set()
 
     def stop(self) -> None:
-        """No step begins any more; one that is under way is waited for."""
+        """Begins no further step and waits for the one that runs."""
         self.stopped = True
-        for called in (self.called, *(r.called for r in self.rounds)):
-            called.set()
-        self.greenlet.join(5.0)
+        self.wake_event.set()
+        for task in self.periodic_tasks:
+            task.wake_event.set()
+        self.greenlet.join(STOP_TIMEOUT_S)
 
     def _run(self) -> None:
         while not self.stopped:
             now = clock()
-            for r in self.rounds:
-                if r.running is None and r.due <= now and not r.apart:
-                    chore = Task(r.name, r.priority, now, now + r.within)
-                    if self.order.add(chore):
-                        r.running, r.value, r.error, self.chores[chore] = r.steps(), None, None, r
-            behind = self.behind()
-            next_one = self.order.next(now, behind)
-            if next_one is not None:
-                self._step(next_one)
+            self._queue_due_tasks(now)
+            backlogged = self.is_backlogged()
+            task = self.queue.next_task(now, backlogged)
+            if task is not None:
+                self._run_step(task)
+            else:
+                self._sleep(now, backlogged)
+
+    def _queue_due_tasks(self, now: float) -> None:
+        for periodic in self.periodic_tasks:
+            if periodic.steps is not None or periodic.due_at > now or periodic.dedicated:
                 continue
-            due = [r.due for r in self.rounds if r.running is None and not r.apart]
-            wake = self.order.wake(now, behind)
-            times = due if wake is None else [*due, wake]
-            self.called.clear()
-            self.called.wait(min(max(min(times, default=now + LONGEST_SLEEP) - now, 0.001), LONGEST_SLEEP))
-
-    def _run_apart(self, r: PeriodicTask) -> None:
-        threads = Threads(1)
+            task = Task(periodic.name, periodic.priority, now, now + periodic.start_within_s)
+            if self.queue.add(task):
+                periodic.steps = periodic.start()
+                periodic.next_value = None
+                periodic.next_error = None
+                self.running[task] = periodic
+
+    def _sleep(self, now: float, backlogged: bool) -> None:
+        times = [task.due_at for task in self.periodic_tasks if task.steps is None and not task.dedicated]
+        wakeup = self.queue.next_wakeup(now, backlogged)
+        if wakeup is not None:
+            times.append(wakeup)
+        until_next = min(times, default=now + MAX_SLEEP_S) - now
+        self.wake_event.clear()
+        self.wake_event.wait(min(max(until_next, MIN_SLEEP_S), MAX_SLEEP_S))
+
+    def _run_dedicated(self, task: PeriodicTask) -> None:
+        threads = WorkerThreads(1)
         while not self.stopped:
-            r.called.clear()
-            if r.due > clock():
-                r.called.wait(max(r.due - clock(), 0.001))
+            task.wake_event.clear()
+            if task.due_at > clock():
+                task.wake_event.wait(max(task.due_at - clock(), MIN_SLEEP_S))
                 continue
-            r.due = clock() + LONGEST_SLEEP  # a hurry that comes meanwhile brings it forward
+            task.due_at = clock() + MAX_SLEEP_S  # `run_soon` may bring it forward while it runs
             try:
-                at_once(r.steps(), threads)
-            except Exception:
-                LOG.exception("failed", work=r.name)
-                gevent.sleep(LONGEST_SLEEP)
-            r.due = min(r.due, clock() + r.period())
-
-    def _step(self, chore: Task) -> None:
-        r, spent, count = self.chores[chore], 0.0, 0
-        began, over = time.thread_time(), False
-        assert r.running is not None
-        try:
-            asked = r.running.throw(r.error) if r.error is not None else r.running.send(r.value)
-        except StopIteration:
-            asked, over = None, True
-        except Exception:
-            LOG.exception("failed", work=r.name)
-            asked, over = None, True
-        spent, r.value, r.error = time.thread_time() - began, None, None
-        if asked is not None:
-            count = asked.count
-            try:
-                if isinstance(asked, OffloadedCall):
-                    seconds, r.value = self.pool.call(_timed, asked.work)
-                    spent += seconds
-                else:
-                    r.value = asked.outcome.get()
-            except Exception as err:
-                r.error = err
-        self.order.spent(chore, clock(), spent, count)
-        if over:
-            self.order.remove(chore)
-            del self.chores[chore]
-            r.running, r.due, r.again = None, clock() + (0.0 if r.again else r.period()), False
+                run_to_end(task.start(), threads)
+            except Exception:  # noqa: BLE001 - a failed run is logged, and the next one follows
+                LOG.exception("failed", work=task.name)
+                gevent.sleep(MAX_SLEEP_S)
+            task.due_at = min(task.due_at, clock() + task.period_s())
+
+    def _run_step(self, task: Task) -> None:
+        periodic = self.running[task]
+        began = time.thread_time()
+        finished, yielded = _resume(periodic)
+        core_s = time.thread_time() - began
+        periodic.next_value = None
+        periodic.next_error = None
+        io_bytes = 0
+        if yielded is not None:
+            io_bytes = yielded.io_bytes
+            core_s += self._fulfil(periodic, yielded)
+        self.queue.record_step(task, clock(), core_s, io_bytes)
+        if finished:
+            self._finish(task)
         gevent.sleep(0)
 
+    def _fulfil(self, periodic: PeriodicTask, yielded: OffloadedCall | Wait) -> float:
+        """Does what the step asked for; returns the seconds of the core that it took on the tasks' thread."""
+        core_s = 0.0
+        try:
+            if isinstance(yielded, OffloadedCall):
+                core_s, periodic.next_value = self.threads.call(_timed, yielded.work)
+            else:
+                periodic.next_value = yielded.outcome.get()
+        except Exception as error:  # noqa: BLE001 - it is raised in the task's next step
+            periodic.next_error = error
+        return core_s
+
+    def _finish(self, task: Task) -> None:
+        periodic = self.running.pop(task)
+        self.queue.remove(task)
+        periodic.steps = None
+        periodic.due_at = clock() + (0.0 if periodic.rerun else periodic.period_s())
+        periodic.rerun = False
+
+
+def _resume(periodic: PeriodicTask) -> tuple[bool, OffloadedCall | Wait | None]:
+    """Runs the task to its next yield; returns whether it finished, and what it yielded."""
+    assert periodic.steps is not None
+    try:
+        return False, _advance(periodic.steps, periodic.next_value, periodic.next_error)
+    except StopIteration:
+        pass
+    except Exception:  # noqa: BLE001 - a failed task is logged, and runs again after its period
+        LOG.exception("failed", work=periodic.name)
+    return True, None
+
+
+def _advance(steps: TaskSteps, value: Any, error: Exception | None) -> OffloadedCall | Wait | None:
+    return steps.throw(error) if error is not None else steps.send(value)
+
 
-def at_once(steps: Steps, threads: Threads) -> None:
-    """A chore's steps from the first to the last, here and now; what it asks aside goes to those threads."""
+def run_to_end(steps: TaskSteps, threads: WorkerThreads) -> None:
+    """Runs a task's steps from the first to the last; blocking calls go to `threads`."""
     value: Any = None
     error: Exception | None = None
     while True:
         try:
-            asked = steps.throw(error) if error is not None else steps.send(value)
+            yielded = _advance(steps, value, error)
         except StopIteration:
             return
         value = error = None
         try:
-            if isinstance(asked, OffloadedCall):
-                value = threads.call(asked.work)
-            elif asked is not None:
-                value = asked.outcome.get()
-        except Exception as err:
-            error = err
+            if isinstance(yielded, OffloadedCall):
+                value = threads.call(yielded.work)
+            elif yielded is not None:
+                value = yielded.outcome.get()
+        except Exception as caught:  # noqa: BLE001 - it is raised in the task's next step
+            error = caught
 
 
 def _timed(work: Callable[[], Any]) -> tuple[float, Any]:
--- a/marbleworks/background/threads.py
+++ b/marbleworks/background/threads.py
@@ -1,7 +1,4 @@
-"""Threads for work that would hold up the hub.
-
-It owns its threads, and must never print what fails there: the error goes to whoever asked.
-"""
+"""Threads for calls that would block the hub."""
 
 from __future__ import annotations
 
@@ -11,20 +8,27 @@
 from gevent.threadpool import ThreadPool
 
 
-class Threads:
+class WorkerThreads:
+    """A pool of threads that greenlets hand blocking calls to.
+
+    Args:
+        size: how many threads there are at most.
+    """
+
     def __init__(self, size: int) -> None:
         self.pool = ThreadPool(size)
 
     def call(self, work: Callable[..., Any], *args: Any) -> Any:
-        """Waits for the work on a thread while other greenlets go on; gives or raises what it does."""
-        value, err = self.pool.apply(_caught, (work, args))
-        if err is not None:
-            raise err
+        """Calls `work` on a thread while other greenlets go on; returns or raises what it does."""
+        value, error = self.pool.apply(_call_and_catch, (work, args))
+        if error is not None:
+            raise error
         return value
 
 
-def _caught(work: Callable[..., Any], args: tuple[Any, ...]) -> tuple[Any, Exception | None]:
+def _call_and_catch(work: Callable[..., Any], args: tuple[Any, ...]) -> tuple[Any, Exception | None]:
+    """Returns the error as a value: the pool would print a traceback of one that is raised."""
     try:
         return work(*args), None
-    except Exception as err:
-        return None, err
+    except Exception as error:  # noqa: BLE001 - it is raised again where the call was made
+        return None, error
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -19,8 +19,8 @@
 from gevent.event import AsyncResult, Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.background.task_runner import OffloadedCall, Steps, TaskRunner, Wait
-from marbleworks.background.threads import Threads
+from marbleworks.background.task_runner import OffloadedCall, TaskRunner, TaskSteps, Wait
+from marbleworks.background.threads import WorkerThreads
 from marbleworks.net.actor import LOG, clock, spawn
 from marbleworks.ports import ResultNotStoredError
 from marbleworks.spool.catalog import USABLE, Catalog, Lifetimes, Result, digest, place
@@ -63,7 +63,7 @@
         heed: float,
         chores: TaskRunner,
         disk: Disk | None = None,
-        threads: Callable[[int], Any] = Threads,
+        threads: Callable[[int], Any] = WorkerThreads,
     ) -> None:
         """heed: the longest time to come back that clients heed. threads: makes so many of them."""
         self.terms, self.chores = terms, chores
@@ -91,10 +91,10 @@
         self.scrubbed = (0, 0)  # segment and offset
         self._open(terms["hand-over"])
         self.greenlet = spawn(self._write)
-        chores.every("expiry", 0, self._next_look, self._expiry, 0.0, apart=True)
-        chores.every("checkpoint", 1, lambda: self.terms["checkpoint"], self._checkpoint, 10.0)
-        chores.every("compaction", 2, lambda: 0.5, self._compaction, 60.0)
-        chores.every("scrub", 3, lambda: 1.0, self._scrub, 3600.0)
+        chores.add_periodic("expiry", 0, self._next_look, self._expiry, 0.0, dedicated=True)
+        chores.add_periodic("checkpoint", 1, lambda: self.terms["checkpoint"], self._checkpoint, 10.0)
+        chores.add_periodic("compaction", 2, lambda: 0.5, self._compaction, 60.0)
+        chores.add_periodic("scrub", 3, lambda: 1.0, self._scrub, 3600.0)
 
     def _open(self, patience: float) -> None:
         """Takes the folder, from the router before us if there is one. Raises FolderHeld or OSError."""
@@ -209,8 +209,8 @@
             entries = [Entry(Kind.DROP, number, last, b"", 0) for number, last in drops]
             self.submit(partial(list, entries), False, None, partial(self._dropped, drops))
             if self.catalogue.used > TIGHT * self.terms["room"]:
-                self.chores.hurry("expiry")
-                self.chores.hurry("compaction")
+                self.chores.run_soon("expiry")
+                self.chores.run_soon("compaction")
 
     def _dropped(self, drops: list[tuple[int, int]], spots: list[Spot]) -> None:
         for drop, (at, _) in zip(drops, spots, strict=True):
@@ -298,7 +298,7 @@
         loose = {number: sheet.placed() for number, sheet in self.sheets.items() if sheet.spots}
         return State(*self.position, list(self.catalogue.results.values()), loose)
 
-    def _expiry(self) -> Steps:
+    def _expiry(self) -> TaskSteps:
         """Ends results in their time and, while room is tight, deletes at once the files in which nothing is
         live: promises rest on that, so it waits neither for other chores nor for a sync. A checkpoint may
         then name files that have gone; what lay in them was over."""
@@ -343,7 +343,7 @@
         placed = {spot[0] >> 32 for sheet in self.sheets.values() for spot in sheet.spots}
         return placed | set(self.doomed) | self.going | self.emptying
 
-    def _checkpoint(self) -> Steps:
+    def _checkpoint(self) -> TaskSteps:
         doomed = list(self.doomed)
         self.states = mine = self.states + 1
         # On the thread a place may be read before or after a segment is emptied: either copy is there until a
@@ -361,7 +361,7 @@
         finally:
             self._gone(going)
 
-    def _compaction(self) -> Steps:
+    def _compaction(self) -> TaskSteps:
         """Empties the segments that are least worth keeping, and has them go with a checkpoint."""
         copied = 0
         for _ in range(MOST_EMPTIED):
@@ -384,7 +384,7 @@
         if dead > (0.02 if self.catalogue.used > TIGHT * self.terms["room"] else 0.2) * self.terms["room"]:
             yield from self._checkpoint()
 
-    def _emptied(self, number: int) -> Steps:
+    def _emptied(self, number: int) -> TaskSteps:
         """Copies what is live in a segment, and the drops that are still needed, to the end."""
         oldest = min((n for n in self.catalogue.segments if n != number), default=number)
         generation = self.store.generation
@@ -443,7 +443,7 @@
         at = entry.page
         return result is not None and at <= result.pages and result.places[at] == place(segment, found.offset)
 
-    def _scrub(self) -> Steps:
+    def _scrub(self) -> TaskSteps:
         """Reads each record again once in the time for that; a result with a spoilt one is lost at once, not
         when its reader comes."""
         budget = self.catalogue.used / self.terms["scrub"]  # bytes for this second
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, cast
 
+from marbleworks.background.options import BackgroundOptions
 from marbleworks.net.actor import LOG
 from marbleworks.operator_config.document import OperatorConfig, OperatorConfigError, changes
 from marbleworks.settings import Settings, SettingsError
@@ -59,12 +60,12 @@
                 self.steward.viewed.append(lambda starts: desk.post(shares.viewed, starts))
         if not self.book.has("spool"):
             return
-        from marbleworks.background.task_runner import BEHIND, TaskRunner
+        from marbleworks.background.task_runner import BACKLOG_THRESHOLD, TaskRunner
         from marbleworks.spool.service import FolderLockedError, SpoolService
 
-        terms = self.book["background"]
         self.chores = TaskRunner(
-            terms["core"], terms["bytes"], terms["patience"], lambda: desk.mailbox.qsize() > BEHIND
+            BackgroundOptions.from_section(self.book["background"]),
+            lambda: desk.mailbox.qsize() > BACKLOG_THRESHOLD,
         )
         try:
             self.shelf = self.keeper = SpoolService(
@@ -120,8 +121,7 @@
             return
         live, restart = changes(self.book, new)
         if "background" in live and self.chores is not None:
-            terms = new["background"]
-            self.chores.order.change(terms["core"], terms["bytes"], terms["patience"])
+            self.chores.configure(BackgroundOptions.from_section(new["background"]))
         if "spool" in live and self.keeper is not None:
             self.keeper.change(live["spool"])
         if "door" in live and self.porter is not None:
--- a/tests/background/test_background.py
+++ b/tests/background/test_background.py
@@ -8,8 +8,9 @@
 from gevent.event import AsyncResult, Event
 
 from marbleworks.background import task_runner as worker
+from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_queue import Task, TaskQueue
-from marbleworks.background.task_runner import OffloadedCall, Steps, TaskRunner, Wait
+from marbleworks.background.task_runner import OffloadedCall, TaskRunner, TaskSteps, Wait
 
 
 def played(
@@ -20,14 +21,14 @@
     for chore in chores:
         order.add(chore)
     while now < seconds:
-        chore = order.next(now, behind)
+        chore = order.next_task(now, behind)
         if chore is None:
-            wake = order.wake(now, behind)
+            wake = order.next_wakeup(now, behind)
             now = max(now + 0.001, min(wake if wake is not None else seconds, seconds))
             continue
         went.append(chore.name)
         now += step
-        order.spent(chore, now, step, 1e4)
+        order.record_step(chore, now, step, 1e4)
     return went
 
 
@@ -36,9 +37,9 @@
     urgent, later, late = Task("urgent", 0, 0.0), Task("later", 9, 0.0, 3.0), Task("late", 9, 0.0, 2.0)
     for chore in (urgent, later, late):
         order.add(chore)
-    assert order.next(1.0, False) is urgent and order.next(4.0, False) is late
+    assert order.next_task(1.0, False) is urgent and order.next_task(4.0, False) is late
     order.remove(late)
-    assert order.next(4.0, False) is later
+    assert order.next_task(4.0, False) is later
 
 
 def test_no_chore_waits_for_ever_behind_a_more_important_one() -> None:
@@ -58,7 +59,7 @@
     assert went[0] == "due" and "patient" not in went
     went = played(TaskQueue(0.5, 1e9, 5.0), [Task("patient", 0, 0.0)], 20.5, behind=True)
     assert len(went) == 4  # one step each 5 s
-    assert TaskQueue(0.5, 1e9, 5.0).wake(0.0, True) is None
+    assert TaskQueue(0.5, 1e9, 5.0).next_wakeup(0.0, True) is None
 
 
 def test_the_table_of_chores_is_bounded() -> None:
@@ -79,22 +80,26 @@
 ) -> None:
     logged: list[str] = []  # else the trace is drawn for a terminal, which takes long
     monkeypatch.setattr(worker.LOG, "exception", lambda event, work: logged.append(work))
-    chores, seen, ticks = TaskRunner(0.5, 1e9, 1.0, lambda: False), list[object](), list[float]()
+    chores, seen, ticks = (
+        TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False),
+        list[object](),
+        list[float](),
+    )
 
-    def slow() -> Steps:
+    def slow() -> TaskSteps:
         seen.append((yield OffloadedCall(lambda: time.sleep(0.3) or 7, 100)))
         try:
             yield OffloadedCall(lambda: 1 // 0)
         except ZeroDivisionError as err:
             seen.append(type(err))
 
-    def broken() -> Steps:
+    def broken() -> TaskSteps:
         seen.append("broken")
         raise RuntimeError("on purpose")
         yield None
 
-    chores.every("slow", 1, lambda: 0.01, slow, 1.0)
-    chores.every("broken", 2, lambda: 0.05, broken, 1.0)
+    chores.add_periodic("slow", 1, lambda: 0.01, slow, 1.0)
+    chores.add_periodic("broken", 2, lambda: 0.05, broken, 1.0)
     began = time.monotonic()
     while time.monotonic() < began + 0.8:
         gevent.sleep(0.01)
@@ -105,24 +110,24 @@
 
 
 def test_a_chore_apart_waits_for_no_other_and_is_hurried_while_it_runs() -> None:
-    chores, seen, go = TaskRunner(0.01, 1.0, 1.0, lambda: True), list[str](), Event()
+    chores, seen, go = TaskRunner(BackgroundOptions(0.01, 1.0, 1.0), lambda: True), list[str](), Event()
 
-    def slow() -> Steps:
+    def slow() -> TaskSteps:
         seen.append("slow")
         yield Wait(held, 10**9)
 
-    def apart() -> Steps:
+    def apart() -> TaskSteps:
         seen.append("apart")
         if len(seen) < 4:
-            chores.hurry("apart")  # it is wanted again before it has ended
+            chores.run_soon("apart")  # it is wanted again before it has ended
         else:
             go.set()
         yield OffloadedCall(lambda: None)
 
     held: AsyncResult[None] = AsyncResult()
-    chores.every("slow", 0, lambda: 0.001, slow, 0.0)
-    chores.every("apart", 1, lambda: 60.0, apart, 0.0, apart=True)
-    chores.hurry("apart")
+    chores.add_periodic("slow", 0, lambda: 0.001, slow, 0.0)
+    chores.add_periodic("apart", 1, lambda: 60.0, apart, 0.0, dedicated=True)
+    chores.run_soon("apart")
     assert go.wait(5.0) and seen.count("apart") >= 3
     held.set(None)
     chores.stop()
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -17,6 +17,7 @@
 from gevent import socket, subprocess
 from gevent.lock import BoundedSemaphore
 
+from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_runner import TaskRunner
 from marbleworks.lab.kills import rounds
 from marbleworks.lab.stage import Stage
@@ -72,7 +73,7 @@
         self.desk.post(self.desk.update_engines, listing, True)
         self.front = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(400))
         given = sections_of(f'(spool (folder "{folder}") (room 20 MB) (share 100 %))')["spool"] | terms
-        self.chores = TaskRunner(0.5, 1e9, 1.0, lambda: False)
+        self.chores = TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False)
         self.keeper = SpoolService(given, 2.0, self.chores, disk)
         self.front.shelf = self.keeper
 
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from marbleworks.background.task_runner import Steps, at_once
+from marbleworks.background.task_runner import TaskSteps, run_to_end
 from marbleworks.spool.disk import Disk
 
 
@@ -135,14 +135,14 @@
     """In place of the scheduler: a chore runs from start to end when the test says so."""
 
     def __init__(self) -> None:
-        self.steps: dict[str, Callable[[], Steps]] = {}
+        self.steps: dict[str, Callable[[], TaskSteps]] = {}
 
     def every(
         self,
         name: str,
         priority: int,
         period: object,
-        steps: Callable[[], Steps],
+        steps: Callable[[], TaskSteps],
         within: float,
         apart: bool = False,
     ) -> None:
@@ -151,4 +151,4 @@
     def hurry(self, name: str) -> None: ...
 
     def run(self, name: str) -> None:
-        at_once(self.steps[name](), InStep(1))  # type: ignore[arg-type]
+        run_to_end(self.steps[name](), InStep(1))  # type: ignore[arg-type]
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -17,6 +17,7 @@
 import pytest
 import zstandard
 
+from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_runner import TaskRunner
 from marbleworks.budgets import codec as budgets
 from marbleworks.cells.plan import Cell, Loan, Part, Plan
@@ -363,7 +364,7 @@
 
 def keeper_of(folder: Path) -> SpoolService:
     """As a router's start makes it, but no chore runs and no result ever ends."""
-    chores = TaskRunner(0.5, 1e9, 1.0, lambda: False)
+    chores = TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False)
     chores.stop()
     terms: dict[str, Any] = {setting.name: setting.default for setting in SPOOL.settings}
     terms |= {name: WHOLE_FOLDER_LIVES for name in ("keep", "unread", "longest")}
