--- a/marbleworks/background/task_queue.py
+++ b/marbleworks/background/task_queue.py
@@ -60,9 +60,10 @@
 class TaskQueue:
     """The waiting tasks and their two budgets: time on the core and bytes read or written.
 
-    A task whose deadline has passed runs first, the earliest deadline of them. Otherwise the smallest priority
-    less the age in units of `max_wait_s` runs, so that no task starves. While the router is backlogged, a task
-    runs only when its deadline has passed or it has waited for `max_wait_s`. The budgets bind every task.
+    A task whose deadline has passed runs first, the earliest deadline of them. Otherwise the smallest
+    priority less the age in units of `max_wait_s` runs, so that no task starves. While the router is
+    backlogged, a task runs only when its deadline has passed or it has waited for `max_wait_s`. The budgets
+    bind every task.
 
     Args:
         core_share: share of the core, seconds a second.
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -137,18 +137,18 @@
     def __init__(self) -> None:
         self.steps: dict[str, Callable[[], TaskSteps]] = {}
 
-    def every(
+    def add_periodic(
         self,
         name: str,
         priority: int,
         period: object,
-        steps: Callable[[], TaskSteps],
-        within: float,
-        apart: bool = False,
+        start: Callable[[], TaskSteps],
+        start_within_s: float,
+        dedicated: bool = False,
     ) -> None:
-        self.steps[name] = steps
+        self.steps[name] = start
 
-    def hurry(self, name: str) -> None: ...
+    def run_soon(self, name: str) -> None: ...
 
     def run(self, name: str) -> None:
         run_to_end(self.steps[name](), InStep(1))  # type: ignore[arg-type]
