--- /dev/null
+++ b/marbleworks/cli/membership.py
@@ -0,0 +1,40 @@
+"""The group `peers`: what a running router believes of its group."""
+
+from __future__ import annotations
+
+import typer
+
+from marbleworks.cli.errors import failure
+
+app = typer.Typer(no_args_is_help=True, help="What a running router believes of its group.")
+ADDRESS = typer.Argument(..., help="host:port where the router listens for clients.")
+
+
+@app.command("show")
+def show(address: str = ADDRESS) -> None:
+    """Print a router's view, doubts and rights as a table."""
+    from marbleworks.membership.report import HealthQueryError, asked, table
+
+    try:
+        for line in table(asked(address)):
+            typer.echo(line)
+    except HealthQueryError as error:
+        raise failure(f"{address}: {error}") from None
+
+
+@app.command("watch")
+def watch(
+    address: str = ADDRESS,
+    every: float = typer.Option(0.5, min=0.1, max=60.0, help="Seconds between looks."),
+    times: int = typer.Option(0, min=0, help="So many looks; 0: until interrupted."),
+) -> None:
+    """Print a line for each change of a router's view or standing."""
+    from marbleworks.membership.report import HealthQueryError, watched
+
+    try:
+        for line in watched(address, every, times):
+            typer.echo(line)
+    except HealthQueryError as error:
+        raise failure(f"{address}: {error}") from None
+    except KeyboardInterrupt:
+        pass
