--- a/marbleworks/background/options.py
+++ b/marbleworks/background/options.py
@@ -13,17 +13,25 @@
     "chores beside the commands: expiry, compaction, checkpoints, scrubbing",
     (
         Setting(
-            "core", ValueType.SHARE, "The part of the core that chores may use.", 0.1, 0.01, 0.5, live=True
+            "core",
+            ValueType.SHARE,
+            "The part of the core that chores may use.",
+            0.1,
+            0.01,
+            0.5,
+            reloadable=True,
+        ),
+        Setting(
+            "bytes", ValueType.RATE, "Bytes that chores may read and write.", 20e6, 1e5, 2e9, reloadable=True
         ),
-        Setting("bytes", ValueType.PACE, "Bytes that chores may read and write.", 20e6, 1e5, 2e9, live=True),
         Setting(
             "patience",
-            ValueType.SPAN,
+            ValueType.DURATION,
             "After this long a chore goes although the desk is behind.",
             10.0,
             0.1,
             600.0,
-            live=True,
+            reloadable=True,
         ),
     ),
 )
--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -20,17 +20,28 @@
     "budgets of the whole fleet, divided among routers by need",
     (
         Setting(
-            "version", ValueType.COUNT, "Of these wholes: raise it at each change.", 1, 0, 1 << 30, live=True
+            "version",
+            ValueType.COUNT,
+            "Of these wholes: raise it at each change.",
+            1,
+            0,
+            1 << 30,
+            reloadable=True,
         ),
         Setting(
             "kept", ValueType.SHARE, "Of each whole what every router has an even part of.", 0.25, 0.0, 1.0
         ),
         Setting(
-            "lease", ValueType.SPAN, "For which a part holds without the one that divides.", 3.0, 0.5, 60.0
+            "lease",
+            ValueType.DURATION,
+            "For which a part holds without the one that divides.",
+            3.0,
+            0.5,
+            60.0,
         ),
         Setting(
             "settle",
-            ValueType.SPAN,
+            ValueType.DURATION,
             "After which what is out beyond a part that ran out is called off.",
             4.0,
             0.1,
@@ -38,7 +49,7 @@
         ),
         Setting(
             "window",
-            ValueType.SPAN,
+            ValueType.DURATION,
             "Of a rate: as much as it gives so long may come at once.",
             1.0,
             0.1,
@@ -46,16 +57,16 @@
         ),
         Setting(
             "out-per-core",
-            ValueType.RATIO,
+            ValueType.NUMBER,
             "Commands out at one engine for each of its cores; 0: any.",
             0.0,
             0.0,
             1000.0,
-            live=True,
+            reloadable=True,
         ),
         Setting(
             "lines-per-core",
-            ValueType.RATIO,
+            ValueType.NUMBER,
             "Connections to one engine for each of its cores; 0: any.",
             0.0,
             0.0,
@@ -63,12 +74,12 @@
         ),
         Setting(
             "further",
-            ValueType.RATIO,
+            ValueType.NUMBER,
             "Further sends a second; 0: as the rules say.",
             0.0,
             0.0,
             1e6,
-            live=True,
+            reloadable=True,
         ),
         Setting("tenants", ValueType.SWITCH, "Whether tenants' rates are divided by need.", True),
         Setting("cold", ValueType.SWITCH, "Whether what a fresh engine bears is divided by need.", False),
@@ -76,18 +87,18 @@
             "budget",
             ValueType.GROUP,
             "Commands out, or commands a second, of a profile or a tenant.",
-            live=True,
-            by="budget",
-            fit=_fit,
-            inner=(
+            reloadable=True,
+            keyed_by="budget",
+            check_group=_fit,
+            group=(
                 Setting("profile", ValueType.TEXT, "", ""),
                 Setting("tenant", ValueType.TEXT, "", ""),
                 Setting("out", ValueType.COUNT, "", 0, 0, 1 << 20),
-                Setting("rate", ValueType.RATIO, "", 0.0, 0.0, 1e6),
+                Setting("rate", ValueType.NUMBER, "", 0.0, 0.0, 1e6),
             ),
         ),
         Setting(
-            "pace", ValueType.PACE, "Bytes a second that this may send, and each peer.", 32000.0, 500.0, 1e7
+            "pace", ValueType.RATE, "Bytes a second that this may send, and each peer.", 32000.0, 500.0, 1e7
         ),
     ),
 )
--- a/marbleworks/cells/options.py
+++ b/marbleworks/cells/options.py
@@ -23,9 +23,9 @@
             "region",
             ValueType.GROUP,
             "Its zones, and its share of all homes of table groups.",
-            by="region",
-            fit=_fit,
-            inner=(
+            keyed_by="region",
+            check_group=_fit,
+            group=(
                 Setting("zones", ValueType.TEXT, "", ""),  # split at spaces
                 Setting("share", ValueType.SHARE, "", 0.0, 0.0, 1.0),
             ),
@@ -44,11 +44,16 @@
             1000,
             1,
             1 << 30,
-            live=True,
+            reloadable=True,
         ),
-        Setting("lease", ValueType.SPAN, "For which a cell keeps its homes unheard.", 10.0, 1.0, 600.0),
+        Setting("lease", ValueType.DURATION, "For which a cell keeps its homes unheard.", 10.0, 1.0, 600.0),
         Setting(
-            "settle", ValueType.SPAN, "After which a load that was begun is surely over.", 60.0, 3.0, 3600.0
+            "settle",
+            ValueType.DURATION,
+            "After which a load that was begun is surely over.",
+            60.0,
+            3.0,
+            3600.0,
         ),
         Setting("key", ValueType.TEXT, "File with the key of the plans' MAC.", None),
         Setting("other-key", ValueType.TEXT, "File with the second key while keys are being changed.", ""),
--- a/marbleworks/cli/router.py
+++ b/marbleworks/cli/router.py
@@ -57,9 +57,9 @@
 
 def settings() -> None:
     """Print every setting of the operator's file: type, bounds, default, meaning."""
-    from marbleworks.subsystems.registry import described
+    from marbleworks.subsystems.registry import describe_settings
 
-    for line in described():
+    for line in describe_settings():
         typer.echo(line)
 
 
@@ -84,10 +84,10 @@
     if not path:
         return None
     from marbleworks.operator_config.document import OperatorConfigError
-    from marbleworks.subsystems.registry import read_book
+    from marbleworks.subsystems.registry import read_operator_config
     from marbleworks.subsystems.wiring import Subsystems
 
     try:
-        return Subsystems(read_book(path))
+        return Subsystems(read_operator_config(path))
     except OperatorConfigError as error:
         raise failure(error) from None
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -43,7 +43,7 @@
 from marbleworks.net.discovery import EngineDiscovery
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.engine_client import engine_client_factory
-from marbleworks.subsystems.registry import read_book
+from marbleworks.subsystems.registry import read_operator_config
 from marbleworks.subsystems.wiring import Subsystems
 
 MOST_ROUTERS = 200  # in one process
@@ -117,7 +117,7 @@
         station, self.path = serve.RouterConfig.read(path), path
         deployment = station.settings
         self.number, self.addresses = deployment.fleet.router_index, station.peers
-        self.fitted = Subsystems(read_book(operator)) if operator else None
+        self.fitted = Subsystems(read_operator_config(operator)) if operator else None
         self.peers = _Peers(station.peer_listen, station.peers, station.everyone, self.number)
         self.wire: Any = Wire(self.peers.sock)
         self.peers.sock = self.wire
--- a/marbleworks/membership/options.py
+++ b/marbleworks/membership/options.py
@@ -7,12 +7,14 @@
     "routers that know who of them is there, and divide among those",
     (
         Setting("group", ValueType.TEXT, "Routers of another group are not heard.", "routers"),
-        Setting("period", ValueType.SPAN, "Between probes of one peer.", 0.2, 0.05, 10.0),
-        Setting("suspicion", ValueType.SPAN, "Within which a suspected peer must refute.", 1.0, 0.2, 60.0),
+        Setting("period", ValueType.DURATION, "Between probes of one peer.", 0.2, 0.05, 10.0),
         Setting(
-            "term", ValueType.SPAN, "For which a vote for the router that divides binds.", 2.4, 0.5, 120.0
+            "suspicion", ValueType.DURATION, "Within which a suspected peer must refute.", 1.0, 0.2, 60.0
         ),
-        Setting("lease", ValueType.SPAN, "For which a part that was given may be used.", 1.6, 0.5, 120.0),
+        Setting(
+            "term", ValueType.DURATION, "For which a vote for the router that divides binds.", 2.4, 0.5, 120.0
+        ),
+        Setting("lease", ValueType.DURATION, "For which a part that was given may be used.", 1.6, 0.5, 120.0),
         Setting(
             "kept",
             ValueType.SHARE,
@@ -22,7 +24,7 @@
             1.0,
         ),
         Setting(
-            "pace", ValueType.PACE, "Bytes a second that this may send, and each peer.", 16000.0, 500.0, 1e6
+            "pace", ValueType.RATE, "Bytes a second that this may send, and each peer.", 16000.0, 500.0, 1e6
         ),
     ),
 )
--- a/marbleworks/operator_config/__init__.py
+++ b/marbleworks/operator_config/__init__.py
@@ -1,2 +1,1 @@
-"""The operator's own file: what a subsystem may be told, how it is read, checked and changed while
-running."""
+"""The operator's file: its grammar, the types of its values, and what a reload of it changes."""
--- a/marbleworks/operator_config/document.py
+++ b/marbleworks/operator_config/document.py
@@ -1,6 +1,6 @@
-"""A whole operator's file as typed values, and what a reload of it may change.
+"""A whole operator's file as checked values, and what a reload of it may change.
 
-It owns no section: which there are is given to it. It must never start or change a subsystem, or import one.
+Which sections there are is given as an argument: nothing here knows a section or a subsystem.
 """
 
 from __future__ import annotations
@@ -8,129 +8,181 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
-from marbleworks.operator_config.sexpr import ConfigSyntaxError, Form, read_forms
-from marbleworks.operator_config.value_types import Section
+from marbleworks.operator_config.sexpr import ConfigSyntaxError, Form, parse
+from marbleworks.operator_config.value_types import Section, Setting
 
-Values = dict[str, Any]
-Sections = Mapping[str, Section]
+SectionValues = dict[str, Any]
+SectionSchemas = Mapping[str, Section]
 
 
 class OperatorConfigError(Exception):
-    """One plain line: file, line, column and what was expected."""
+    """Why a file cannot be used, in one line: file, line, column and what was expected."""
 
 
 @dataclass(frozen=True)
 class OperatorConfig:
-    """The sections that a file names, each with a value for every setting, the defaults filled in."""
+    """The sections that a file has, each with a value for every setting.
 
-    among: Sections
+    Attributes:
+        schemas: the sections that a file may have, by name.
+        path: the file.
+        sections: the values of each section that the file has, by name of section and setting.
+    """
+
+    schemas: SectionSchemas
     path: str
-    sections: dict[str, Values]
+    sections: dict[str, SectionValues]
 
     @classmethod
-    def read(cls, among: Sections, path: str) -> OperatorConfig:
-        """Reads and checks a file; raises OperatorError."""
+    def read(cls, schemas: SectionSchemas, path: str) -> OperatorConfig:
+        """Reads and checks a file.
+
+        Raises:
+            OperatorConfigError: the file cannot be read, or is not right.
+        """
         try:
             text = Path(path).read_text("utf-8")
-        except OSError as err:
-            raise OperatorConfigError(f"{path}: {err.strerror}") from None
+        except OSError as error:
+            raise OperatorConfigError(f"{path}: {error.strerror}") from None
         except UnicodeDecodeError:
             raise OperatorConfigError(f"{path}: expected UTF-8") from None
         try:
-            return cls(among, path, sections_of(among, text))
-        except ConfigSyntaxError as err:
-            raise OperatorConfigError(f"{path}:{err}") from None
+            return cls(schemas, path, parse_sections(schemas, text))
+        except ConfigSyntaxError as error:
+            raise OperatorConfigError(f"{path}:{error}") from None
 
-    def has(self, name: str) -> bool:
+    def has_section(self, name: str) -> bool:
+        """Whether the file has the section."""
         return name in self.sections
 
-    def __getitem__(self, name: str) -> Values:
-        """The section's values; its defaults where the file does not name it (it must have no required
-        one)."""
+    def __getitem__(self, name: str) -> SectionValues:
+        """Returns the section's values; its defaults where the file does not have it.
+
+        A section of which the file may lack none has no setting without a default.
+        """
         if name in self.sections:
             return self.sections[name]
-        return {s.name: {} if s.by else s.default for s in self.among[name].settings}
-
-
-def sections_of(among: Sections, text: str) -> dict[str, Values]:
-    """The checked sections of a text; raises Misread."""
-    found: dict[str, Values] = {}
-    for form in read_forms(text):
-        section = among.get(form.name)
-        if section is None:
-            raise ConfigSyntaxError(
-                form.line, form.column, f"expected a section of {', '.join(among)}, found '{form.name}'"
-            )
-        if form.name in found:
-            raise ConfigSyntaxError(form.line, form.column, f"expected section '{form.name}' once")
-        found[form.name] = _values(section, form)
-    return found
-
-
-def _values(section: Section, form: Form) -> Values:
-    values: Values = {}
+        return {setting.name: _default(setting) for setting in self.schemas[name].settings}
+
+
+class ConfigChanges(NamedTuple):
+    """What differs between two files.
+
+    Attributes:
+        live: by section, the new values of what may change while the router runs.
+        needs_restart: names of what may not.
+    """
+
+    live: dict[str, SectionValues]
+    needs_restart: list[str]
+
+
+def parse_sections(schemas: SectionSchemas, text: str) -> dict[str, SectionValues]:
+    """Parses a text into checked sections.
+
+    Raises:
+        ConfigSyntaxError: the text is not of the grammar, or has what the schemas don't allow.
+    """
+    sections: dict[str, SectionValues] = {}
+    for form in parse(text):
+        schema = schemas.get(form.name)
+        if schema is None:
+            raise form.error(f"expected a section of {', '.join(schemas)}, found '{form.name}'")
+        if form.name in sections:
+            raise form.error(f"expected section '{form.name}' once")
+        sections[form.name] = _section_values(schema, form)
+    return sections
+
+
+def _section_values(schema: Section, form: Form) -> SectionValues:
+    values: SectionValues = {}
     for part in form.parts:
         if not isinstance(part, Form):
-            raise ConfigSyntaxError(
-                part.line, part.column, f"expected a setting in parentheses, found '{part.text}'"
-            )
-        setting = section[part.name]
+            raise part.error(f"expected a setting in parentheses, found '{part.text}'")
+        setting = schema[part.name]
         if setting is None:
-            names = ", ".join(s.name for s in section.settings)
-            raise ConfigSyntaxError(
-                part.line, part.column, f"expected a setting of {names}, found '{part.name}'"
-            )
-        of, value = setting.read(part)
-        if setting.by:
-            if of in values.setdefault(part.name, {}):
-                raise ConfigSyntaxError(part.line, part.column, f"expected '{part.name}' of \"{of}\" once")
-            values[part.name][of] = value
-        elif part.name in values:
-            raise ConfigSyntaxError(part.line, part.column, f"expected '{part.name}' once")
-        else:
-            values[part.name] = value
-    for setting in section.settings:
+            names = ", ".join(setting.name for setting in schema.settings)
+            raise part.error(f"expected a setting of {names}, found '{part.name}'")
+        _add_value(values, setting, part)
+    for setting in schema.settings:
         if setting.name not in values:
-            if setting.default is None and not setting.by:
-                raise ConfigSyntaxError(
-                    form.line, form.column, f"expected '{setting.name}' in section '{form.name}'"
-                )
-            values[setting.name] = {} if setting.by else setting.default
+            if setting.default is None and not setting.keyed_by:
+                raise form.error(f"expected '{setting.name}' in section '{form.name}'")
+            values[setting.name] = _default(setting)
     return values
 
 
-def changes(old: OperatorConfig, new: OperatorConfig) -> tuple[dict[str, Values], list[str]]:
-    """What may change while running, by section, and the names of what differs and needs a restart."""
-    live: dict[str, Values] = {}
-    restart: list[str] = []
-    for name, section in old.among.items():
-        if old.has(name) != new.has(name):
-            restart.append(name)
-        elif new.has(name):
-            for setting in section.settings:
-                if old[name][setting.name] != new[name][setting.name]:
-                    if setting.live:
-                        live.setdefault(name, {})[setting.name] = new[name][setting.name]
-                    else:
-                        restart.append(f"{name} {setting.name}")
-    return live, restart
-
-
-def described(among: Sections) -> list[str]:
-    """Every setting with type, bounds, default and meaning, a line each, by section."""
+def _add_value(values: SectionValues, setting: Setting, form: Form) -> None:
+    key, value = setting.read(form)
+    if setting.keyed_by:
+        by_key = values.setdefault(form.name, {})
+        if key in by_key:
+            raise form.error(f"expected '{form.name}' of \"{key}\" once")
+        by_key[key] = value
+    elif form.name in values:
+        raise form.error(f"expected '{form.name}' once")
+    else:
+        values[form.name] = value
+
+
+def _default(setting: Setting) -> Any:
+    return {} if setting.keyed_by else setting.default
+
+
+def find_changes(old: OperatorConfig, new: OperatorConfig) -> ConfigChanges:
+    """Compares two files, the one in force and the one read anew."""
+    changes = ConfigChanges({}, [])
+    for name, schema in old.schemas.items():
+        if old.has_section(name) != new.has_section(name):
+            changes.needs_restart.append(name)
+        elif new.has_section(name):
+            _find_section_changes(schema, old[name], new[name], changes)
+    return changes
+
+
+def _find_section_changes(
+    schema: Section, old: SectionValues, new: SectionValues, changes: ConfigChanges
+) -> None:
+    for setting in schema.settings:
+        if old[setting.name] == new[setting.name]:
+            continue
+        if setting.reloadable:
+            changes.live.setdefault(schema.name, {})[setting.name] = new[setting.name]
+        else:
+            changes.needs_restart.append(f"{schema.name} {setting.name}")
+
+
+def describe_settings(schemas: SectionSchemas) -> list[str]:
+    """Describes every setting in a line each, by section: type, bounds, default and meaning."""
     lines = []
-    for section in among.values():
-        lines.append(f"({section.name}) {section.meaning}")
-        for s in section.settings:
-            if s.by:
-                default = f"once for each {s.by}"
-            else:
-                default = "must be given" if s.default is None else f"default {s.kind.written(s.default)}"
-            inner = (
-                "of " + ", ".join(f"{part.name} ({part.kind.value})" for part in s.inner) if s.inner else ""
-            )
-            facts = [s.kind.value, inner, s.bounds, default, "" if s.live else "needs a restart"]
-            lines.append(f"  {s.name}: {'; '.join(fact for fact in facts if fact)}. {s.meaning}")
+    for schema in schemas.values():
+        lines.append(f"({schema.name}) {schema.description}")
+        lines += [_describe(setting) for setting in schema.settings]
     return lines
+
+
+def _describe(setting: Setting) -> str:
+    facts = [
+        setting.value_type.value,
+        _describe_group(setting),
+        setting.bounds_text,
+        _describe_default(setting),
+        "" if setting.reloadable else "needs a restart",
+    ]
+    return f"  {setting.name}: {'; '.join(fact for fact in facts if fact)}. {setting.description}"
+
+
+def _describe_group(setting: Setting) -> str:
+    if not setting.group:
+        return ""
+    return "of " + ", ".join(f"{part.name} ({part.value_type.value})" for part in setting.group)
+
+
+def _describe_default(setting: Setting) -> str:
+    if setting.keyed_by:
+        return f"once for each {setting.keyed_by}"
+    if setting.default is None:
+        return "must be given"
+    return f"default {setting.value_type.format(setting.default)}"
--- a/marbleworks/operator_config/sexpr.py
+++ b/marbleworks/operator_config/sexpr.py
@@ -1,7 +1,7 @@
-"""S-expressions of the operator's file: text in, forms with their places out.
+"""Parses the S-expressions of the operator's file: text in, forms with their positions out.
 
-It owns the grammar and nothing of what the words mean. It must never read a file or guess at what is broken:
-the first thing that is not the grammar ends it, with line and column.
+Nothing here knows what a word means. The first thing that is not the grammar ends the parse, with line and
+column.
 """
 
 from __future__ import annotations
@@ -11,7 +11,9 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
-MOST_TEXT = 1 << 18  # characters of a file; it is read whole
+MAX_TEXT_CHARS = 1 << 18
+MAX_QUOTED_CHARS = 40
+"""Characters of an unexpected token that an error quotes."""
 GRAMMAR = r"""
 start: form*
 form: "(" WORD (form | WORD | NUMBER | STRING)* ")"
@@ -23,21 +25,43 @@
 %ignore WS
 %ignore COMMENT
 """
-MEANT = {"LPAR": "'('", "RPAR": "')'", "WORD": "a name", "NUMBER": "a number", "STRING": "a text in quotes"}
+TOKEN_NAMES = {
+    "LPAR": "'('",
+    "RPAR": "')'",
+    "WORD": "a name",
+    "NUMBER": "a number",
+    "STRING": "a text in quotes",
+}
 _PARSER = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
 
 
 class ConfigSyntaxError(Exception):
-    """What is wrong with a file, at a line and a column that count from 1."""
+    """What is wrong with a file, and where.
 
-    def __init__(self, line: int, column: int, what: str) -> None:
-        super().__init__(f"{line}:{column}: {what}")
-        self.line, self.column, self.what = line, column, what
+    Attributes:
+        line: counts from 1, as does column.
+        column: where in the line it begins.
+        problem: what was expected, and what was found.
+    """
+
+    def __init__(self, line: int, column: int, problem: str) -> None:
+        super().__init__(f"{line}:{column}: {problem}")
+        self.line = line
+        self.column = column
+        self.problem = problem
 
 
 @dataclass(frozen=True)
 class Atom:
-    """A name, a number or a text in quotes; number is None where it is none."""
+    """A name, a number or a text in quotes.
+
+    Attributes:
+        text: as it is written; of a text in quotes, what they hold.
+        line: counts from 1, as does column.
+        column: where in the line it begins.
+        number: its value; None where it is no number.
+        quoted: whether it is a text in quotes.
+    """
 
     text: str
     line: int
@@ -45,44 +69,59 @@
     number: float | None = None
     quoted: bool = False
 
+    def error(self, problem: str) -> ConfigSyntaxError:
+        """An error at this place, to be raised."""
+        return ConfigSyntaxError(self.line, self.column, problem)
+
 
 @dataclass(frozen=True)
 class Form:
-    """(name part ...) with the place of its name."""
+    """A list `(name part ...)`, with the position of its name."""
 
     name: str
     line: int
     column: int
     parts: list[Atom | Form] = field(default_factory=list)
 
+    def error(self, problem: str) -> ConfigSyntaxError:
+        """An error at this place, to be raised."""
+        return ConfigSyntaxError(self.line, self.column, problem)
+
 
-def read_forms(text: str) -> list[Form]:
-    """The forms of a whole text; raises Misread."""
-    if len(text) > MOST_TEXT:
-        raise ConfigSyntaxError(1, 1, f"expected at most {MOST_TEXT} characters, found {len(text)}")
+def parse(text: str) -> list[Form]:
+    """Returns the forms of a whole text.
+
+    Raises:
+        ConfigSyntaxError: the text is too long or not of the grammar.
+    """
+    if len(text) > MAX_TEXT_CHARS:
+        raise ConfigSyntaxError(1, 1, f"expected at most {MAX_TEXT_CHARS} characters, found {len(text)}")
     try:
         tree = _PARSER.parse(text)
     except UnexpectedEOF:
-        raise _at_end(text) from None
-    except UnexpectedToken as err:
-        if err.token.type == "$END":
-            raise _at_end(text) from None
-        wanted = " or ".join(sorted(MEANT[name] for name in err.expected if name in MEANT)) or "the end"
-        raise ConfigSyntaxError(
-            err.line, err.column, f"expected {wanted}, found {str(err.token)[:40]!r}"
-        ) from None
-    except UnexpectedCharacters as err:
-        raise ConfigSyntaxError(err.line, err.column, f"expected no {err.char!r} here") from None
-    except UnexpectedInput as err:
-        raise ConfigSyntaxError(max(err.line, 1), max(err.column, 1), "expected a form") from None
+        raise _error_at_end(text) from None
+    except UnexpectedToken as error:
+        raise _unexpected_token(error, text) from None
+    except UnexpectedCharacters as error:
+        raise ConfigSyntaxError(error.line, error.column, f"expected no {error.char!r} here") from None
+    except UnexpectedInput as error:
+        raise ConfigSyntaxError(max(error.line, 1), max(error.column, 1), "expected a form") from None
     return [_form(child) for child in tree.children if isinstance(child, Tree)]
 
 
-def _at_end(text: str) -> ConfigSyntaxError:
+def _unexpected_token(error: UnexpectedToken, text: str) -> ConfigSyntaxError:
+    if error.token.type == "$END":
+        return _error_at_end(text)
+    expected = sorted(TOKEN_NAMES[name] for name in error.expected if name in TOKEN_NAMES)
+    wanted = " or ".join(expected) or "the end"
+    found = str(error.token)[:MAX_QUOTED_CHARS]
+    return ConfigSyntaxError(error.line, error.column, f"expected {wanted}, found {found!r}")
+
+
+def _error_at_end(text: str) -> ConfigSyntaxError:
     line = text.count("\n") + 1
-    return ConfigSyntaxError(
-        line, len(text) - (text.rfind("\n") + 1) + 1, "expected ')', found the end of the file"
-    )
+    column = len(text) - (text.rfind("\n") + 1) + 1
+    return ConfigSyntaxError(line, column, "expected ')', found the end of the file")
 
 
 def _form(tree: Tree[Token]) -> Form:
@@ -93,8 +132,10 @@
 
 
 def _atom(token: Token) -> Atom:
-    line, column = token.line or 1, token.column or 1
+    line = token.line or 1
+    column = token.column or 1
     if token.type == "STRING":
         text = token[1:-1].replace('\\"', '"').replace("\\\\", "\\")
         return Atom(text, line, column, quoted=True)
-    return Atom(str(token), line, column, float(token) if token.type == "NUMBER" else None)
+    number = float(token) if token.type == "NUMBER" else None
+    return Atom(str(token), line, column, number)
--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -1,8 +1,7 @@
-"""The types that a setting may have: how its words become a value, its units, and how a value is written
-back.
+"""The types of settings: how a setting's words become a value, its units, and how a value is written back.
 
-Nothing here knows a setting by name. Values are floats in base units (bytes, seconds, bytes a second, parts
-of one), ints, texts or bools.
+Nothing here knows a setting by name. Values are floats in base units (bytes, seconds, bytes a second, parts of
+one), ints, texts or bools.
 """
 
 from __future__ import annotations
@@ -11,11 +10,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
+from typing import Any, NamedTuple
 
-from marbleworks.operator_config.sexpr import Atom, ConfigSyntaxError, Form
+from marbleworks.operator_config.sexpr import Atom, Form
 
-SIZES = {
+SIZE_UNITS = {
     "B": 1.0,
     "KB": 1e3,
     "MB": 1e6,
@@ -25,173 +24,220 @@
     "MiB": 1024.0**2,
     "GiB": 1024.0**3,
 }
-SPANS = {"ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
-PACES = {f"{unit}/s": value for unit, value in SIZES.items()}
+DURATION_UNITS = {"ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
+RATE_UNITS = {f"{unit}/s": value for unit, value in SIZE_UNITS.items()}
+SHARE_UNITS = {"%": 0.01}
 
 
 class ValueType(Enum):
-    """What a value is, and the units it is written in."""
+    """The type of a setting's value."""
 
     SIZE = "size"
-    SPAN = "time"
-    PACE = "bytes a second"
+    DURATION = "time"
+    RATE = "bytes a second"
     SHARE = "share"
     COUNT = "whole number"
-    RATIO = "number"
+    NUMBER = "number"
     TEXT = "text"
     SWITCH = "on or off"
     GROUP = "settings in parentheses"
 
     @property
     def units(self) -> dict[str, float]:
-        return {
-            ValueType.SIZE: SIZES,
-            ValueType.SPAN: SPANS,
-            ValueType.PACE: PACES,
-            ValueType.SHARE: {"%": 0.01},
-        }.get(self, {})
+        """Its units, each with its value in the base unit; none where a value has no unit."""
+        return _UNITS.get(self, {})
 
     @property
     def example(self) -> str:
-        return {
-            ValueType.SIZE: "a size such as 2 GB",
-            ValueType.SPAN: "a time such as 10 min",
-            ValueType.PACE: "a pace such as 4 KB/s",
-            ValueType.SHARE: "a share such as 25 %",
-            ValueType.COUNT: "a whole number",
-            ValueType.RATIO: "a number",
-            ValueType.TEXT: "a text in quotes",
-            ValueType.SWITCH: "on or off",
-            ValueType.GROUP: "settings in parentheses",
-        }[self]
-
-    def written(self, value: Any) -> str:
-        """The value as the file would have it, in the largest unit that fits."""
+        """How a value of it may look, for error messages."""
+        return _EXAMPLES[self]
+
+    def format(self, value: Any) -> str:
+        """Writes a value as the file would have it, in the largest unit that fits."""
         if value is None:
             return "none"
         if self is ValueType.TEXT:
             return f'"{value}"'
         if self is ValueType.SWITCH:
             return "on" if value else "off"
-        if self in (ValueType.COUNT, ValueType.RATIO):
-            return f"{value:g}" if self is ValueType.RATIO else str(int(value))
-        fits = [
+        if self is ValueType.NUMBER:
+            return f"{value:g}"
+        if self is ValueType.COUNT:
+            return str(int(value))
+        return self._format_with_unit(value)
+
+    def _format_with_unit(self, value: float) -> str:
+        smallest = min((size, unit) for unit, size in self.units.items())
+        fitting = [
             (size, unit) for unit, size in self.units.items() if value >= size and not unit.endswith("iB")
         ]
-        size, unit = max(fits, default=min((size, unit) for unit, size in self.units.items()))
-        if self is ValueType.SPAN and unit == "min" and value % 60:
+        size, unit = max(fitting, default=smallest)
+        if self is ValueType.DURATION and unit == "min" and value % 60:
             size, unit = 1.0, "s"
         return f"{value / size:g} {unit}"
 
 
+_UNITS = {
+    ValueType.SIZE: SIZE_UNITS,
+    ValueType.DURATION: DURATION_UNITS,
+    ValueType.RATE: RATE_UNITS,
+    ValueType.SHARE: SHARE_UNITS,
+}
+_EXAMPLES = {
+    ValueType.SIZE: "a size such as 2 GB",
+    ValueType.DURATION: "a time such as 10 min",
+    ValueType.RATE: "a pace such as 4 KB/s",
+    ValueType.SHARE: "a share such as 25 %",
+    ValueType.COUNT: "a whole number",
+    ValueType.NUMBER: "a number",
+    ValueType.TEXT: "a text in quotes",
+    ValueType.SWITCH: "on or off",
+    ValueType.GROUP: "settings in parentheses",
+}
+
+
+class KeyedValue(NamedTuple):
+    """A setting's value, and what it is for where the setting is keyed; else the key is empty."""
+
+    key: str
+    value: Any
+
+
+class ParsedAtoms(NamedTuple):
+    """A value, and how many atoms it was written with."""
+
+    value: Any
+    atom_count: int
+
+
 @dataclass(frozen=True)
 class Setting:
-    """One setting: its type, bounds, default (None: must be given, unless optional) and meaning.
-
-    live: a reload takes it over; else it needs a restart. by: the file may have it once for each such thing,
-    named by a text before the value; the value read is then a dict. inner: of a group, each with a default;
-    its value is a dict of theirs, of which fit says what was expected where they don't go together."""
+    """One setting of a section.
+
+    Attributes:
+        name: as the file has it.
+        value_type: the type of its value.
+        description: its meaning, for `marbleworks settings`.
+        default: its value where the file has none; None: the file must have it.
+        minimum: least value that a number may have.
+        maximum: greatest value that a number may have.
+        reloadable: whether a reload takes it over; otherwise it needs a restart.
+        keyed_by: what it may be given for, once each, by a text before the value; its value is then a dict.
+        check_text: says what was expected of a text, or of a key; None where it is right.
+        group: the settings of a group, each with a default; the value is a dict of theirs.
+        check_group: says what was expected of a group's values; None where they go together.
+    """
 
     name: str
-    kind: ValueType
-    meaning: str
+    value_type: ValueType
+    description: str
     default: Any = None
-    least: float = 0.0
-    most: float = math.inf
-    live: bool = False
-    by: str = ""
-    check: Callable[[str], str | None] | None = None  # of a text, or of what it is by: what was expected
-    inner: tuple[Setting, ...] = ()
-    fit: Callable[[dict[str, Any]], str | None] | None = None
+    minimum: float = 0.0
+    maximum: float = math.inf
+    reloadable: bool = False
+    keyed_by: str = ""
+    check_text: Callable[[str], str | None] | None = None
+    group: tuple[Setting, ...] = ()
+    check_group: Callable[[dict[str, Any]], str | None] | None = None
 
     @property
-    def bounds(self) -> str:
-        if self.kind in (ValueType.TEXT, ValueType.SWITCH, ValueType.GROUP):
+    def bounds_text(self) -> str:
+        """Its bounds as the file would have them; empty where it has none."""
+        if self.value_type in (ValueType.TEXT, ValueType.SWITCH, ValueType.GROUP):
             return ""
-        most = self.kind.written(self.most) if self.most < math.inf else ""
-        return (
-            f"{self.kind.written(self.least)} to {most}"
-            if most
-            else f"{self.kind.written(self.least)} or more"
-        )
-
-    def read(self, form: Form) -> tuple[str, Any]:
-        """The thing it is for ('' without by) and the value; raises Misread with the place."""
-        parts, of = list(form.parts), ""
-        if self.by:
-            first = parts.pop(0) if parts else None
-            if not isinstance(first, Atom) or not first.quoted or not first.text:
-                raise ConfigSyntaxError(
-                    form.line, form.column, f"expected a {self.by} in quotes after '{self.name}'"
-                )
-            of = first.text
-            if self.check is not None and (expected := self.check(of)):
-                raise ConfigSyntaxError(first.line, first.column, f"expected {expected} for '{self.name}'")
-        if self.inner:
-            return of, self._group(form, parts)
+        minimum = self.value_type.format(self.minimum)
+        if self.maximum == math.inf:
+            return f"{minimum} or more"
+        return f"{minimum} to {self.value_type.format(self.maximum)}"
+
+    def read(self, form: Form) -> KeyedValue:
+        """Reads the setting's form.
+
+        Raises:
+            ConfigSyntaxError: the form does not have what this setting wants.
+        """
+        parts = list(form.parts)
+        key = self._read_key(form, parts) if self.keyed_by else ""
+        if self.group:
+            return KeyedValue(key, self._read_group(form, parts))
         atoms = [part for part in parts if isinstance(part, Atom)]
         if not atoms or len(atoms) < len(parts):
-            raise ConfigSyntaxError(form.line, form.column, f"expected {self.kind.example} for '{self.name}'")
-        value, used = self._value(atoms)
-        if len(atoms) > used:
-            extra = atoms[used]
-            raise ConfigSyntaxError(
-                extra.line, extra.column, f"expected ')' after the value of '{self.name}'"
-            )
-        return of, value
-
-    def _group(self, form: Form, parts: list[Atom | Form]) -> dict[str, Any]:
-        values = {setting.name: setting.default for setting in self.inner}
+            raise form.error(f"expected {self.value_type.example} for '{self.name}'")
+        parsed = self._read_atoms(atoms)
+        if len(atoms) > parsed.atom_count:
+            extra = atoms[parsed.atom_count]
+            raise extra.error(f"expected ')' after the value of '{self.name}'")
+        return KeyedValue(key, parsed.value)
+
+    def _read_key(self, form: Form, parts: list[Atom | Form]) -> str:
+        """Takes the key from the front of the parts."""
+        first = parts.pop(0) if parts else None
+        if not isinstance(first, Atom) or not first.quoted or not first.text:
+            raise form.error(f"expected a {self.keyed_by} in quotes after '{self.name}'")
+        self._check(first)
+        return first.text
+
+    def _check(self, text: Atom) -> None:
+        if self.check_text is not None and (expected := self.check_text(text.text)):
+            raise text.error(f"expected {expected} for '{self.name}'")
+
+    def _read_group(self, form: Form, parts: list[Atom | Form]) -> dict[str, Any]:
+        values = {setting.name: setting.default for setting in self.group}
+        by_name = {setting.name: setting for setting in self.group}
         for part in parts:
-            setting = next((s for s in self.inner if isinstance(part, Form) and s.name == part.name), None)
+            setting = by_name.get(part.name) if isinstance(part, Form) else None
             if setting is None or not isinstance(part, Form):
-                names = ", ".join(s.name for s in self.inner)
-                raise ConfigSyntaxError(
-                    part.line, part.column, f"expected a setting of {names} in '{self.name}'"
-                )
-            values[setting.name] = setting.read(part)[1]
-        if self.fit is not None and (expected := self.fit(values)):
-            raise ConfigSyntaxError(form.line, form.column, f"expected {expected} in '{self.name}'")
+                raise part.error(f"expected a setting of {', '.join(by_name)} in '{self.name}'")
+            values[setting.name] = setting.read(part).value
+        if self.check_group is not None and (expected := self.check_group(values)):
+            raise form.error(f"expected {expected} in '{self.name}'")
         return values
 
-    def _value(self, atoms: list[Atom]) -> tuple[Any, int]:
+    def _read_atoms(self, atoms: list[Atom]) -> ParsedAtoms:
         first = atoms[0]
-        wrong = ConfigSyntaxError(first.line, first.column, f"expected {self.kind.example} for '{self.name}'")
-        if self.kind is ValueType.TEXT:
+        wrong_type = first.error(f"expected {self.value_type.example} for '{self.name}'")
+        if self.value_type is ValueType.TEXT:
             if not first.quoted:
-                raise wrong
-            if self.check is not None and (expected := self.check(first.text)):
-                raise ConfigSyntaxError(first.line, first.column, f"expected {expected} for '{self.name}'")
-            return first.text, 1
-        if self.kind is ValueType.SWITCH:
+                raise wrong_type
+            self._check(first)
+            return ParsedAtoms(first.text, 1)
+        if self.value_type is ValueType.SWITCH:
             if first.text not in ("on", "off") or first.quoted:
-                raise wrong
-            return first.text == "on", 1
+                raise wrong_type
+            return ParsedAtoms(first.text == "on", 1)
         if first.number is None:
-            raise wrong
-        value, used = first.number, 1
-        if self.kind is ValueType.COUNT:
-            if value != int(value):
-                raise wrong
-            value = int(value)
-        elif self.kind is not ValueType.RATIO:
-            unit = atoms[1] if len(atoms) > 1 else None
-            if unit is None or unit.quoted or unit.text not in self.kind.units:
-                at = unit or first
-                units = ", ".join(self.kind.units)
-                raise ConfigSyntaxError(at.line, at.column, f"expected a unit of {units} for '{self.name}'")
-            value, used = value * self.kind.units[unit.text], 2
-        if not self.least <= value <= self.most:
-            raise ConfigSyntaxError(first.line, first.column, f"expected {self.bounds} for '{self.name}'")
-        return value, used
+            raise wrong_type
+        if self.value_type is ValueType.COUNT and first.number != int(first.number):
+            raise wrong_type
+        parsed = self._read_number(first, first.number, atoms)
+        if not self.minimum <= parsed.value <= self.maximum:
+            raise first.error(f"expected {self.bounds_text} for '{self.name}'")
+        return parsed
+
+    def _read_number(self, first: Atom, number: float, atoms: list[Atom]) -> ParsedAtoms:
+        if self.value_type is ValueType.COUNT:
+            return ParsedAtoms(int(number), 1)
+        if self.value_type is ValueType.NUMBER:
+            return ParsedAtoms(number, 1)
+        unit = atoms[1] if len(atoms) > 1 else None
+        units = self.value_type.units
+        if unit is None or unit.quoted or unit.text not in units:
+            raise (unit or first).error(f"expected a unit of {', '.join(units)} for '{self.name}'")
+        return ParsedAtoms(number * units[unit.text], 2)
 
 
 @dataclass(frozen=True)
 class Section:
-    """What one subsystem may be told."""
+    """The settings of one subsystem.
+
+    Attributes:
+        name: as the file has it.
+        description: its meaning, for `marbleworks settings`.
+        settings: in the order in which they are listed.
+    """
 
     name: str
-    meaning: str
+    description: str
     settings: tuple[Setting, ...] = field(default_factory=tuple)
 
     def __getitem__(self, name: str) -> Setting | None:
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -16,6 +16,6 @@
 from marbleworks.spool.options import SPOOL
 
 SECTIONS = {section.name: section for section in (BACKGROUND_SECTION, SPOOL, DOOR, PEERS, BUDGETS)}
-read_book = partial(book.OperatorConfig.read, SECTIONS)  # raises OperatorError
-sections_of = partial(book.sections_of, SECTIONS)
-described = partial(book.described, SECTIONS)
+read_operator_config = partial(book.OperatorConfig.read, SECTIONS)  # raises OperatorError
+parse_sections = partial(book.parse_sections, SECTIONS)
+describe_settings = partial(book.describe_settings, SECTIONS)
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -10,9 +10,9 @@
 
 from marbleworks.background.options import BackgroundOptions
 from marbleworks.net.actor import LOG
-from marbleworks.operator_config.document import OperatorConfig, OperatorConfigError, changes
+from marbleworks.operator_config.document import OperatorConfig, OperatorConfigError, find_changes
 from marbleworks.settings import Settings, SettingsError
-from marbleworks.subsystems.registry import read_book
+from marbleworks.subsystems.registry import read_operator_config
 
 if TYPE_CHECKING:
     from marbleworks.background.task_runner import TaskRunner
@@ -41,7 +41,7 @@
 
     def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
         """Starts what the file names; raises DeploymentError in a line where that can't be done."""
-        if self.book.has("peers") and deployment.rules.allows_peer_messages:
+        if self.book.has_section("peers") and deployment.rules.allows_peer_messages:
             from marbleworks.membership.service import MembershipService
 
             def divided(*told: float) -> None:
@@ -49,16 +49,16 @@
 
             self.steward = MembershipService(self.book["peers"], peers, desk.scheduler.seed, divided)
             self.about = self._about
-        if self.book.has("budgets"):
+        if self.book.has_section("budgets"):
             self._budgets(desk, deployment, peers)
-        if self.book.has("door"):
+        if self.book.has_section("door"):
             from marbleworks.fair_queue.service import FairQueueService
 
             desk.admission = self.porter = FairQueueService(self.book["door"], desk, deployment, peers)
             if self.steward is not None:
                 shares = self.porter.door.shares
                 self.steward.viewed.append(lambda starts: desk.post(shares.viewed, starts))
-        if not self.book.has("spool"):
+        if not self.book.has_section("spool"):
             return
         from marbleworks.background.task_runner import BACKLOG_THRESHOLD, TaskRunner
         from marbleworks.spool.service import FolderLockedError, SpoolService
@@ -115,11 +115,11 @@
         """At SIGHUP: takes over what may change, names what needs a restart; an unfit file changes
         nothing."""
         try:
-            new = read_book(self.book.path)
+            new = read_operator_config(self.book.path)
         except OperatorConfigError as err:
             LOG.warning("operator file not reloaded", error=str(err))
             return
-        live, restart = changes(self.book, new)
+        live, restart = find_changes(self.book, new)
         if "background" in live and self.chores is not None:
             self.chores.configure(BackgroundOptions.from_section(new["background"]))
         if "spool" in live and self.keeper is not None:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -34,7 +34,7 @@
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
 from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
-from marbleworks.subsystems.registry import sections_of
+from marbleworks.subsystems.registry import parse_sections
 from tests.support.stand_ins import SETTINGS
 
 COUNT, UNITS = st.integers(0, (1 << 40) - 1), st.integers(0, 1 << 24)
@@ -392,7 +392,7 @@
 def test_a_budget_of_ones_own_is_read_and_what_does_not_fit_is_one_plain_line() -> None:
     text = """(budgets (version 4) (budget "month-end" (profile "report") (out 40))
         (budget "acme" (tenant "acme") (rate 5)))"""
-    terms = sections_of(text)["budgets"]
+    terms = parse_sections(text)["budgets"]
     plan = BudgetCatalog(terms, {"look": 0, "report": 1}, {"acme": 0}, [12.0])
     assert [(n.whole.name, n.whole.units, n.whole.span) for n in plan.named] == [
         ("named month-end", 40, 0.0),
@@ -409,16 +409,16 @@
         ('(budgets (budget (profile "y") (out 4)))', "a budget in quotes"),
     ):
         with pytest.raises(ConfigSyntaxError, match=what) as err:
-            sections_of(bad)
+            parse_sections(bad)
         assert err.value.line == 1 and err.value.column > 1
     assert BudgetCatalog(
-        sections_of('(budgets (budget "x" (profile "no") (out 4)))')["budgets"], {}, {}
+        parse_sections('(budgets (budget "x" (profile "no") (out 4)))')["budgets"], {}, {}
     ).unknown == ["x"]
 
 
 def test_a_rate_below_one_in_its_window_is_counted_over_a_longer_one() -> None:
     plan = BudgetCatalog(
-        sections_of('(budgets (budget "x" (tenant "a") (rate 0.3)))')["budgets"], {}, {"a": 0}
+        parse_sections('(budgets (budget "x" (tenant "a") (rate 0.3)))')["budgets"], {}, {"a": 0}
     )
     whole = plan.named[0].whole
     assert whole.units == 1 and whole.units / whole.span <= 0.3
@@ -442,7 +442,7 @@
         self.over: list[tuple[str, float]] = []
         self.scheduler = Scheduler(self, 1, deployment.request_classes, deployment.rules, deployment.fleet)  # type: ignore[arg-type]
         plan = BudgetCatalog(
-            sections_of(terms)["budgets"],
+            parse_sections(terms)["budgets"],
             deployment.class_index,
             deployment.tenant_index,
             deployment.rules.tenant_rates_per_s,
--- a/tests/cells/test_planner.py
+++ b/tests/cells/test_planner.py
@@ -21,7 +21,7 @@
     revise,
     revised,
 )
-from marbleworks.operator_config.document import sections_of
+from marbleworks.operator_config.document import parse_sections
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
 from marbleworks.settings import Settings
 from tests.support.stand_ins import SETTINGS
@@ -364,7 +364,7 @@
 
 
 def test_the_operators_section_makes_rules_of_the_settings() -> None:
-    terms = sections_of({"cells": CELLS}, FILE)["cells"]
+    terms = parse_sections({"cells": CELLS}, FILE)["cells"]
     assert unfit(terms, ["hall-a", "hall-b", "hall-c"]) is None
     deployment = Settings({**SETTINGS, "zones": ["hall-a", "hall-b", "hall-c"], "kinds": ["std", "big"]})
     made = Rules.of(terms, deployment)
@@ -388,7 +388,7 @@
     ],
 )
 def test_levels_that_do_not_add_up_are_one_line(old: str, new: str, line: str) -> None:
-    terms = sections_of({"cells": CELLS}, FILE.replace(old, new))["cells"]
+    terms = parse_sections({"cells": CELLS}, FILE.replace(old, new))["cells"]
     told = unfit(terms, ["hall-a", "hall-b", "hall-c"])
     assert told is not None and line in told and "\n" not in told
 
@@ -396,6 +396,6 @@
 def test_what_the_section_must_have_is_asked_for() -> None:
     for told in ("(routers 20)", "(engines 45)", '(key "/etc/plan.key")'):
         with pytest.raises(ConfigSyntaxError, match=f"expected '{told[1:].split()[0]}'"):
-            sections_of({"cells": CELLS}, FILE.replace(told, ""))
+            parse_sections({"cells": CELLS}, FILE.replace(told, ""))
     with pytest.raises(ConfigSyntaxError, match="'zones' with at least one"):
-        sections_of({"cells": CELLS}, FILE.replace('"hall-c"', '""'))
+        parse_sections({"cells": CELLS}, FILE.replace('"hall-c"', '""'))
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -23,7 +23,7 @@
 from marbleworks.net.engine_client import engine_client_factory
 from marbleworks.scheduling.scheduler import CLOSE_CALL_RATIO
 from marbleworks.settings import Settings
-from marbleworks.subsystems.registry import sections_of
+from marbleworks.subsystems.registry import parse_sections
 from tests.support.stand_ins import SETTINGS
 
 KINDS = {**SETTINGS["specifics"], "cores_by_kind": [2]}
@@ -52,7 +52,7 @@
             deployment, 7, engine_client_factory(deployment, BoundedSemaphore(200)), lambda data: None
         )
         self.desk.admission = self.porter = FairQueueService(
-            sections_of(f"(door {terms})")["door"], self.desk, deployment
+            parse_sections(f"(door {terms})")["door"], self.desk, deployment
         )
         listing = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, 0.0), self.engine.address)]
         self.desk.post(self.desk.update_engines, listing, True)
--- a/tests/operator_config/test_operator_config.py
+++ b/tests/operator_config/test_operator_config.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.operator_config.document import OperatorConfigError, changes
-from marbleworks.operator_config.sexpr import Atom, ConfigSyntaxError, Form, read_forms
+from marbleworks.operator_config.document import OperatorConfigError, find_changes
+from marbleworks.operator_config.sexpr import Atom, ConfigSyntaxError, Form, parse
 from marbleworks.operator_config.value_types import ValueType
-from marbleworks.subsystems.registry import SECTIONS, described, read_book, sections_of
+from marbleworks.subsystems.registry import SECTIONS, describe_settings, parse_sections, read_operator_config
 
 GOOD = '(spool (folder "/a") (room 2 GB))'
 
@@ -46,15 +46,15 @@
 )
 def test_what_is_wrong_is_said_with_its_place(text: str, said: str) -> None:
     if not said:
-        assert sections_of(text) == {}
+        assert parse_sections(text) == {}
         return
     with pytest.raises(ConfigSyntaxError) as err:
-        sections_of(text)
+        parse_sections(text)
     assert str(err.value).startswith(said)
 
 
 def test_values_have_units_defaults_and_comments() -> None:
-    found = sections_of(
+    found = parse_sections(
         '; a comment\n(spool (folder "/a \\"b\\"") (room 1.5 GiB) (keep 90 s) (share 25 %)\n'
         ' (least-pace 8 KB/s) (quota "x" 10 %) (quota "y" 0 %)) (background)'
     )
@@ -66,40 +66,40 @@
 
 def test_every_default_may_be_written_and_read_again() -> None:
     text = '(background) (door) (peers) (budgets) (spool (folder "/a") (room 2 GB))'
-    defaults = sections_of(text)
+    defaults = parse_sections(text)
     for name, section in SECTIONS.items():
         for setting in section.settings:
-            if setting.kind not in (ValueType.TEXT, ValueType.SWITCH) and setting.default is not None:
-                extra = f"({setting.name} {setting.kind.written(setting.default)}))"
-                changed = sections_of(text.replace(f"({name}", f"({name} {extra[:-1]}"))
+            if setting.value_type not in (ValueType.TEXT, ValueType.SWITCH) and setting.default is not None:
+                extra = f"({setting.name} {setting.value_type.format(setting.default)}))"
+                changed = parse_sections(text.replace(f"({name}", f"({name} {extra[:-1]}"))
                 assert changed[name][setting.name] == pytest.approx(defaults[name][setting.name])
-    assert len(described()) == len(SECTIONS) + sum(len(s.settings) for s in SECTIONS.values())
+    assert len(describe_settings()) == len(SECTIONS) + sum(len(s.settings) for s in SECTIONS.values())
 
 
 def test_a_reload_takes_what_may_change_and_names_the_rest(tmp_path: Path) -> None:
     path = tmp_path / "operator.lisp"
     path.write_text(GOOD)
-    old = read_book(str(path))
+    old = read_operator_config(str(path))
     path.write_text('(background) (spool (folder "/b") (room 3 GB) (page 12 KB) (quota "x" 5 %))')
-    live, restart = changes(old, read_book(str(path)))
+    live, restart = find_changes(old, read_operator_config(str(path)))
     assert live == {"spool": {"room": 3e9, "quota": {"x": 0.05}}}
     assert restart == ["background", "spool folder", "spool page"]
     for bad in ("(", "(spool)"):
         path.write_text(bad)
         with pytest.raises(OperatorConfigError, match=str(path)):
-            read_book(str(path))
+            read_operator_config(str(path))
     with pytest.raises(OperatorConfigError, match="No such file"):
-        read_book(str(tmp_path / "none"))
+        read_operator_config(str(tmp_path / "none"))
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(alphabet='()";% \n\\spool12.GB-keep/s', max_size=60))
 def test_any_text_is_forms_or_misread_in_its_place(text: str) -> None:
     try:
-        forms = read_forms(text)
+        forms = parse(text)
     except ConfigSyntaxError as err:
         lines = text.split("\n")
-        assert 1 <= err.line <= len(lines) + 1 and err.column >= 1 and "expected" in err.what
+        assert 1 <= err.line <= len(lines) + 1 and err.column >= 1 and "expected" in err.problem
         return
     lines = text.split("\n")
     for form in forms:
--- a/tests/spool/test_segment_store.py
+++ b/tests/spool/test_segment_store.py
@@ -25,10 +25,10 @@
 )
 from marbleworks.spool.recovery import State
 from marbleworks.spool.service import SpoolService
-from marbleworks.subsystems.registry import sections_of
+from marbleworks.subsystems.registry import parse_sections
 from tests.support.faulty_disk import ByHand, FaultyDisk, InStep
 
-TERMS = sections_of(
+TERMS = parse_sections(
     '(spool (folder "/x") (room 4 MB) (segment 100 KB) (page 6 KB) (share 100 %) (keep 20 s) (unread 20 s)'
     "(longest 60 s) (expect 20 KB))"
 )["spool"] | {"segment": 1500.0}
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -28,7 +28,7 @@
 from marbleworks.net.engine_client import engine_client_factory
 from marbleworks.spool.disk import Disk
 from marbleworks.spool.service import FolderLockedError, SpoolService
-from marbleworks.subsystems.registry import read_book, sections_of
+from marbleworks.subsystems.registry import parse_sections, read_operator_config
 from marbleworks.subsystems.wiring import Subsystems
 from tests.support.stand_ins import DEPLOYMENT, SETTINGS
 
@@ -72,7 +72,7 @@
         ]
         self.desk.post(self.desk.update_engines, listing, True)
         self.front = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(400))
-        given = sections_of(f'(spool (folder "{folder}") (room 20 MB) (share 100 %))')["spool"] | terms
+        given = parse_sections(f'(spool (folder "{folder}") (room 20 MB) (share 100 %))')["spool"] | terms
         self.chores = TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False)
         self.keeper = SpoolService(given, 2.0, self.chores, disk)
         self.front.shelf = self.keeper
@@ -515,7 +515,7 @@
 def test_a_file_without_the_section_starts_no_spool(tmp_path: Path) -> None:
     path = tmp_path / "operator.lisp"
     path.write_text("(background (core 5 %))")
-    fitted = Subsystems(read_book(str(path)))
+    fitted = Subsystems(read_operator_config(str(path)))
     fitted.join(None, DEPLOYMENT, None, "n1")  # type: ignore[arg-type]
     assert fitted.keeper is None and fitted.chores is None
     fitted.close()
