--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -74,7 +74,7 @@
 
     # What the desk tells.
 
-    def take(
+    def enqueue(
         self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
     ) -> None:
         index = self.deployment.class_index[new.profile]
@@ -108,22 +108,22 @@
         if self.door.fair.count or self.door.shares.let_in:
             self.woken.set()
 
-    def left(self, ref: str) -> bool:
+    def on_client_disconnect(self, ref: str) -> bool:
         if not self.door.left(ref):
             return False
         self._forget(ref)
         return True
 
-    def answered(self, ref: str, need: tuple[float, float] | None) -> None:
+    def on_answer(self, ref: str, need: tuple[float, float] | None) -> None:
         if ref in self.alone:
             self.door.answered(ref, need[0] if need is not None else None, self.alone.pop(ref), clock())
 
-    def over(self, ref: str, shed: bool) -> None:
+    def on_final_answer(self, ref: str, shed: bool) -> None:
         if ref in self.alone and ref not in self.held:
             del self.alone[ref]
             self.door.over(ref, shed, clock())
 
-    def listed(self) -> None:
+    def engines_changed(self) -> None:
         self.door.resize(self._cores(), clock())
 
     def heard(self, peer: int, data: bytes) -> None:
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -370,7 +370,7 @@
         place = deadline - longest
         group = table_group(body[0].decode("utf-8", "replace"))
         shelf = self.front.shelf if fields.get("spool") == "1" else None
-        tray = shelf.tray(tenant, method, body[0]) if shelf is not None else None
+        tray = shelf.reserve(tenant, method, body[0]) if shelf is not None else None
         command = OpenRequest(ref, self, call, method, body[0], now, deadline, tray=tray)
         self.calls[call] = PendingCall(ref, deadline, command)
         self.desk.post_new_work(
@@ -408,23 +408,23 @@
             raise InvalidCallError("page is not a number from 1")
         if sum(asked.ref == PAGE for asked in self.calls.values()) >= MOST_PAGES:
             raise InvalidCallError("too many open calls for pages")
-        self.calls[call] = PendingCall(PAGE, clock() + shelf.patience)
+        self.calls[call] = PendingCall(PAGE, clock() + shelf.page_timeout_s)
         spawn(self._page, shelf, call, token, tenant, int(number))
 
     def _page(self, shelf: ResultStore, call: int, token: str, tenant: str, number: int) -> None:
         """A greenlet of its own: the page is in hand until it has been written or the client has gone."""
-        said = shelf.page(token, tenant, number)
+        said = shelf.read_page(token, tenant, number)
         if isinstance(said, str):
             error = ["Rejected", {"after": "1000"}] if said == "busy" else _failed(said)
             self.post(self._finish, call, error, None)
             return
         try:
             given = Event()
-            self.post(self.give_page, call, *said, given, shelf.patience)
+            self.post(self.give_page, call, *said, given, shelf.page_timeout_s)
             while not given.wait(GIVEN_LOOK) and not self.finished:
                 pass
         finally:
-            shelf.given()
+            shelf.page_delivered()
 
 
 def _failed(why: str) -> list[Any]:
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -51,7 +51,7 @@
             self.admit(ref, new, group, key, told, tenant)
         else:
             try:
-                self.admission.take(ref, new, group, key, told, tenant)
+                self.admission.enqueue(ref, new, group, key, told, tenant)
             except Exception:
                 if self.open_requests.get(ref) is new and new.handle is None and not new.over:
                     del self.open_requests[ref]  # a mistake at the door costs this command alone
@@ -76,7 +76,7 @@
         left = deadline - clock()
         try:
             if wait is None and new.tray is not None:
-                wait = new.tray.wait
+                wait = new.tray.retry_after_s
             new.handle = self.scheduler.submit(ref, profile, group, key, told, tenant, new.came, left, wait)
         finally:
             if new.handle is None:  # a mistake in the module costs this command alone
@@ -91,7 +91,7 @@
         command.client.post(command.client.forget, command)
         if self.open_requests.get(command.ref) is not command or command.over:
             return
-        if self.admission is not None and self.admission.left(command.ref):
+        if self.admission is not None and self.admission.on_client_disconnect(command.ref):
             command.over = True
             del self.open_requests[command.ref]
             _close(command)
@@ -106,11 +106,11 @@
             command.over = True
             command.client.post(command.client.answer, command.call, bytes(good.body), good.told)
         elif command.tray is not None:
-            command.tray.unwanted(good.told)
+            command.tray.discard_result(good.told)
         if command.handle is not None:
             command.handle.on_answer(send_no, good.need, good.report)
         if self.admission is not None:
-            self.admission.answered(ref, good.need)
+            self.admission.on_answer(ref, good.need)
         self._forget(ref)
 
     def on_attempt_end(self, ref: str, send_no: int, how: AttemptOutcome, report: LoadReport | None) -> None:
@@ -157,7 +157,7 @@
         if self.scheduler.shared_budgets is not None:
             self.scheduler.shared_budgets.listed()
         if self.admission is not None:
-            self.admission.listed()
+            self.admission.engines_changed()
 
     def short_of_descriptors(self, engine: EnginePort) -> None:
         for other in self.engine_clients.values():
@@ -187,7 +187,7 @@
             del self.open_requests[ref]
             _close(command)
             if self.admission is not None:
-                self.admission.over(ref, False)
+                self.admission.on_final_answer(ref, False)
 
     # What the gateway asks for.
 
@@ -215,7 +215,7 @@
         command.over = True
         command.client.post(command.client.shed, command.call, come_back)
         if self.admission is not None:
-            self.post(self.admission.over, ref, True)
+            self.post(self.admission.on_final_answer, ref, True)
         self.post(self._forget, ref)  # the module closes it after this
 
     def fail(self, ref: str) -> None:
@@ -239,4 +239,4 @@
 
 def _close(command: OpenRequest) -> None:
     if command.tray is not None:
-        command.tray.close()
+        command.tray.release()
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -298,7 +298,7 @@
             return AttemptOutcome.ERROR, report
         good = AttemptResult(answer.body, _need(answer), report)
         if send.tray is not None:
-            return self._kept(send, good, answer.sheets, send.tray.sheet())
+            return self._kept(send, good, answer.sheets, send.tray.open_writer())
         for number in range(1, answer.sheets):
             page = self._get(send, number)
             if page.status != 200:
@@ -314,7 +314,7 @@
         """Reads a result of any size into its sheet, and frees the engine as soon as it has said all."""
         told_at = 0.0
         try:
-            sheet.add(good.body, send.until)
+            sheet.write(good.body, send.until)
             for number in range(1, pages):
                 if clock() > told_at + NEWS_WITHIN:
                     told_at = clock()
@@ -322,15 +322,15 @@
                 page = self._get(send, number)
                 if page.status != 200:
                     return AttemptOutcome.ERROR, good.report
-                sheet.add(page.body, send.until)
+                sheet.write(page.body, send.until)
             self.desk.post(self.desk.on_result_reading, send.ref, send.no)
             spawn(self._give_up, send)
-            first, good.told = sheet.finish(send.until)
+            first, good.told = sheet.commit(send.until)
         except ResultNotStoredError:
             spawn(self._give_up, send)
             raise
         finally:
-            sheet.drop()  # unless it is whole
+            sheet.discard()  # unless it is whole
         good.body = bytearray(first)
         return good
 
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -10,7 +10,11 @@
 
 
 class ResultNotStoredError(Exception):
-    """A result can't be kept. wait: seconds until one may be, infinite where that can't be said."""
+    """A result cannot be stored.
+
+    Attributes:
+        retry_after_s: Seconds until a result may be stored again; infinite where that is not known.
+    """
 
     def __init__(self, retry_after_s: float, reason: str) -> None:
         super().__init__(reason)
@@ -18,64 +22,99 @@
 
 
 class ResultWriter(Protocol):
-    """Where the rows of one send go, in order. Whatever raises NotKept has dropped it."""
+    """Takes the rows of one attempt's result in order.
+
+    A method that raises `ResultNotStoredError` has discarded what was written before.
+    """
+
+    def write(self, rows: bytes, deadline: float) -> None:
+        """Appends whole rows; may block until the deadline (Unix seconds).
+
+        Raises:
+            ResultNotStoredError: The rows were not taken by then.
+        """
 
-    def add(self, rows: bytes, until: float) -> None:
-        """Whole rows; may wait until then, raises NotKept."""
+    def commit(self, deadline: float) -> tuple[bytes, dict[str, str]]:
+        """Returns the first page and the result's fields for the client once all is durable.
 
-    def finish(self, until: float) -> tuple[bytes, dict[str, str]]:
-        """Returns once all is durable: the first page, and what its client is told. Raises NotKept."""
+        Raises:
+            ResultNotStoredError: The result was not durable by the deadline.
+        """
 
-    def drop(self) -> None: ...
+    def discard(self) -> None:
+        """Drops what was written; without effect once the result is committed."""
 
 
 class ResultReservation(Protocol):
-    """Room for the result of one command. wait: None, or the seconds until there is some."""
+    """Storage reserved for the result of one request.
 
-    wait: float | None
+    Attributes:
+        retry_after_s: None where room was reserved, or the seconds until there is some.
+    """
 
-    def sheet(self) -> ResultWriter: ...
+    retry_after_s: float | None
 
-    def close(self) -> None:
-        """The command has its final answer and no send of it is out."""
+    def open_writer(self) -> ResultWriter:
+        """Returns the writer for one attempt's result."""
 
-    def unwanted(self, told: dict[str, str]) -> None:
-        """What was kept by those words reaches nobody."""
+    def release(self) -> None:
+        """Returns what is unused: the request has its final answer and no attempt of it is in flight."""
+
+    def discard_result(self, result_fields: dict[str, str]) -> None:
+        """Removes the committed result that these fields describe: it reaches no client."""
 
 
 class ResultStore(Protocol):
-    """Results that are kept for their clients, as a front sees them."""
+    """Stored results, as client sessions use them.
+
+    Attributes:
+        page_timeout_s: Seconds that a client may take to read a page.
+    """
 
-    patience: float  # seconds that a client may take to read a page
+    page_timeout_s: float
 
-    def tray(self, tenant: str, profile: str, statement: bytes) -> ResultReservation: ...
+    def reserve(self, tenant: str, profile: str, statement: bytes) -> ResultReservation:
+        """Reserves room for the result of a statement, as far as there is any."""
 
-    def page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
-        """A page, from 1, and what is told with it; or why there is none. In hand until `given`; may wait."""
+    def read_page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
+        """Returns a page (numbered from 1) and its fields, or the reason why there is none.
 
-    def given(self) -> None: ...
+        May block. A page that is returned counts as held in memory until `page_delivered`.
+        """
 
-    def release(self, token: str, tenant: str) -> bool: ...
+    def page_delivered(self) -> None:
+        """A page that `read_page` returned is no longer held in memory."""
+
+    def release(self, token: str, tenant: str) -> bool:
+        """Removes a result; False where the tenant has none under this token."""
 
 
 class RequestAdmission(Protocol):
-    """Who lets commands in to the decisions, as the desk sees it. Takes what `Desk.admit` takes, and calls
-    that once for each command that is not called off before."""
+    """Decides when a request reaches the scheduler, in the dispatcher's greenlet.
+
+    `enqueue` takes what `Dispatcher.admit` takes and calls that once for each request whose client does not
+    disconnect before.
+    """
 
-    def take(
+    def enqueue(
         self, ref: str, new: Any, group: int, key: str, told: tuple[float, float], tenant: int
-    ) -> None: ...
+    ) -> None:
+        """Takes a new request."""
 
-    def left(self, ref: str) -> bool:
-        """Its client has left; False where the command had been let in, or was not taken."""
+    def on_client_disconnect(self, ref: str) -> bool:
+        """Drops a waiting request; False where it was admitted before or is unknown."""
 
-    def answered(self, ref: str, need: tuple[float, float] | None) -> None: ...
+    def on_answer(self, ref: str, need: tuple[float, float] | None) -> None:
+        """An engine answered an admitted request. need: its work (s) and memory (MB), where reported."""
 
-    def over(self, ref: str, shed: bool) -> None: ...
+    def on_final_answer(self, ref: str, shed: bool) -> None:
+        """An admitted request is settled; shed: without having been answered for want of capacity."""
 
-    def listed(self) -> None: ...
+    def engines_changed(self) -> None:
+        """The list of engines changed."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Rejects all that waits: the router stops."""
 
 
 class SharedBudgets(Protocol):
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -77,7 +77,7 @@
             empty=self._empty,
             clears=self.catalogue.clears,
         )
-        self.patience = terms["page"] / terms["least-pace"] + GIVEN_WITHIN
+        self.page_timeout_s = terms["page"] / terms["least-pace"] + GIVEN_WITHIN
         self.in_hand = BoundedSemaphore(max(int(terms["in-hand"] // terms["page"]), 1))
         self.writing, self.reading = threads(1), threads(READERS)
         self.jobs, self.work = deque[Job](), Event()
@@ -131,12 +131,12 @@
 
     # What the desk and the engines ask.
 
-    def tray(self, tenant: str, profile: str, statement: bytes) -> SpoolReservation:
+    def reserve(self, tenant: str, profile: str, statement: bytes) -> SpoolReservation:
         self._expire()
         room = self.ledger.reserve(tenant, profile, xxhash.xxh3_64_intdigest(statement), clock())
         if isinstance(room, Reservation):
             return SpoolReservation(self, tenant, profile, room)
-        return SpoolReservation(self, tenant, profile, wait=room)
+        return SpoolReservation(self, tenant, profile, retry_after_s=room)
 
     def failed(self, err: Exception) -> None:
         wait = self.ledger.failed(clock())
@@ -144,7 +144,7 @@
 
     # What a front asks.
 
-    def page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
+    def read_page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
         if not self.in_hand.acquire(timeout=GIVEN_WITHIN):
             return "busy"
         said = self._page(token, tenant, number)
@@ -152,7 +152,7 @@
             self.in_hand.release()
         return said
 
-    def given(self) -> None:
+    def page_delivered(self) -> None:
         self.in_hand.release()
 
     def _page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
@@ -483,7 +483,7 @@
         self.ledger.change(*_limits(self.terms))
         self.ledger.most = self.terms["most"]
         self.store.room, self.store.segment_size = self.terms["room"], _segment(self.terms)
-        self.patience = self.terms["page"] / self.terms["least-pace"] + GIVEN_WITHIN
+        self.page_timeout_s = self.terms["page"] / self.terms["least-pace"] + GIVEN_WITHIN
 
     def close(self) -> None:
         """All is written and the folder is free for the next router."""
@@ -504,17 +504,17 @@
     tenant: str
     profile: str
     room: Reservation | None = None
-    wait: float | None = None
+    retry_after_s: float | None = None
 
-    def sheet(self) -> SpoolResultWriter:
+    def open_writer(self) -> SpoolResultWriter:
         return SpoolResultWriter(self.keeper, self)
 
-    def close(self) -> None:
+    def release(self) -> None:
         if self.room is not None:
             self.room.free()
 
-    def unwanted(self, told: dict[str, str]) -> None:
-        self.keeper.release(told["spool"], self.tenant)
+    def discard_result(self, result_fields: dict[str, str]) -> None:
+        self.keeper.release(result_fields["spool"], self.tenant)
 
 
 @dataclass(eq=False)
@@ -541,13 +541,13 @@
     def placed(self) -> list[tuple[int, int, int]]:
         return [(page, at, length) for page, (at, length) in enumerate(self.spots)]
 
-    def add(self, rows: bytes, until: float) -> None:
+    def write(self, rows: bytes, deadline: float) -> None:
         self.rows += rows.count(b"\n")
         self.size += len(rows)
         if self.size > self.keeper.terms["largest"]:
             self._refuse(float("inf"), "larger than any that is kept")
         if self.buffer and len(self.buffer) + len(rows) > self.keeper.terms["page"]:
-            self._page(until)
+            self._page(deadline)
         self.buffer += rows
 
     def _page(self, until: float) -> None:
@@ -577,16 +577,16 @@
         else:
             self.taken += more
 
-    def finish(self, until: float) -> tuple[bytes, dict[str, str]]:
-        self._page(until)
+    def commit(self, deadline: float) -> tuple[bytes, dict[str, str]]:
+        self._page(deadline)
         while self.pending:
-            self._wait(self.pending.popleft(), until)
+            self._wait(self.pending.popleft(), deadline)
         token, now = secrets.token_urlsafe(18), clock()
         tray, keeper = self.tray, self.keeper
         key = digest(token, tray.tenant)
         result = Result(self.number, key, tray.tenant, tray.profile, now, self.rows, self.size, self.pages)
         make = partial(lambda: [end_of(result)])
-        self._wait(keeper.submit(make, True, self.generation, partial(self._whole, result)), until)
+        self._wait(keeper.submit(make, True, self.generation, partial(self._whole, result)), deadline)
         told = {
             "spool": token,
             "pages": str(self.pages),
@@ -623,14 +623,14 @@
         return self.keeper.ledger.heed or float("inf")
 
     def _refuse(self, wait: float, why: str) -> None:
-        self.drop()
+        self.discard()
         raise ResultNotStoredError(wait, why)
 
     def _leave(self) -> None:
         self.over = True
         self.keeper.sheets.pop(self.number, None)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         if not self.over:
             self._leave()
             self.buffer, self.first = bytearray(), b""
--- a/tests/spool/test_segment_store.py
+++ b/tests/spool/test_segment_store.py
@@ -103,10 +103,10 @@
                 del self.answered[token]
                 self.keeper.release(token, "oslo")
             else:
-                said = self.keeper.page(token, "oslo", 1 + count % len(pages))
+                said = self.keeper.read_page(token, "oslo", 1 + count % len(pages))
                 if isinstance(said, tuple):
                     assert said[0] == pages[count % len(pages)]
-                    self.keeper.given()
+                    self.keeper.page_delivered()
                     self.answered[token] = pages, min(Clock.now + 20, ends + 40)
                 else:
                     assert Clock.now >= ends, (said, Clock.now, ends)
@@ -116,29 +116,29 @@
 
     def begin(self, count: int) -> None:
         pages = [self.chance.randbytes(300).hex().encode() + b"\ta\tb\n" for _ in range(count)]
-        tray = self.keeper.tray("oslo", "report", b"")
-        if tray.wait is not None:
+        tray = self.keeper.reserve("oslo", "report", b"")
+        if tray.retry_after_s is not None:
             return
-        sheet = tray.sheet()
+        sheet = tray.open_writer()
         try:
             for page in pages:
-                sheet.add(page * 9, Clock.now + 5)
+                sheet.write(page * 9, Clock.now + 5)
             gevent.sleep(0)  # what was submitted is written
             self.under_way.append((tray, sheet, [page * 9 for page in pages]))
         except ResultNotStoredError:
-            tray.close()
+            tray.release()
 
     def end(self, which: int) -> None:
         if not self.under_way:
             return
         tray, sheet, pages = self.under_way.pop(which)
         try:
-            first, told = sheet.finish(Clock.now + 5)
+            first, told = sheet.commit(Clock.now + 5)
         except ResultNotStoredError:
             return
         finally:
-            sheet.drop()
-            tray.close()
+            sheet.discard()
+            tray.release()
         assert first == pages[0] and told["pages"] == str(len(pages))
         self.answered[told["spool"]] = pages, Clock.now + 20
         self.gone_for_good |= self.gone.keys()  # they were written before, and made durable with this
@@ -148,11 +148,11 @@
         for token, (pages, ends) in self.answered.items():
             if Clock.now < ends:
                 for number, page in enumerate(pages, 1):
-                    said = self.keeper.page(token, "oslo", number)
+                    said = self.keeper.read_page(token, "oslo", number)
                     assert isinstance(said, tuple) and said[0] == page, (said, number)
-                    self.keeper.given()
+                    self.keeper.page_delivered()
         for token, pages in self.gone.items():
-            said = self.keeper.page(token, "oslo", 1)
+            said = self.keeper.read_page(token, "oslo", 1)
             assert said == "no such result" or said[0] == pages[0] and token not in self.gone_for_good
         held = sum(r.stored for r in self.keeper.catalogue.results.values())
         assert sum(self.keeper.ledger.held.values()) == held
@@ -305,10 +305,10 @@
         day.start()
     for token, (pages, _) in day.answered.items():
         for number, page in enumerate(pages, 1):
-            said = day.keeper.page(token, "oslo", number)
+            said = day.keeper.read_page(token, "oslo", number)
             if isinstance(said, tuple):
                 assert said[0] == page
-                day.keeper.given()
+                day.keeper.page_delivered()
 
 
 def test_a_segment_that_is_missing_costs_its_results_alone() -> None:
@@ -320,7 +320,7 @@
     day.chores.run("checkpoint")
     del day.disk.files[names[1]]
     day.start()
-    said = [day.keeper.page(token, "oslo", 1) for token in day.answered]
+    said = [day.keeper.read_page(token, "oslo", 1) for token in day.answered]
     assert 1 <= sum(one == "no such result" for one in said) < 4
     assert sum(isinstance(one, tuple) for one in said) >= 2
 
@@ -344,7 +344,7 @@
         last = max(name for name in files if name.startswith("segment"))
         del files[last].data[-100:]
         day.start()
-        firsts = [day.keeper.page(token, "oslo", 1) for token in day.answered]
+        firsts = [day.keeper.read_page(token, "oslo", 1) for token in day.answered]
         assert sorted(isinstance(one, tuple) for one in firsts) == [False, True]
         return
     day.start()
@@ -389,9 +389,9 @@
         return good_read(name, offset, count)
 
     monkeypatch.setattr(day.disk, "read", read)
-    assert day.keeper.page(one, "oslo", 1) == "the result is lost"
-    assert day.keeper.page(one, "oslo", 2) == "no such result"
-    assert isinstance(day.keeper.page(other, "oslo", 2), tuple)
+    assert day.keeper.read_page(one, "oslo", 1) == "the result is lost"
+    assert day.keeper.read_page(one, "oslo", 2) == "no such result"
+    assert isinstance(day.keeper.read_page(other, "oslo", 2), tuple)
 
 
 def test_scrubbing_finds_what_is_spoilt_before_its_reader_does() -> None:
@@ -448,5 +448,5 @@
     assert segment not in day.disk.files and day.keeper.store.names[1] in day.disk.files
     del day.disk.files["checkpoint"]
     day.start()
-    assert day.keeper.page(first, "oslo", 1) == "no such result"
+    assert day.keeper.read_page(first, "oslo", 1) == "no such result"
     day.holds()
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -380,9 +380,9 @@
     answered: list[dict[str, Any]] = []
 
     def begun(name: str, tenant: str, count: int) -> Any:
-        sheet = keeper.tray(tenant, "look", name.encode()).sheet()
+        sheet = keeper.reserve(tenant, "look", name.encode()).open_writer()
         for i in range(count):
-            sheet.add(row(name, i), 1e12)
+            sheet.write(row(name, i), 1e12)
         return sheet
 
     def ended(sheet: Any, name: str, tenant: str, count: int) -> None:
@@ -485,18 +485,18 @@
         for answer in answers(False):
             pages = []
             for number in range(1, answer["pages"] + 1):
-                said = keeper.page(answer["token"], answer["tenant"], number)
+                said = keeper.read_page(answer["token"], answer["tenant"], number)
                 assert isinstance(said, tuple), said
-                keeper.given()
+                keeper.page_delivered()
                 assert said[1]["page"] == str(number) and said[1]["pages"] == str(answer["pages"])
                 pages.append(said[0])
             assert b"".join(pages) == rows_of(answer["name"], answer["rows"])
-            assert keeper.page(answer["token"], "initech", 1) == "no such result"
+            assert keeper.read_page(answer["token"], "initech", 1) == "no such result"
         for answer in answers(True):
-            assert keeper.page(answer["token"], answer["tenant"], 1) == "no such result"
-        sheet = keeper.tray("acme", "look", b"new").sheet()
-        sheet.add(ROWS, 1e12)
-        assert sheet.finish(1e12)[0] == ROWS
+            assert keeper.read_page(answer["token"], answer["tenant"], 1) == "no such result"
+        sheet = keeper.reserve("acme", "look", b"new").open_writer()
+        sheet.write(ROWS, 1e12)
+        assert sheet.commit(1e12)[0] == ROWS
         keeper.close()
     assert checked(str(folder))[1]
 
