--- a/marbleworks/net/actor.py
+++ b/marbleworks/net/actor.py
@@ -15,7 +15,7 @@
 from gevent.queue import Empty, PriorityQueue
 
 LOG = structlog.get_logger()
-TURN = 0.002  # seconds that an actor may go on with its mail while others wait
+TURN_S = 0.002  # seconds that an actor may go on with its mail while others wait
 Mail = tuple[int, float, int, Callable[..., Any], tuple[Any, ...]]  # rank, place, number, what to call
 _BEGAN = time.time() - time.monotonic()
 
@@ -40,19 +40,19 @@
 class Actor:
     def __init__(self) -> None:
         self.mailbox: PriorityQueue[Mail] = PriorityQueue()
-        self.posted, self.finished = 0, False
+        self.post_count, self.finished = 0, False
         self.wake_at: float | None = None  # when `rung` is wanted, at the latest
         self.greenlet = gevent.spawn(self._run)
 
     def post(self, what: Callable[..., Any], *args: Any) -> None:
         """Has this actor's greenlet call one of its methods, after all that was posted before."""
-        self.posted += 1
-        self.mailbox.put((0, 0.0, self.posted, what, args))
+        self.post_count += 1
+        self.mailbox.put((0, 0.0, self.post_count, what, args))
 
     def post_new_work(self, place: float, what: Callable[..., Any], *args: Any) -> None:
         """The same for new work, which comes after all that concerns work already begun, by place."""
-        self.posted += 1
-        self.mailbox.put((1, place, self.posted, what, args))
+        self.post_count += 1
+        self.mailbox.put((1, place, self.post_count, what, args))
 
     def finish(self) -> None:
         """Posted last. A greenlet that is killed would keep its frame, and all that it knows, in a cycle."""
@@ -66,7 +66,7 @@
         while not self.finished:
             try:
                 now = clock()
-                if now > ran + TURN:  # a full mailbox keeps no other greenlet waiting
+                if now > ran + TURN_S:  # a full mailbox keeps no other greenlet waiting
                     gevent.sleep(0)
                     ran = now = clock()
                 left = None if self.wake_at is None else self.wake_at - now
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -19,11 +19,11 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.net.actor import LOG, TURN, Actor, clock, spawn
+from marbleworks.net.actor import LOG, TURN_S, Actor, clock, spawn
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.messages import OpenRequest
 from marbleworks.net.statement_parser import table_group
-from marbleworks.net.stream import Ended, Reason, Stream
+from marbleworks.net.stream import CloseReason, Stream, StreamClosedError
 from marbleworks.ports import ResultStore
 from marbleworks.settings import Settings
 
@@ -54,7 +54,11 @@
 MOST_LINGER = 1 << 18  # and bytes
 SPEAKS_WITHIN = 0.25  # seconds that a new connection is given where others may be ended for the next
 ROOM_EVERY = 0.05  # seconds between looks for a connection that may be ended for a new one
-OURS = (Reason.SILENT, Reason.MALFORMED, Reason.TOO_LONG)  # ends of a connection that the other side keeps
+OURS = (
+    CloseReason.SILENT,
+    CloseReason.MALFORMED,
+    CloseReason.TOO_LONG,
+)  # ends of a connection that the other side keeps
 
 
 @dataclass(eq=False)
@@ -63,8 +67,8 @@
 
     ref: str  # of the command, or PAGE
     deadline: float
-    command: OpenRequest | None = None
-    given_up: bool = False  # nothing is owed for it
+    request: OpenRequest | None = None
+    abandoned: bool = False  # nothing is owed for it
 
 
 class InvalidCallError(Exception):
@@ -75,17 +79,19 @@
     def __init__(
         self, address: tuple[str, int], desk: Dispatcher, deployment: Settings, share: BoundedSemaphore
     ) -> None:
-        self.desk, self.deployment, self.share = desk, deployment, share
+        self.dispatcher, self.settings, self.descriptors = desk, deployment, share
         self.healthy = True
-        self.shelf: ResultStore | None = None  # where results are kept, if anywhere
-        self.about: Callable[[str], dict[str, Any]] | None = None  # what `health` may be asked besides
-        self.clients: dict[ClientSession, None] = {}  # in the order in which they came
-        self.entering: Any = None  # accepted, and without a place yet: one at most
+        self.result_store: ResultStore | None = None  # where results are kept, if anywhere
+        self.health_details: Callable[[str], dict[str, Any]] | None = (
+            None  # what `health` may be asked besides
+        )
+        self.sessions: dict[ClientSession, None] = {}  # in the order in which they came
+        self.accepted: Any = None  # accepted, and without a place yet: one at most
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
         self.sock.listen(socket.SOMAXCONN)
-        self.accepting = spawn(self._accept)
+        self.accept_greenlet = spawn(self._accept)
 
     def _accept(self) -> None:
         while True:
@@ -97,18 +103,18 @@
 
     def _admit(self, until: float = math.inf) -> None:
         """One that comes; while there is no place for it, the next ones wait in the machine's queue."""
-        if self.entering is None:
-            self.entering = self.sock.accept()
-        while not self.share.acquire(blocking=False):
+        if self.accepted is None:
+            self.accepted = self.sock.accept()
+        while not self.descriptors.acquire(blocking=False):
             if clock() >= until:
                 raise BlockingIOError
             if not self._make_room():
                 gevent.sleep(ROOM_EVERY)  # by then one may have come to rest
-        (sock, (host, port)), self.entering = self.entering, None
+        (sock, (host, port)), self.accepted = self.accepted, None
         try:
-            stream = Stream(sock, "client", f"{host}:{port}", MOST_MESSAGE, self.share.release)
+            stream = Stream(sock, "client", f"{host}:{port}", MOST_MESSAGE, self.descriptors.release)
         except BaseException:
-            self.share.release()
+            self.descriptors.release()
             sock.close()
             raise
         ClientSession(self, stream)
@@ -118,19 +124,21 @@
         """Guards against connections kept for nothing: one that never said anything goes, or else the longest
         idle. What has just come is given time to speak, and what has spoken is read."""
         old = clock() - SPEAKS_WITHIN
-        unused = [client for client in self.clients if client.unused()]  # in the order in which they came
-        silent = (client for client in unused if not client.spoke_at and client.stream.began <= old)
+        unused = [client for client in self.sessions if client.is_unused()]  # in the order in which they came
+        silent = (
+            client for client in unused if not client.last_message_at and client.stream.opened_at <= old
+        )
         client = next(silent, None)
         if client is None and unused:
-            client = min(unused, key=lambda client: client.spoke_at or client.stream.began)
-        if client is not None and client.stream.more() is None:
-            client.stream.end(Reason.NO_ROOM)
+            client = min(unused, key=lambda client: client.last_message_at or client.stream.opened_at)
+        if client is not None and client.stream.peek() is None:
+            client.stream.close(CloseReason.NO_ROOM)
             return True
         return False
 
     def stop_accepting(self, until: float) -> None:
         """Takes in all that the machine has accepted, and has whoever comes later be refused."""
-        self.accepting.kill()
+        self.accept_greenlet.kill()
         self.sock.settimeout(0.0)
         while clock() < until:
             try:
@@ -142,26 +150,34 @@
                 gevent.sleep(ROOM_EVERY)
         self.sock.close()
 
-    def part_resting(self) -> bool:
+    def close_idle_sessions(self) -> bool:
         """Ends in good order the connections on which nothing is open; True once none is left."""
-        for client in [client for client in self.clients if client.resting()]:
-            client.part(Reason.STOPPING)
-        return not self.clients
+        for client in [client for client in self.sessions if client.is_idle()]:
+            client.close_gracefully(CloseReason.STOPPING)
+        return not self.sessions
 
     def close(self) -> None:
-        for client in list(self.clients):
-            client.stream.end(Reason.STOPPING)
+        for client in list(self.sessions):
+            client.stream.close(CloseReason.STOPPING)
 
 
 class ClientSession(Actor):
     def __init__(self, front: ClientListener, stream: Stream) -> None:
         super().__init__()
-        self.front, self.desk, self.deployment, self.stream = front, front.desk, front.deployment, stream
+        self.listener, self.dispatcher, self.settings, self.stream = (
+            front,
+            front.dispatcher,
+            front.settings,
+            stream,
+        )
         self.calls: dict[int, PendingCall] = {}  # open ones, by the client's number for them
-        self.spoke_at, self.told = (0.0, False)  # a whole message last came then; whether one was sent
+        self.last_message_at, self.has_written = (
+            0.0,
+            False,
+        )  # a whole message last came then; whether one was sent
         self.writing = False
-        self.parting: Reason | None = None  # from then on what comes is read by nobody
-        front.clients[self] = None
+        self.closing: CloseReason | None = None  # from then on what comes is read by nobody
+        front.sessions[self] = None
         spawn(self._read)
 
     # What the desk asks.
@@ -178,127 +194,134 @@
 
     def give_page(self, call: int, rows: bytes, told: dict[str, str], given: Event, patience: float) -> None:
         asked = self.calls.get(call)
-        if asked is not None and not asked.given_up:
+        if asked is not None and not asked.abandoned:
             self._write([ANSWER, call, None, [rows, told]], clock() + patience)
         self.calls.pop(call, None)
         given.set()
 
     def _finish(self, call: int, error: list[Any] | None, result: list[Any] | None) -> None:
         asked = self.calls.get(call)
-        if asked is not None and not asked.given_up:
+        if asked is not None and not asked.abandoned:
             self._write([ANSWER, call, error, result], asked.deadline)
-        if asked is not None and (asked.command is None or not asked.given_up):
+        if asked is not None and (asked.request is None or not asked.abandoned):
             self.calls.pop(call, None)  # the reader may have ended while it was written
 
     def forget(self, command: OpenRequest) -> None:
         """The desk has heard that it was given up. Its number may be another's by now."""
         asked = self.calls.get(command.call)
-        if asked is not None and asked.command is command:
+        if asked is not None and asked.request is command:
             del self.calls[command.call]
 
     def _write(self, message: list[Any], until: float) -> None:
         """A client that does not read holds up no answer but its own."""
-        self.told = self.writing = True
+        self.has_written = self.writing = True
         try:
             self.stream.write(msgpack.packb(message), max(until, clock() + MOST_WRITE))
-        except Ended as err:
-            self.stream.end(err.reason)
+        except StreamClosedError as err:
+            self.stream.close(err.reason)
         finally:
             self.writing = False
 
     # Its end.
 
-    def unused(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether nothing is open or being written; something may still be read."""
-        return self.parting is None and not (self.calls or self.writing or self.mailbox.qsize())
+        return self.closing is None and not (self.calls or self.writing or self.mailbox.qsize())
 
-    def resting(self) -> bool:
-        return self.unused() and not self.stream.last and self.stream.more() is None
+    def is_idle(self) -> bool:
+        return self.is_unused() and not self.stream.unread_end and self.stream.peek() is None
 
-    def part(self, reason: Reason) -> None:
+    def close_gracefully(self, reason: CloseReason) -> None:
         """Ends it in good order. Guards against a close that destroys what was just written: bytes that come
         later would reset the connection, and are read by nobody until the other side ends it, or for a
         moment."""
-        self.parting = reason
-        self.stream.shut()
-        gevent.spawn_later(LINGER, self.stream.end, reason)
+        self.closing = reason
+        self.stream.shutdown_write()
+        gevent.spawn_later(LINGER, self.stream.close, reason)
 
-    def _linger(self, reason: Reason) -> None:
+    def _linger(self, reason: CloseReason) -> None:
         """The reader's part of that."""
         most = MOST_LINGER
-        with suppress(Ended):
+        with suppress(StreamClosedError):
             while most > 0:
-                most -= self.stream.last - self.stream.first
-                self.stream.read(self.stream.last - self.stream.first)
+                most -= self.stream.unread_end - self.stream.unread_start
+                self.stream.consume(self.stream.unread_end - self.stream.unread_start)
                 self.stream.fill(clock() + MOST_WRITE)  # by when all is written and `part` has its turn
                 gevent.sleep(0)
-        self.stream.end(reason)
+        self.stream.close(reason)
 
     # What the client says.
 
     def _read(self) -> None:
-        reason, since = Reason.FAULT, self.stream.began  # since: a message or a first answer is due, else 0
+        reason, since = (
+            CloseReason.FAULT,
+            self.stream.opened_at,
+        )  # since: a message or a first answer is due, else 0
         try:
-            while self.parting is None:
+            while self.closing is None:
                 try:
                     self.stream.fill(since + WHOLE_WITHIN if since else None)
-                except Ended as err:
-                    if err.reason is not Reason.SILENT or self.stream.last or not (self.calls or self.told):
+                except StreamClosedError as err:
+                    if (
+                        err.reason is not CloseReason.SILENT
+                        or self.stream.unread_end
+                        or not (self.calls or self.has_written)
+                    ):
                         raise
-                    since = 0.0 if self.told else clock()  # it waits for its first answer
+                    since = 0.0 if self.has_written else clock()  # it waits for its first answer
                     continue
-                if self.parting is not None:
+                if self.closing is not None:
                     break
                 for message in self._messages():
-                    self.spoke_at, since = clock(), 0.0
+                    self.last_message_at, since = clock(), 0.0
                     self._hear(message)
                     del message
                     self._hold_back()
-                if not since and (self.stream.last or not self.told):
+                if not since and (self.stream.unread_end or not self.has_written):
                     since = clock()
                 gevent.sleep(0)  # and keeps no other client from being heard
-        except Ended as err:
+        except StreamClosedError as err:
             reason = err.reason
         finally:
-            if reason is Reason.CLOSED and self.calls:
-                reason = Reason.BROKEN
+            if reason is CloseReason.CLOSED and self.calls:
+                reason = CloseReason.BROKEN
             for call in list(self.calls):
                 self._left(call)
             self.calls.clear()
-            if self.parting is None and reason in OURS and (self.told or self.mailbox.qsize()):
-                self.parting = reason
-                self.post(self.part, reason)  # behind what is still to be written
-            if self.parting is not None:
-                self._linger(self.parting)
-            self.stream.end(reason)
-            self.front.clients.pop(self, None)
+            if self.closing is None and reason in OURS and (self.has_written or self.mailbox.qsize()):
+                self.closing = reason
+                self.post(self.close_gracefully, reason)  # behind what is still to be written
+            if self.closing is not None:
+                self._linger(self.closing)
+            self.stream.close(reason)
+            self.listener.sessions.pop(self, None)
             self.post(self.finish)
 
     def _hold_back(self) -> None:
         """One that sends at full speed waits until its errors are written and its cancels heard. That it has
         gone is heard all the same."""
         while self.mailbox.qsize() > MOST_OPEN or len(self.calls) > 2 * MOST_OPEN:
-            if self.stream.full:
-                gevent.sleep(TURN)
+            if self.stream.buffer_full:
+                gevent.sleep(TURN_S)
                 continue
             try:
-                self.stream.fill(clock() + TURN)
-            except Ended as err:
-                if err.reason is not Reason.SILENT:
+                self.stream.fill(clock() + TURN_S)
+            except StreamClosedError as err:
+                if err.reason is not CloseReason.SILENT:
                     raise
 
     def _messages(self) -> Iterator[Any]:
         """All that have come whole; the rest stays in the buffer."""
         unpacker, used, fills = msgpack.Unpacker(**BOUNDS), 0, -1
-        while fills != self.stream.fills:  # while one was heard, more may have come
-            self.stream.read(used)
-            unpacker, used, fills = msgpack.Unpacker(**BOUNDS), 0, self.stream.fills
+        while fills != self.stream.fill_count:  # while one was heard, more may have come
+            self.stream.consume(used)
+            unpacker, used, fills = msgpack.Unpacker(**BOUNDS), 0, self.stream.fill_count
             with self.stream.unread() as view:
                 unpacker.feed(view)
             for message in self._unpacked(unpacker):
                 used = unpacker.tell()
                 yield message
-        self.stream.read(used)
+        self.stream.consume(used)
 
     def _unpacked(self, unpacker: Any) -> Iterator[Any]:
         while True:
@@ -307,7 +330,7 @@
             except msgpack.OutOfData:
                 return
             except (ValueError, TypeError, msgpack.UnpackException, RecursionError):
-                raise Ended(Reason.MALFORMED) from None
+                raise StreamClosedError(CloseReason.MALFORMED) from None
             yield message
 
     def _say(self, message: list[Any]) -> None:
@@ -326,31 +349,31 @@
             case [2, str(), list()]:
                 pass  # a notice that we don't know asks for no answer
             case _:
-                raise Ended(Reason.MALFORMED)
+                raise StreamClosedError(CloseReason.MALFORMED)
 
     def _left(self, call: int) -> None:
         """Nothing is owed for it any longer."""
         asked = self.calls.get(call)
-        if asked is not None and not asked.given_up:
-            asked.given_up = True
-            if asked.command is not None:
-                asked.command.left = True
-                self.desk.post(self.desk.on_client_disconnect, asked.command)
+        if asked is not None and not asked.abandoned:
+            asked.abandoned = True
+            if asked.request is not None:
+                asked.request.left = True
+                self.dispatcher.post(self.dispatcher.on_client_disconnect, asked.request)
 
     def _call(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
         if method == "health":
-            what, about = fields.get("about"), self.front.about
+            what, about = fields.get("about"), self.listener.health_details
             told = about(what) if about is not None and isinstance(what, str) else {}
-            self._say([ANSWER, call, None, [self.front.healthy, told]])
-        elif method in ("page", "release") and self.front.shelf is not None:
-            self._kept(self.front.shelf, call, method, fields)
+            self._say([ANSWER, call, None, [self.listener.healthy, told]])
+        elif method in ("page", "release") and self.listener.result_store is not None:
+            self._kept(self.listener.result_store, call, method, fields)
         else:
             self._take(call, method, fields, body)
 
     def _take(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
-        if method not in self.deployment.class_index:
+        if method not in self.settings.class_index:
             raise InvalidCallError("unknown method")
-        if sum(not asked.given_up for asked in self.calls.values()) >= MOST_OPEN:
+        if sum(not asked.abandoned for asked in self.calls.values()) >= MOST_OPEN:
             raise InvalidCallError("too many open calls")
         if len(body) != 1 or not isinstance(body[0], bytes):
             raise InvalidCallError("the body is not bin")
@@ -358,9 +381,9 @@
         if not isinstance(ref, str) or not ID.fullmatch(ref):
             raise InvalidCallError("id is not 16 hex digits")
         tenant = self._tenant(fields)
-        now, longest = clock(), self.deployment.client_timeouts_s[self.deployment.class_index[method]]
+        now, longest = clock(), self.settings.client_timeouts_s[self.settings.class_index[method]]
         wait = _number(fields, "wait", 2000.0 * longest)
-        fleet = self.deployment.fleet  # what none of its engines could do is no estimate
+        fleet = self.settings.fleet  # what none of its engines could do is no estimate
         cost = _number(fields, "cost", 1000.0 * longest * max(fleet.cores_by_kind))
         memory = _number(fields, "need_mb", max(fleet.memory_mb_by_kind))
         if wait <= 0:
@@ -369,27 +392,27 @@
         # Commands are taken by when their clients began to wait: for a retry that was before this try.
         place = deadline - longest
         group = table_group(body[0].decode("utf-8", "replace"))
-        shelf = self.front.shelf if fields.get("spool") == "1" else None
+        shelf = self.listener.result_store if fields.get("spool") == "1" else None
         tray = shelf.reserve(tenant, method, body[0]) if shelf is not None else None
         command = OpenRequest(ref, self, call, method, body[0], now, deadline, tray=tray)
         self.calls[call] = PendingCall(ref, deadline, command)
-        self.desk.post_new_work(
+        self.dispatcher.post_new_work(
             place,
-            self.desk.submit,
+            self.dispatcher.submit,
             ref,
             command,
             group,
             "",
             (cost / 1000.0, memory),
-            self.deployment.tenant_index.get(tenant, -1),
+            self.settings.tenant_index.get(tenant, -1),
         )
 
     def _tenant(self, fields: dict[Any, Any]) -> str:
         """Who asks; nobody in particular where the deployment has no tenants."""
         tenant = fields.get("tenant", "")
-        if not self.deployment.tenant_index:
+        if not self.settings.tenant_index:
             return ""
-        if not isinstance(tenant, str) or tenant not in self.deployment.tenant_index:
+        if not isinstance(tenant, str) or tenant not in self.settings.tenant_index:
             raise InvalidCallError("unknown tenant")
         return tenant
 
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -22,7 +22,7 @@
 from marbleworks.model import AttemptOutcome, LoadReport
 from marbleworks.net.actor import LOG, Actor, clock, spawn
 from marbleworks.net.messages import AttemptCall, AttemptResult
-from marbleworks.net.stream import Ended, Reason, Stream, connect
+from marbleworks.net.stream import CloseReason, Stream, StreamClosedError, connect
 from marbleworks.ports import ResultNotStoredError, ResultWriter
 from marbleworks.settings import Settings
 
@@ -45,7 +45,7 @@
 class AttemptCancelledError(Exception):
     """Thrown into the greenlet of a send that is not to go on."""
 
-    def __init__(self, reason: Reason) -> None:
+    def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason.value)
         self.reason = reason
 
@@ -146,17 +146,17 @@
                     self.parser.feed_data(view)
                 except httptools.HttpParserError:
                     if not self.whole:
-                        raise Ended(Reason.MALFORMED) from None
+                        raise StreamClosedError(CloseReason.MALFORMED) from None
                     self.answer.surplus = True
-                self.stream.read(len(view))
+                self.stream.consume(len(view))
             if read > MOST_ANSWER + CHUNK * min(len(self.answer.body), MOST_PAGE):
-                raise Ended(Reason.TOO_LONG)
-        self.answer.surplus |= bool(self.stream.more())
+                raise StreamClosedError(CloseReason.TOO_LONG)
+        self.answer.surplus |= bool(self.stream.peek())
         self.keep &= not self.answer.surplus
         return self.answer
 
-    def end(self, why: Reason) -> None:
-        self.stream.end(why)
+    def end(self, why: CloseReason) -> None:
+        self.stream.close(why)
         self.parser = None  # each refers to the other, and would stay until garbage is looked for
 
 
@@ -203,9 +203,9 @@
         """Of its process: nothing goes out once it drains, and a new one has nothing of the old."""
         for send in list(self.sends.values()):
             if not send.posted if not up else 0.0 < send.posted < started:
-                self._stop(send, Reason.REPLACED)
+                self._stop(send, CloseReason.REPLACED)
         if started > self.started or not up:
-            self._close_idle(Reason.REPLACED)
+            self._close_idle(CloseReason.REPLACED)
         self.up, self.started = up, started
 
     def retire(self) -> None:
@@ -215,13 +215,13 @@
 
     def _rest(self) -> None:
         if self.retired and not self.sends:
-            self._close_idle(Reason.REPLACED)
+            self._close_idle(CloseReason.REPLACED)
             self.post(self.finish)
 
     def spare(self, other: EngineClient) -> None:
         """Descriptors are short, and the other engine has none: one of ours goes, now or when it is free."""
         if self.idle:
-            self._end(self.idle.pop(0), Reason.NO_ROOM)
+            self._end(self.idle.pop(0), CloseReason.NO_ROOM)
             other.post(other.try_again)
         elif self.connections:
             self.owed = other
@@ -234,7 +234,7 @@
         """Ends well before the engine would what has not been used for long."""
         old = clock() - self.deployment.idle_timeout_s / 2
         while self.idle and self.idle[0].idle_since <= old:
-            self._end(self.idle.pop(0), Reason.IDLE)
+            self._end(self.idle.pop(0), CloseReason.IDLE)
         self.wake_at = self.idle[0].idle_since + self.deployment.idle_timeout_s / 2 if self.idle else None
 
     # The life of a send.
@@ -248,7 +248,7 @@
             result = self._result(send)
             how, report = result if isinstance(result, tuple) else (AttemptOutcome.ERROR, None)
         except AttemptCancelledError as off:
-            if off.reason is Reason.REPLACED:
+            if off.reason is CloseReason.REPLACED:
                 how = AttemptOutcome.CONNECTION_LOST if send.posted else AttemptOutcome.WITHHELD
             else:
                 how = AttemptOutcome.CANCELLED if send.posted else AttemptOutcome.UNSENT
@@ -256,20 +256,20 @@
             how = err.how
         except ResultNotStoredError as err:
             not_kept = err.retry_after_s
-        except Ended as err:
+        except StreamClosedError as err:
             if send.posted:
                 how = (
                     AttemptOutcome.TIMED_OUT
-                    if err.reason is Reason.SILENT
+                    if err.reason is CloseReason.SILENT
                     else AttemptOutcome.CONNECTION_LOST
                 )
                 spawn(self._give_up, send)
             elif clock() >= min(send.begin_by, send.until):
                 how = AttemptOutcome.WITHHELD if clock() < send.until else AttemptOutcome.UNSENT
-            elif err.reason is not Reason.NO_ROOM:
+            elif err.reason is not CloseReason.NO_ROOM:
                 how = (
                     AttemptOutcome.CONNECTION_REFUSED
-                    if err.reason is Reason.REFUSED
+                    if err.reason is CloseReason.REFUSED
                     else AttemptOutcome.CONNECT_TIMEOUT
                 )
         except Exception:
@@ -345,8 +345,8 @@
                         conn.ask(self._start(send), send.until)
                         send.posted = clock()
                         return self._heard(conn, 0, send.until, NEWS_WITHIN)
-            except Ended as err:
-                if not send.posted and (err.reason is Reason.SILENT or tries <= 0):
+            except StreamClosedError as err:
+                if not send.posted and (err.reason is CloseReason.SILENT or tries <= 0):
                     raise
             if withheld is not None:
                 raise AttemptWithheldError(withheld)
@@ -377,13 +377,13 @@
         while True:
             try:
                 return self._call(send.ref, request, send.until, page, patience)
-            except Ended as err:
-                if err.reason is Reason.SILENT:  # it comes late, perhaps
+            except StreamClosedError as err:
+                if err.reason is CloseReason.SILENT:  # it comes late, perhaps
                     patience = min(2.0 * patience, NEWS_WITHIN)
                 else:
                     tries -= 1
                 over = clock() >= min(since + FORGOTTEN, send.until)
-                if over or tries <= 0 or err.reason is Reason.REFUSED:
+                if over or tries <= 0 or err.reason is CloseReason.REFUSED:
                     raise
 
     def _call(
@@ -398,7 +398,7 @@
         """A sound answer, or the end of the connection."""
         answer = conn.hear(min(until, clock() + patience))
         if conn.again() or (page is not None and not answer.sound(page)):
-            raise Ended(Reason.MALFORMED)
+            raise StreamClosedError(CloseReason.MALFORMED)
         return answer
 
     @contextmanager
@@ -407,12 +407,17 @@
         try:
             yield
         except BaseException as err:
-            self._end(conn, err.reason if isinstance(err, Ended | AttemptCancelledError) else Reason.FAULT)
+            self._end(
+                conn,
+                err.reason
+                if isinstance(err, StreamClosedError | AttemptCancelledError)
+                else CloseReason.FAULT,
+            )
             raise
         conn.idle_since = clock()
         if self.owed is not None:
             other, self.owed = self.owed, None
-            conn.end(Reason.NO_ROOM)
+            conn.end(CloseReason.NO_ROOM)
             self.connections -= 1
             other.post(other.try_again)
             if self.waiting and not self.connections:
@@ -420,10 +425,12 @@
         elif conn.keep and (self.up or self.sends):
             self._hand_on(conn)
         else:
-            self._end(conn, Reason.IDLE)
+            self._end(conn, CloseReason.IDLE)
 
     def _give_up(self, send: AttemptCall) -> None:
-        with suppress(Ended):  # the engine is silent or gone: nothing more can be done for the command there
+        with suppress(
+            StreamClosedError
+        ):  # the engine is silent or gone: nothing more can be done for the command there
             self._call(send.ref, self._request("DELETE", f"/o/{send.ref}"), clock() + self.connect_time)
 
     def _call_off(self, send: AttemptCall) -> None:
@@ -431,9 +438,9 @@
         if send.posted:
             self._give_up(send)
             send.greenlet.join(self.connect_time)
-        self._stop(send, Reason.CALLED_OFF)
+        self._stop(send, CloseReason.CALLED_OFF)
 
-    def _stop(self, send: AttemptCall, why: Reason) -> None:
+    def _stop(self, send: AttemptCall, why: CloseReason) -> None:
         if send.begun:
             send.greenlet.kill(AttemptCancelledError(why), block=False)
         else:  # killed before its first step, a greenlet would never tell the desk
@@ -455,15 +462,15 @@
                 if handed is None:
                     break
                 conn = handed
-            if conn.keep and conn.stream.more() is None:
+            if conn.keep and conn.stream.peek() is None:
                 conn.ref = ref
                 return conn
-            self._end(conn, Reason.CLOSED)
+            self._end(conn, CloseReason.CLOSED)
         self.connections += 1
         try:
             wait = min(self.connect_time, until - clock())
             if wait <= 0:
-                raise Ended(Reason.SILENT)
+                raise StreamClosedError(CloseReason.SILENT)
             stream = connect(self.address, "engine", self.name, MOST_ANSWER, wait, self.share.release)
         except BaseException:
             self.connections -= 1
@@ -487,7 +494,7 @@
             elif handed.ready():
                 self._hand_on(handed.value)
             if isinstance(err, gevent.Timeout):
-                raise Ended(Reason.NO_ROOM) from None
+                raise StreamClosedError(CloseReason.NO_ROOM) from None
             raise
 
     def _hand_on(self, conn: Connection | None) -> None:
@@ -513,11 +520,11 @@
             LOG.warning("unreadable report", engine=self.name)
             return None
 
-    def _close_idle(self, why: Reason) -> None:
+    def _close_idle(self, why: CloseReason) -> None:
         while self.idle:
             self._end(self.idle.pop(), why)
 
-    def _end(self, conn: Connection, why: Reason) -> None:
+    def _end(self, conn: Connection, why: CloseReason) -> None:
         conn.end(why)
         self.connections -= 1
         self.try_again()
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -14,7 +14,7 @@
 import gevent
 
 from marbleworks.model import LoadReport
-from marbleworks.net.stream import Reason, Stream
+from marbleworks.net.stream import CloseReason, Stream
 from marbleworks.ports import ResultReservation
 from marbleworks.scheduling.scheduler import RequestState
 
@@ -75,7 +75,7 @@
 
     def wanted(self) -> bool:
         """Whether anyone still waits for it, also where the end of the connection is not read yet."""
-        return not (self.over or self.left or self.client.stream.gone())
+        return not (self.over or self.left or self.client.stream.is_gone())
 
 
 @dataclass(eq=False)
@@ -94,7 +94,7 @@
     posted: float = 0.0  # when the call was whole on its connection; 0: not yet
     called_off: bool = False
     begun: bool = False
-    stopped: Reason | None = None  # before it had begun
+    stopped: CloseReason | None = None  # before it had begun
     greenlet: gevent.Greenlet[..., None] = field(init=False)
 
 
--- /dev/null
+++ b/marbleworks/net/protocol.py
@@ -0,0 +1,320 @@
+"""Names, limits and forms that the operators' protocol fixes, and conversions between them and typed values.
+
+No other module in `net/` spells a word of the protocol: MessagePack-RPC methods, fields and errors of
+clients, the HTTP headers, paths and states of engines, the keys of a router's configuration file. Apart from
+reading that file it does no I/O.
+
+Durations are seconds in typed values, whatever the unit of the field; sizes are bytes or megabytes as named.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+from marbleworks.model import EngineStatus
+from marbleworks.settings import Settings, SettingsError
+
+# Clients: limits.
+
+MAX_OPEN_CALLS = 32  # of one connection
+MAX_MESSAGE_BYTES = 1 << 16
+MESSAGE_TIMEOUT_S = 2.0  # for a first message or the rest of one; by the service page 3 s are too long
+CLIENT_ARRIVAL_GRACE_S = 0.6  # after SIGTERM, in which clients may still connect and call
+
+# Clients: methods. Every other method is the name of a request class.
+
+METHOD_HEALTH = "health"
+METHOD_PAGE = "page"
+METHOD_RELEASE = "release"
+METHOD_CANCEL = "cancel"  # a notification
+
+# Clients: fields of calls and results.
+
+FIELD_ABOUT = "about"
+FIELD_COST = "cost"
+FIELD_ID = "id"
+FIELD_MEMORY = "need_mb"
+FIELD_PAGE = "page"
+FIELD_SPOOL = "spool"
+FIELD_TENANT = "tenant"
+FIELD_WAIT = "wait"
+FIELD_REASON = "why"  # of an error
+FIELD_RETRY_AFTER = "after"  # of an error; milliseconds
+SPOOL_RESULT = "1"  # the value of FIELD_SPOOL in a query whose result is to be stored
+
+# Engines: limits.
+
+MAX_RESULT_BYTES = 48_000  # of a whole result that is not stored
+MAX_PAGE_BYTES = 6_000
+MAX_HTTP_RESPONSE_BYTES = 1 << 14  # with its head ...
+MAX_BYTES_PER_PAGE_BYTE = 5  # ... and for each byte of its page, which may be a chunk by itself
+SOCKET_LATENCY_S = 0.05  # by which a time limit is longer on sockets
+STATUS_TIMEOUT_S = 0.25 + SOCKET_LATENCY_S  # in which an engine reports, if only that it has no result yet
+ABANDONED_QUERY_TIMEOUT_S = 2.0  # after which a query that nobody asks for ends
+
+# Engines: HTTP.
+
+PATH_QUERIES = "/o"
+HEADER_REQUEST_ID = "X-Hop-Id"
+HEADER_CLASS = "X-Sort"
+HEADER_TIME_BUDGET = "X-Budget"  # milliseconds
+HEADER_MEMORY_GRANT = "X-Allot"  # megabytes
+HEADER_LOAD_REPORT = "x-report"
+HEADER_NO_EFFECT = "x-no-effect"
+HEADER_PAGE = "x-sheet"
+HEADER_PAGE_COUNT = "x-sheets"
+HEADER_WORK = "x-toil"  # milliseconds
+HEADER_MEMORY = "x-room"  # megabytes
+NO_EFFECT = "1"  # the value of HEADER_NO_EFFECT where the query never ran
+
+# Name service.
+
+ENGINE_SERVICE_NAME = "_rpc._tcp.mesh.local."
+MAX_DNS_ANSWER_BYTES = 8000
+DNS_ANSWER_TIMEOUT_S = 7.0  # after which an answer is of no more use
+ENGINE_EVENT_NOTICE_S = 1.5  # after an event, when it counts as announced
+ENGINE_STATUS_BY_PHASE = {
+    "Ready": EngineStatus.UP,
+    "Terminating": EngineStatus.DRAINING,
+    "Gone": EngineStatus.GONE,
+}
+LISTING_NOTICES = "notices"
+LISTING_POOL = "pool"
+LISTING_MEMBERS = "members"
+LISTING_COMPLETE = "complete"
+LISTING_REVISION = "rev"
+MEMBER_ID = "id"
+MEMBER_ADDRESS = "host_port"
+MEMBER_ZONE = "locality"
+MEMBER_MACHINE_KIND = "flavor"
+MEMBER_PHASE = "phase"
+MEMBER_STARTED = "up_since_ms"
+MEMBER_CELL = "cell"
+TXT_MACHINE_KIND = "kind"
+TXT_STARTED = "started"  # milliseconds
+TXT_CELL = "cell"
+
+_MAX_TOKEN_CHARS = 64
+_REQUEST_ID = re.compile(r"[0-9a-f]{16}")
+_PAGE_NUMBER = re.compile(r"[1-9]\d{0,8}", re.ASCII)
+_DECIMAL = re.compile(r"\d{1,15}(?:\.\d{1,15})?", re.ASCII)
+
+
+class InvalidCallError(Exception):
+    """A call that is answered with the error `Invalid`; its text is the reason."""
+
+
+class ErrorName(Enum):
+    """The names of errors that clients get."""
+
+    INVALID = "Invalid"
+    REJECTED = "Rejected"
+    FAILED = "Failed"
+
+
+def invalid_error(reason: str) -> list[Any]:
+    """Returns the error for a call that cannot be read."""
+    return [ErrorName.INVALID.value, {FIELD_REASON: reason}]
+
+
+def failed_error(reason: str) -> list[Any]:
+    """Returns the error for a call that failed for good."""
+    return [ErrorName.FAILED.value, {FIELD_REASON: reason}]
+
+
+def rejected_error(retry_after_s: float) -> list[Any]:
+    """Returns the error for a call that may be repeated; 0 names no time for that."""
+    fields = {FIELD_RETRY_AFTER: str(round(retry_after_s * 1000))} if retry_after_s else {}
+    return [ErrorName.REJECTED.value, fields]
+
+
+@dataclass(frozen=True, slots=True)
+class QueryCall:
+    """A query as its client sent it.
+
+    Attributes:
+        class_index: Index of the request class, which is the call's method.
+        request_id: 16 hexadecimal digits.
+        tenant: Name; empty where the deployment has no tenants.
+        timeout_s: How long the client waits from now on.
+        estimated_work_s: Work on one thread, by the client.
+        estimated_memory_mb: Memory, by the client.
+        stores_result: Whether the client wants to read the result page by page.
+    """
+
+    class_index: int
+    class_name: str
+    request_id: str
+    tenant: str
+    timeout_s: float
+    estimated_work_s: float
+    estimated_memory_mb: float
+    statement: bytes
+    stores_result: bool
+
+
+@dataclass(frozen=True, slots=True)
+class PageCall:
+    """A call for one page, numbered from 1, of a stored result."""
+
+    token: str
+    tenant: str
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReleaseCall:
+    """A call that ends a stored result before its time."""
+
+    token: str
+    tenant: str
+
+
+def health_topic(fields: Mapping[Any, Any]) -> str | None:
+    """Returns the subsystem that a `health` call asks about; None where it names none."""
+    topic = fields.get(FIELD_ABOUT)
+    return topic if isinstance(topic, str) else None
+
+
+def decode_query(method: str, fields: Mapping[Any, Any], body: list[Any], settings: Settings) -> QueryCall:
+    """Reads a call whose method is a known request class.
+
+    Raises:
+        InvalidCallError: A field or the body is missing or out of its range.
+    """
+    if len(body) != 1 or not isinstance(body[0], bytes):
+        raise InvalidCallError("the body is not bin")
+    request_id = fields.get(FIELD_ID)
+    if not isinstance(request_id, str) or not _REQUEST_ID.fullmatch(request_id):
+        raise InvalidCallError("id is not 16 hex digits")
+    tenant = _decode_tenant(fields, settings)
+    class_index = settings.class_index[method]
+    max_timeout_s = settings.client_timeouts_s[class_index]
+    fleet = settings.fleet  # what no engine of it could do is no estimate
+    max_cost_ms = 1000.0 * max_timeout_s * max(fleet.cores_by_kind)
+    timeout_ms = _decode_number(fields, FIELD_WAIT, 2000.0 * max_timeout_s)
+    cost_ms = _decode_number(fields, FIELD_COST, max_cost_ms)
+    memory_mb = _decode_number(fields, FIELD_MEMORY, max(fleet.memory_mb_by_kind))
+    if timeout_ms <= 0:
+        raise InvalidCallError("wait is not above 0")
+    return QueryCall(
+        class_index=class_index,
+        class_name=method,
+        request_id=request_id,
+        tenant=tenant,
+        timeout_s=timeout_ms / 1000.0,
+        estimated_work_s=cost_ms / 1000.0,
+        estimated_memory_mb=memory_mb,
+        statement=body[0],
+        stores_result=fields.get(FIELD_SPOOL) == SPOOL_RESULT,
+    )
+
+
+def decode_page_call(fields: Mapping[Any, Any], settings: Settings) -> PageCall:
+    """Reads a call for a page.
+
+    Raises:
+        InvalidCallError: A field is missing or out of its range.
+    """
+    tenant = _decode_tenant(fields, settings)
+    token = _decode_token(fields)
+    number = fields.get(FIELD_PAGE, "")
+    if not isinstance(number, str) or not _PAGE_NUMBER.fullmatch(number):
+        raise InvalidCallError("page is not a number from 1")
+    return PageCall(token, tenant, int(number))
+
+
+def decode_release_call(fields: Mapping[Any, Any], settings: Settings) -> ReleaseCall:
+    """Reads a call that releases a result.
+
+    Raises:
+        InvalidCallError: A field is missing or out of its range.
+    """
+    tenant = _decode_tenant(fields, settings)
+    return ReleaseCall(_decode_token(fields), tenant)
+
+
+def _decode_tenant(fields: Mapping[Any, Any], settings: Settings) -> str:
+    if not settings.tenant_index:
+        return ""
+    tenant = fields.get(FIELD_TENANT, "")
+    if not isinstance(tenant, str) or tenant not in settings.tenant_index:
+        raise InvalidCallError("unknown tenant")
+    return tenant
+
+
+def _decode_token(fields: Mapping[Any, Any]) -> str:
+    token = fields.get(FIELD_SPOOL)
+    if not isinstance(token, str) or not 0 < len(token) <= _MAX_TOKEN_CHARS:
+        raise InvalidCallError("spool is not a token")
+    return token
+
+
+def _decode_number(fields: Mapping[Any, Any], name: str, maximum: float) -> float:
+    text = fields.get(name)
+    if not isinstance(text, str) or not _DECIMAL.fullmatch(text) or float(text) > maximum:
+        raise InvalidCallError(f"{name} is not a number in range")
+    return float(text)
+
+
+@dataclass(frozen=True)
+class RouterConfig:
+    """The addresses of one router, its limits and the deployment it serves.
+
+    Attributes:
+        peer_broadcast: The address at which a datagram reaches all peers.
+        max_sockets: File descriptors that the router may hold.
+        initial_engines: The list of engines at the start, as the operators' file has it.
+    """
+
+    name: str
+    seed: int
+    listen: tuple[str, int]
+    peer_listen: tuple[str, int]
+    peers: list[tuple[str, int]]
+    peer_broadcast: tuple[str, int]
+    nameserver: tuple[str, int]
+    max_sockets: int
+    initial_engines: Any
+    settings: Settings
+
+    @classmethod
+    def read(cls, path: str) -> RouterConfig:
+        """Reads the operators' configuration file.
+
+        Raises:
+            SettingsError: The file cannot be read, or a part is missing or wrong.
+        """
+        try:
+            raw = json.loads(Path(path).read_text("utf-8"))
+            return cls(
+                name=str(raw["name"]),
+                seed=int(raw["seed"], 16),
+                listen=_decode_address(raw["listen"]),
+                peer_listen=_decode_address(raw["peer_listen"]),
+                peers=[_decode_address(text) for text in raw["peers"]],
+                peer_broadcast=_decode_address(raw["peers_all"]),
+                nameserver=_decode_address(raw["nameserver"]),
+                max_sockets=int(raw["limits"]["sockets"]),
+                initial_engines=raw["known"],
+                settings=Settings(raw["settings"]),
+            )
+        except OSError as err:
+            raise SettingsError(f"{path}: {err.strerror}") from None
+        except KeyError as err:
+            raise SettingsError(f"{path}: {err.args[0]} is missing") from None
+        except (ValueError, TypeError, AttributeError) as err:
+            raise SettingsError(f"{path}: {err}") from None
+
+
+def _decode_address(text: str) -> tuple[str, int]:
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdecimal():
+        raise ValueError(f"{text!r} is not an address with a port")
+    return host, int(port)
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -96,8 +96,8 @@
 class RouterSubsystems(Protocol):
     """The subsystems of the operator's file, of which nothing else here knows anything."""
 
-    shelf: ResultStore | None
-    about: Callable[[str], dict[str, Any]] | None  # what `health` tells of a subsystem by its name
+    result_store: ResultStore | None
+    health_details: Callable[[str], dict[str, Any]] | None  # what `health` tells of a subsystem by its name
 
     def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
         """Before anyone is listened to."""
@@ -154,7 +154,7 @@
         fittings.join(desk, deployment, peers, station.name)
     front = ClientListener(station.listen, desk, deployment, clients)
     if fittings is not None:
-        front.shelf, front.about = fittings.shelf, fittings.about
+        front.result_store, front.health_details = fittings.result_store, fittings.health_details
     gc.collect()
     gc.freeze()  # what is there from the start is never looked through again, and what comes is rarely cyclic
     gc.set_threshold(50_000, 10, 10)
@@ -168,7 +168,7 @@
     desk.post(desk.stop, began + longest)
     gevent.sleep(STILL_COMES)
     front.stop_accepting(began + longest)
-    while not front.part_resting() and clock() < began + longest + STOP_GRACE:
+    while not front.close_idle_sessions() and clock() < began + longest + STOP_GRACE:
         gevent.sleep(0.01)
     front.close()
     if fittings is not None:
--- a/marbleworks/net/stream.py
+++ b/marbleworks/net/stream.py
@@ -18,7 +18,7 @@
 FIRST_SIZE = 4096  # of a buffer, which doubles as needed up to its bound
 
 
-class Reason(Enum):
+class CloseReason(Enum):
     """Why a connection ended."""
 
     CLOSED = "closed"  # by the other side, with nothing under way
@@ -37,66 +37,70 @@
     FAULT = "fault"  # a mistake of this program
 
 
-class Ended(Exception):
+class StreamClosedError(Exception):
     """The connection is of no more use."""
 
-    def __init__(self, reason: Reason) -> None:
+    def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason.value)
         self.reason = reason
 
 
 class Stream:
     def __init__(self, sock: socket.socket, role: str, peer: str, most: int, give_back: Callable[[], object]):
-        self.sock, self.role, self.peer, self.most = sock, role, peer, most
-        self.give_back = give_back  # its descriptor, when it ends
-        self.buffer, self.first, self.last = bytearray(FIRST_SIZE), 0, 0  # unread: first to last
-        self.began, self.ended, self.fills = clock(), False, 0
+        self.sock, self.role, self.peer, self.max_buffer_bytes = sock, role, peer, most
+        self.release_descriptor = give_back  # its descriptor, when it ends
+        self.buffer, self.unread_start, self.unread_end = bytearray(FIRST_SIZE), 0, 0  # unread: first to last
+        self.opened_at, self.closed, self.fill_count = clock(), False, 0
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def unread(self) -> memoryview:
         """To be released before the next fill."""
-        return memoryview(self.buffer)[self.first : self.last]
+        return memoryview(self.buffer)[self.unread_start : self.unread_end]
 
-    def read(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """So much of what is unread has been used."""
-        self.first += count
-        if self.first == self.last:
-            self.first = self.last = 0
+        self.unread_start += count
+        if self.unread_start == self.unread_end:
+            self.unread_start = self.unread_end = 0
 
-    def fill(self, until: float | None) -> None:
+    def fill(self, deadline: float | None) -> None:
         """Waits for more; raises Ended where none will come."""
-        if self.last == len(self.buffer):
-            if self.first:
-                self.buffer[: self.last - self.first] = self.buffer[self.first : self.last]
-                self.first, self.last = 0, self.last - self.first
-            elif len(self.buffer) < self.most:
-                self.buffer.extend(bytes(min(len(self.buffer), self.most - len(self.buffer))))
+        if self.unread_end == len(self.buffer):
+            if self.unread_start:
+                self.buffer[: self.unread_end - self.unread_start] = self.buffer[
+                    self.unread_start : self.unread_end
+                ]
+                self.unread_start, self.unread_end = 0, self.unread_end - self.unread_start
+            elif len(self.buffer) < self.max_buffer_bytes:
+                self.buffer.extend(bytes(min(len(self.buffer), self.max_buffer_bytes - len(self.buffer))))
             else:
-                raise Ended(Reason.TOO_LONG)
-        with memoryview(self.buffer) as whole, whole[self.last :] as free:
+                raise StreamClosedError(CloseReason.TOO_LONG)
+        with memoryview(self.buffer) as whole, whole[self.unread_end :] as free:
             try:
                 try:
-                    self._wait(until)
+                    self._wait(deadline)
                     count = self.sock.recv_into(free)
                 except TimeoutError:  # perhaps it is we who are late: what has come meanwhile counts
                     self.sock.settimeout(0.0)
                     count = self.sock.recv_into(free)
             except OSError as err:
-                raise Ended(_reason(err)) from None
+                raise StreamClosedError(_reason(err)) from None
         if not count:
-            raise Ended(Reason.BROKEN if self.first < self.last else Reason.CLOSED)
-        self.last += count
-        self.fills += 1
+            raise StreamClosedError(
+                CloseReason.BROKEN if self.unread_start < self.unread_end else CloseReason.CLOSED
+            )
+        self.unread_end += count
+        self.fill_count += 1
 
-    def write(self, data: bytes, until: float | None) -> None:
+    def write(self, data: bytes, deadline: float | None) -> None:
         try:
-            self._wait(until)
+            self._wait(deadline)
             # Mostly all of it; sendall would first ask for the size of the buffer.
             sent = self.sock.send(data)
             if sent < len(data):
                 self.sock.sendall(memoryview(data)[sent:])
         except OSError as err:
-            raise Ended(_reason(err)) from None
+            raise StreamClosedError(_reason(err)) from None
 
     def _wait(self, until: float | None) -> None:
         left = None if until is None else until - clock()
@@ -104,7 +108,7 @@
             raise TimeoutError
         self.sock.settimeout(left)
 
-    def more(self) -> bytes | None:
+    def peek(self) -> bytes | None:
         """A glance at what has come and was not read: None where nothing has, nothing where it is closed."""
         before = self.sock.gettimeout()  # another greenlet may be waiting for more with that
         try:
@@ -117,27 +121,31 @@
         finally:
             self.sock.settimeout(before)
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Whether it has ended, or the other side has ended it and all that came before was read."""
-        return self.ended or self.more() == b""
+        return self.closed or self.peek() == b""
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """Nothing more is written; what was arrives, since what still comes can be read until the end."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     @property
-    def full(self) -> bool:
+    def buffer_full(self) -> bool:
         """Whether a fill would find no room."""
-        return not self.first and self.last >= self.most
+        return not self.unread_start and self.unread_end >= self.max_buffer_bytes
 
-    def end(self, reason: Reason) -> None:
-        if not self.ended:
-            self.ended = True
+    def close(self, reason: CloseReason) -> None:
+        if not self.closed:
+            self.closed = True
             self.sock.close()
-            self.give_back()
+            self.release_descriptor()
             LOG.info(
-                "ended", of=self.role, peer=self.peer, reason=reason.value, age=round(clock() - self.began, 3)
+                "ended",
+                of=self.role,
+                peer=self.peer,
+                reason=reason.value,
+                age=round(clock() - self.opened_at, 3),
             )
 
 
@@ -151,14 +159,14 @@
     except OSError as err:
         sock.close()
         refused = isinstance(err, ConnectionRefusedError)
-        raise Ended(Reason.REFUSED if refused else Reason.UNREACHED) from None
+        raise StreamClosedError(CloseReason.REFUSED if refused else CloseReason.UNREACHED) from None
     except BaseException:
         sock.close()
         raise
     return Stream(sock, role, peer, most, give_back)
 
 
-def _reason(err: OSError) -> Reason:
+def _reason(err: OSError) -> CloseReason:
     if isinstance(err, TimeoutError | BlockingIOError):
-        return Reason.SILENT
-    return Reason.CALLED_OFF if err.errno == errno.EBADF else Reason.RESET
+        return CloseReason.SILENT
+    return CloseReason.CALLED_OFF if err.errno == errno.EBADF else CloseReason.RESET
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -35,8 +35,8 @@
         self.steward: MembershipService | None = None
         self.treasurer: BudgetService | None = None
         self.replan: Callable[[], None] | None = None  # the wholes as the file has them now
-        self.shelf: ResultStore | None = None
-        self.about: Callable[[str], dict[str, Any]] | None = None
+        self.result_store: ResultStore | None = None
+        self.health_details: Callable[[str], dict[str, Any]] | None = None
 
     def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
         """Starts what the file names; raises DeploymentError in a line where that can't be done."""
@@ -47,7 +47,7 @@
                 desk.post(desk.scheduler.set_router_share, *told)
 
             self.steward = MembershipService(self.book["peers"], peers, desk.scheduler.seed, divided)
-            self.about = self._about
+            self.health_details = self._about
         if self.book.has("budgets"):
             self._budgets(desk, deployment, peers)
         if self.book.has("door"):
@@ -67,7 +67,7 @@
             terms["core"], terms["bytes"], terms["patience"], lambda: desk.mailbox.qsize() > BEHIND
         )
         try:
-            self.shelf = self.keeper = SpoolService(
+            self.result_store = self.keeper = SpoolService(
                 self.book["spool"], deployment.rules.max_retry_after_s, self.chores
             )
         except FolderLockedError as err:
@@ -97,7 +97,7 @@
         self.replan = lambda: desk.post(holder.replan, self._plan(deployment))
         if self.steward is not None:
             self.steward.heeds.append(lambda heed: treasurer.post(treasurer.heeds, heed))
-        self.about = self._about
+        self.health_details = self._about
 
     def _plan(self, deployment: Settings) -> BudgetCatalog:
         from marbleworks.budgets.budget_catalog import BudgetCatalog
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -66,9 +66,9 @@
     held.go.set()
     still, client = held.still(), held.router.client()
     client.ask("look", ref="a" * 16)
-    until(lambda: any(c.calls for c in held.router.front.clients))
+    until(lambda: any(c.calls for c in held.router.listener.sessions))
     leave(client, leaves)
-    until(lambda: all(a.given_up for c in held.router.front.clients for a in c.calls.values()))
+    until(lambda: all(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
     still.set()
     last = held.router.client()
     last.ask("load", ref=other)
@@ -94,7 +94,7 @@
     until(lambda: held.engine.waiting)
     still = held.still()  # the desk does not hear that it left
     leave(client, leaves)
-    until(lambda: all(a.given_up for c in held.router.front.clients for a in c.calls.values()))
+    until(lambda: all(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
     held.engine.share.release()
     held.engine.try_again()
     until(lambda: not held.engine.sends)
@@ -107,13 +107,13 @@
     """Found by reading: it was read, and sent on before the end behind it was."""
     held = Held()
     held.go.set()
-    share = held.router.front.share
+    share = held.router.listener.descriptors
     gevent.sleep(0)  # the one place that the listener has is taken by the first client
     first = held.router.client()
     first.ask("load", ref="a" * 16)
     assert first.hear()[3]
     taken = [share.acquire(blocking=False) for _ in range(share.counter)]
-    held.router.front.clients.clear()  # none of them may go for a new one
+    held.router.listener.sessions.clear()  # none of them may go for a new one
     gone, last = held.router.client(), held.router.client()
     gone.ask("look", ref="b" * 16)
     gone.sock.close()
@@ -132,7 +132,7 @@
     still = held.still()
     second = client.ask("load", ref="a" * 16)
     client.send(2, "cancel", [second])
-    until(lambda: any(a.given_up for c in held.router.front.clients for a in c.calls.values()))
+    until(lambda: any(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
     still.set()
     held.go.set()
     assert client.hear()[:2] == [1, 1]
@@ -147,7 +147,7 @@
     until(held.starts)
     for _ in range(40):
         client.ask("no-such-profile")
-    until(lambda: any(c.mailbox.qsize() > 32 for c in held.router.front.clients))
+    until(lambda: any(c.mailbox.qsize() > 32 for c in held.router.listener.sessions))
     client.sock.shutdown(socket.SHUT_WR)
     until(lambda: not held.desk.open_requests)
     wrote.set()
@@ -159,7 +159,7 @@
     clients = [held.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
         client.ask("load", ref=f"{n:016x}")
-    until(lambda: held.router.front.share.locked() and held.starts())
+    until(lambda: held.router.listener.descriptors.locked() and held.starts())
     held.go.set()
     assert all(client.hear()[3] for client in clients)
 
@@ -203,7 +203,7 @@
 def test_a_try_on_a_second_connection_is_asked_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
     def breaks(line: engines.Connection, request: bytes, until: float) -> None:
         sends[0].begin_by = 0.0
-        raise engines.Ended(engines.Reason.RESET)
+        raise engines.StreamClosedError(engines.CloseReason.RESET)
 
     monkeypatch.setattr(engines.Connection, "ask", breaks)
     sends = list[AttemptCall]()
@@ -284,14 +284,14 @@
     router = Router(sql.address)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)  # most of it waits at the router's end
-    sock.connect(router.front.sock.getsockname())
+    sock.connect(router.listener.sock.getsockname())
     client = RpcClient.__new__(RpcClient)
     client.sock, client.unpacker, client.last = sock, msgpack.Unpacker(), 0
     client.ask("load")
-    until(lambda: any(c.told and c.resting() for c in router.front.clients))
-    assert not router.front.part_resting()
+    until(lambda: any(c.has_written and c.is_idle() for c in router.listener.sessions))
+    assert not router.listener.close_idle_sessions()
     client.ask("load", ref="b" * 16)
-    until(lambda: not router.front.clients)
+    until(lambda: not router.listener.sessions)
     assert client.hear()[3] == [big * 8, {}] and client.hear() is None
     assert len(sql.asked("POST")) == 1
 
@@ -299,9 +299,9 @@
 def test_what_the_machine_has_accepted_before_the_listener_ends_is_answered() -> None:
     held = Held()
     held.go.set()
-    front, address = held.router.front, held.router.front.sock.getsockname()
+    front, address = held.router.listener, held.router.listener.sock.getsockname()
     gevent.sleep(0)
-    front.accepting.kill()
+    front.accept_greenlet.kill()
     clients = [held.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
         client.ask("load", ref=f"{n:016x}")
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -25,7 +25,7 @@
 from marbleworks.net.engine_client import EngineClient, engine_client_factory
 from marbleworks.net.messages import AttemptCall
 from marbleworks.net.statement_parser import table_group
-from marbleworks.net.stream import Ended, connect
+from marbleworks.net.stream import StreamClosedError, connect
 from tests.support.stand_ins import DEPLOYMENT, SETTINGS, Listener
 
 
@@ -60,10 +60,10 @@
             for be, address in enumerate(engines)
         ]
         self.desk.post(self.desk.update_engines, listing, True)
-        self.front = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(clients))
+        self.listener = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(clients))
 
     def client(self) -> RpcClient:
-        return RpcClient(self.front.sock.getsockname())
+        return RpcClient(self.listener.sock.getsockname())
 
 
 def played(reply: Reply) -> tuple[SqlEngine, RpcClient]:
@@ -344,7 +344,7 @@
     try:
         sql, router, client = answered_once()
         engine = router.desk.engine_clients[0]
-        kept = [weakref.ref(thing) for thing in (engine, engine.idle[0], *router.front.clients)]
+        kept = [weakref.ref(thing) for thing in (engine, engine.idle[0], *router.listener.sessions)]
         router.desk.post(router.desk.update_engines, [], True)
         until(lambda: not router.desk.engine_clients and not router.desk.scheduler.engines)
         client.ask("look", wait="300")
@@ -385,8 +385,8 @@
     theirs.sendall(b"here")
     stream.fill(time.time() - 1.0)
     assert bytes(stream.unread()) == b"here"
-    stream.read(4)
-    with pytest.raises(Ended, match="silent"):
+    stream.consume(4)
+    with pytest.raises(StreamClosedError, match="silent"):
         stream.fill(time.time() - 1.0)
     theirs.close()
 
--- a/tests/net/test_wire_forms.py
+++ b/tests/net/test_wire_forms.py
@@ -13,7 +13,7 @@
 from marbleworks.net.actor import clock
 from marbleworks.net.engine_client import MOST_ANSWER, Connection
 from marbleworks.net.messages import AttemptResult
-from marbleworks.net.stream import Ended, Reason, connect
+from marbleworks.net.stream import CloseReason, StreamClosedError, connect
 from tests.net.test_router import Router, bounded, row
 
 __all__ = ["bounded"]
@@ -193,7 +193,7 @@
     stream = connect(engine.address, "engine", "s-0", MOST_ANSWER, 1.0, lambda: None)
     connection = Connection(stream)
     connection.ask(b"GET /o/0/1 HTTP/1.1\r\n\r\n", clock() + 5)
-    with pytest.raises(Ended, match="too-long"):
+    with pytest.raises(StreamClosedError, match="too-long"):
         connection.hear(clock() + 5)
     assert len(connection.answer.body) <= 4 * MOST_ANSWER
-    connection.end(Reason.TOO_LONG)
+    connection.end(CloseReason.TOO_LONG)
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -74,7 +74,7 @@
         given = sections_of(f'(spool (folder "{folder}") (room 20 MB) (share 100 %))')["spool"] | terms
         self.chores = TaskRunner(0.5, 1e9, 1.0, lambda: False)
         self.keeper = SpoolService(given, 2.0, self.chores, disk)
-        self.front.shelf = self.keeper
+        self.front.result_store = self.keeper
 
     def client(self) -> RpcClient:
         return RpcClient(self.front.sock.getsockname())
@@ -119,7 +119,7 @@
 def test_unknown_released_foreign_and_expired_tokens_get_one_error(tmp_path: Path, monkeypatch: Any) -> None:
     router = Router(tmp_path, serving(PAGES[:2]), unread=0.4, keep=0.4)
     client = router.client()
-    monkeypatch.setitem(router.front.deployment.tenant_index, "other", 1)
+    monkeypatch.setitem(router.front.settings.tenant_index, "other", 1)
     gone, kept = spooled(client)[3][1]["spool"], spooled(client)[3][1]["spool"]
     page(client, gone, 1, method="release")
     errors = [
@@ -129,7 +129,7 @@
     gevent.sleep(0.5)
     errors += [page(client, kept, 1)[2], page(client, kept, 1, method="release")[2]]
     assert errors == [UNKNOWN] * 5
-    monkeypatch.delitem(router.front.deployment.tenant_index, "other")
+    monkeypatch.delitem(router.front.settings.tenant_index, "other")
     assert sum(router.keeper.ledger.held.values()) == 0
     router.close()
 
