--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -1,7 +1,7 @@
 """The types of settings: how a setting's words become a value, its units, and how a value is written back.
 
-Nothing here knows a setting by name. Values are floats in base units (bytes, seconds, bytes a second, parts of
-one), ints, texts or bools.
+Nothing here knows a setting by name. Values are floats in base units (bytes, seconds, bytes a second, parts
+of one), ints, texts or bools.
 """
 
 from __future__ import annotations
