--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -489,7 +489,7 @@
         and not desk.over
     )
     first = next(cmd for cmd in cmds if cmd.ref == desk.sent[0][0])
-    first.answered(0, None, None)
+    first.on_answer(0, None, None)
     assert len(desk.sent) == 5 and desk.sent[4][1] == desk.sent[0][1]
 
 
@@ -519,12 +519,12 @@
     desk = Desk("(budgets (further 2) (tenants off))", engines=4)
     cmds = [desk.take(f"{n:x}") for n in range(6)]
     for cmd in cmds:
-        cmd.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+        cmd.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     again = [cmd for cmd in cmds if cmd.sends == 2]
     assert len(again) == 2 and len(desk.sent) == 8
     desk.clock += 1.1
     late = desk.take("f")
-    late.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+    late.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     assert late.sends == 2
 
 
@@ -562,16 +562,16 @@
             send = cmd.out[0]
             how = chance.choice(list(AttemptOutcome))
             if chance.random() < 0.7:
-                cmd.answered(send.no, None, None)
+                cmd.on_answer(send.no, None, None)
             else:
-                cmd.ended(send.no, how, False, None)
+                cmd.on_attempt_end(send.no, how, False, None)
         desk.scheduler.on_timer()
         now = desk.clock
         assert all(p.used(now) <= p.most(now) for p in desk.purse.pockets.values())
     for cmd in cmds:
         for send in list(cmd.out):
-            cmd.ended(send.no, AttemptOutcome.ERROR, True, None)
-        cmd.client_left()
+            cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
+        cmd.on_client_disconnect()
     desk.clock += 10.0
     assert all(p.used(desk.clock) == 0 for p in desk.purse.pockets.values())
     assert not desk.holder.taken and not any(desk.holder.queues.values())
