--- a/marbleworks/budgets/codec.py
+++ b/marbleworks/budgets/codec.py
@@ -15,7 +15,7 @@
 
 FORMAT = Format(0xD2, 1, 1)
 ENTRIES = 14  # of a report at most
-HEADS = 72  # bytes of a report without its entries, at most
+HEADS = 72  # bytes that a report without its entries is taken for, unless its numbers need more
 WORTH = 100.0  # parts of one in which worth is told
 
 
@@ -131,12 +131,13 @@
     return Entry(number, serial, held, used, want, worth / WORTH, whole, base, had)
 
 
-def parts(entries: list[Entry]) -> Iterator[tuple[Entry, ...]]:
-    """As many as fit a datagram, by the bytes that they take."""
+def parts(entries: list[Entry], head: int = HEADS) -> Iterator[tuple[Entry, ...]]:
+    """As many as fit a datagram, by the bytes that they take. head: bytes of the report without entries."""
+    room = MOST - max(head, HEADS)
     part, size = list[Entry](), 0
     for entry in entries:
         takes = len(msgpack.packb(_row(entry)))
-        if len(part) >= ENTRIES or size + takes > MOST - HEADS:
+        if len(part) >= ENTRIES or size + takes > room:
             yield tuple(part)
             part, size = [], 0
         part.append(entry)
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from marbleworks.budgets.budget_catalog import DOUBT, Budget
-from marbleworks.budgets.codec import Answer, Entry, Report, parts
+from marbleworks.budgets.codec import Answer, Entry, Report, encode_report, parts
 from marbleworks.membership.leader_election import DRIFT
 
 PACE_OVER = 2.0  # seconds over which the pace of ends is counted
@@ -195,7 +195,11 @@
             pocket.waiting.clear()
             pocket.worth = 0.0
         self.told_at, told = now, []
-        for some in parts(entries) if entries else [()]:
+        oldest = max(LocalBudgets.age(self, (), now), 1)
+        empty = Report(
+            start, to_start, self.reign, 0xFFFF << 24, self.version, self.digest, leaving, oldest, ()
+        )
+        for some in parts(entries, len(encode_report(0, empty))) if entries else [()]:
             age = self.age(some, now)
             self.token += 1
             token = (start & 0xFFFF) << 24 | self.token & 0xFFFFFF
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -3,11 +3,12 @@
 
 import math
 import random
+import zlib
 from typing import Any
 
 import pytest
 from gevent.lock import BoundedSemaphore
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from marbleworks.budgets import allocation_ledger as ledger_module
@@ -15,6 +16,7 @@
 from marbleworks.budgets.allocation_ledger import AllocationLedger, BudgetAllocation
 from marbleworks.budgets.budget_catalog import DOUBT, Budget, BudgetCatalog
 from marbleworks.budgets.codec import (
+    HEADS,
     Answer,
     Entry,
     Grant,
@@ -50,6 +52,8 @@
     UNITS,
     UNITS,
 )
+WIDEST = Entry(2**32 - 1, (1 << 40) - 1, 1 << 24, 1 << 24, 1 << 24, 1e6, 1 << 24, 1 << 24, 1 << 24)
+FILLS_184_BYTES = Entry(1 << 31, 1 << 20, 200, 200, 200, 2.0, 200, 1, 1)  # eight of 23 bytes
 
 
 # What is told.
@@ -57,10 +61,13 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(ENTRIES, max_size=40), COUNT, st.booleans())
+@example([Entry(0, 0, 0, 0, 0, 0.0, 0, 0, 0)] * 14 + [WIDEST] * 40, (1 << 40) - 1, True)
+@example([FILLS_184_BYTES] * 8, (1 << 40) - 1, True)
 def test_reports_come_back_as_they_were_in_datagrams_that_fit(
     entries: list[Entry], n: int, leaving: bool
 ) -> None:
-    told = list(parts(entries))
+    head = len(encode_report(7, Report(n, n, n, n, n, n, leaving, n, ())))
+    told = list(parts(entries, head))
     assert [entry for some in told for entry in some] == entries
     for some in told:
         report = Report(n, n, n, n, n, n, leaving, n, some)
@@ -70,6 +77,29 @@
         assert len(encode_answer(7, answer)) <= MOST and decode(7, encode_answer(7, answer)) == answer
 
 
+@pytest.mark.parametrize("entry", [WIDEST, FILLS_184_BYTES])
+def test_the_longest_head_of_a_report_leaves_its_entries_less_room(entry: Entry) -> None:
+    """Every number of the head as wide as it is read: 87 bytes, where ordinary ones take 72 at most."""
+    most = (1 << 40) - 1
+    purse = LocalBudgets(0, 2, 0.25, 1.0, -10.0)
+    purse.planned([Budget(f"w{n}", 1 << 24 if entry is WIDEST else 200, 0.0, 1.0) for n in range(40)], 0.0)
+    purse.heed(0, most, most)
+    purse.version = purse.digest = most
+    for one in purse.pockets.values():
+        one.serial, one.units, one.until, one.out = entry.serial, entry.held, math.inf, entry.used
+    told = purse.reports(0, most, most, most / 1000.0, 1, True)
+    assert sum(len(report.entries) for report in told) == 40
+    assert max(report.age for report in told) >= 1 << 32
+    assert all(len(encode_report(7, report)) <= MOST for report in told)
+
+
+def test_the_entries_of_an_ordinary_report_have_the_room_that_they_had() -> None:
+    ordinary = Report(1_022_000_000_123, 1_022_000_000_456, 9, 0xFFFF << 24, 4, 2**32 - 1, True, 2**31, ())
+    assert len(encode_report(7, ordinary)) <= HEADS == 72
+    entries = [Entry(zlib.crc32(b"%d" % n), n, n, n // 2, n, 1.0, 200, 9, n) for n in range(100)]
+    assert list(parts(entries, len(encode_report(7, ordinary)))) == list(parts(entries))
+
+
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(1, 255), st.lists(ENTRIES, max_size=4))
 def test_nothing_unreadable_is_more_than_unreadable(
