--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -3,11 +3,12 @@
 
 import math
 import random
+import zlib
 from typing import Any
 
 import pytest
 from gevent.lock import BoundedSemaphore
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from marbleworks.budgets import allocation_ledger as ledger_module
@@ -15,6 +16,7 @@
 from marbleworks.budgets.allocation_ledger import AllocationLedger, BudgetAllocation
 from marbleworks.budgets.budget_catalog import DOUBT, Budget, BudgetCatalog
 from marbleworks.budgets.codec import (
+    HEADS,
     Answer,
     Entry,
     Grant,
@@ -50,6 +52,8 @@
     UNITS,
     UNITS,
 )
+WIDEST = Entry(2**32 - 1, (1 << 40) - 1, 1 << 24, 1 << 24, 1 << 24, 1e6, 1 << 24, 1 << 24, 1 << 24)
+FILLS_184_BYTES = Entry(1 << 31, 1 << 20, 200, 200, 200, 2.0, 200, 1, 1)  # eight of 23 bytes
 
 
 # What is told.
@@ -57,10 +61,13 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(ENTRIES, max_size=40), COUNT, st.booleans())
+@example([Entry(0, 0, 0, 0, 0, 0.0, 0, 0, 0)] * 14 + [WIDEST] * 40, (1 << 40) - 1, True)
+@example([FILLS_184_BYTES] * 8, (1 << 40) - 1, True)
 def test_reports_come_back_as_they_were_in_datagrams_that_fit(
     entries: list[Entry], n: int, leaving: bool
 ) -> None:
-    told = list(parts(entries))
+    head = len(encode_report(7, Report(n, n, n, n, n, n, leaving, n, ())))
+    told = list(parts(entries, head))
     assert [entry for some in told for entry in some] == entries
     for some in told:
         report = Report(n, n, n, n, n, n, leaving, n, some)
@@ -70,6 +77,29 @@
         assert len(encode_answer(7, answer)) <= MOST and decode(7, encode_answer(7, answer)) == answer
 
 
+@pytest.mark.parametrize("entry", [WIDEST, FILLS_184_BYTES])
+def test_the_longest_head_of_a_report_leaves_its_entries_less_room(entry: Entry) -> None:
+    """Every number of the head as wide as it is read: 87 bytes, where ordinary ones take 72 at most."""
+    most = (1 << 40) - 1
+    purse = LocalBudgets(0, 2, 0.25, 1.0, -10.0)
+    purse.planned([Budget(f"w{n}", 1 << 24 if entry is WIDEST else 200, 0.0, 1.0) for n in range(40)], 0.0)
+    purse.heed(0, most, most)
+    purse.version = purse.digest = most
+    for one in purse.pockets.values():
+        one.serial, one.units, one.until, one.out = entry.serial, entry.held, math.inf, entry.used
+    told = purse.reports(0, most, most, most / 1000.0, 1, True)
+    assert sum(len(report.entries) for report in told) == 40
+    assert max(report.age for report in told) >= 1 << 32
+    assert all(len(encode_report(7, report)) <= MOST for report in told)
+
+
+def test_the_entries_of_an_ordinary_report_have_the_room_that_they_had() -> None:
+    ordinary = Report(1_022_000_000_123, 1_022_000_000_456, 9, 0xFFFF << 24, 4, 2**32 - 1, True, 2**31, ())
+    assert len(encode_report(7, ordinary)) <= HEADS == 72
+    entries = [Entry(zlib.crc32(b"%d" % n), n, n, n // 2, n, 1.0, 200, 9, n) for n in range(100)]
+    assert list(parts(entries, len(encode_report(7, ordinary)))) == list(parts(entries))
+
+
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(1, 255), st.lists(ENTRIES, max_size=4))
 def test_nothing_unreadable_is_more_than_unreadable(
@@ -489,7 +519,7 @@
         and not desk.over
     )
     first = next(cmd for cmd in cmds if cmd.ref == desk.sent[0][0])
-    first.answered(0, None, None)
+    first.on_answer(0, None, None)
     assert len(desk.sent) == 5 and desk.sent[4][1] == desk.sent[0][1]
 
 
@@ -519,12 +549,12 @@
     desk = Desk("(budgets (further 2) (tenants off))", engines=4)
     cmds = [desk.take(f"{n:x}") for n in range(6)]
     for cmd in cmds:
-        cmd.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+        cmd.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     again = [cmd for cmd in cmds if cmd.sends == 2]
     assert len(again) == 2 and len(desk.sent) == 8
     desk.clock += 1.1
     late = desk.take("f")
-    late.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+    late.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     assert late.sends == 2
 
 
@@ -562,16 +592,16 @@
             send = cmd.out[0]
             how = chance.choice(list(AttemptOutcome))
             if chance.random() < 0.7:
-                cmd.answered(send.no, None, None)
+                cmd.on_answer(send.no, None, None)
             else:
-                cmd.ended(send.no, how, False, None)
+                cmd.on_attempt_end(send.no, how, False, None)
         desk.scheduler.on_timer()
         now = desk.clock
         assert all(p.used(now) <= p.most(now) for p in desk.purse.pockets.values())
     for cmd in cmds:
         for send in list(cmd.out):
-            cmd.ended(send.no, AttemptOutcome.ERROR, True, None)
-        cmd.client_left()
+            cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
+        cmd.on_client_disconnect()
     desk.clock += 10.0
     assert all(p.used(desk.clock) == 0 for p in desk.purse.pockets.values())
     assert not desk.holder.taken and not any(desk.holder.queues.values())
