--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -13,7 +13,7 @@
 from marbleworks.startup_signals import StartupSignals
 
 if TYPE_CHECKING:
-    from marbleworks.net.server import RouterConfig
+    from marbleworks.net.protocol import RouterConfig
     from marbleworks.subsystems.wiring import Subsystems
 
 app = typer.Typer(
@@ -49,7 +49,7 @@
 
 
 def _station(path: str) -> RouterConfig:
-    from marbleworks.net.server import RouterConfig
+    from marbleworks.net.protocol import RouterConfig
 
     try:
         if not path:
--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -188,7 +188,7 @@
 )
 DECIDED = Carried("one module over all engines listed", Status.WORKS, ("scheduling/scheduler.py",), "cells")
 DECIDED_CELL = Carried("the same over the cell's engines", Status.MISSING, (), "cells")
-FRONTS = Carried("one greenlet a connection", Status.WORKS, ("net/client_listener.py",))
+FRONTS = Carried("one greenlet a connection", Status.WORKS, ("net/client_session.py",))
 DOORS = Carried("fair queues by member", Status.WORKS, ("fair_queue/admission.py",))
 SPOOLED = Carried("a router's own disk; knows of no other", Status.WORKS, ("spool/service.py",))
 LOGGED = Carried("lines of JSON, each router its own", Status.WORKS, ("net/actor.py",), "cells")
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -43,6 +43,7 @@
 from marbleworks.net.discovery import EngineDiscovery
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.engine_client import engine_client_factory
+from marbleworks.net.protocol import RouterConfig
 from marbleworks.subsystems.registry import read_book
 from marbleworks.subsystems.wiring import Subsystems
 
@@ -114,18 +115,18 @@
     """One hollow router; raises what a router's start raises."""
 
     def __init__(self, path: str, operator: str) -> None:
-        station, self.path = serve.RouterConfig.read(path), path
+        station, self.path = RouterConfig.read(path), path
         deployment = station.settings
         self.number, self.addresses = deployment.fleet.router_index, station.peers
         self.fitted = Subsystems(read_book(operator)) if operator else None
-        self.peers = _Peers(station.peer_listen, station.peers, station.everyone, self.number)
+        self.peers = _Peers(station.peer_listen, station.peers, station.peer_broadcast, self.number)
         self.wire: Any = Wire(self.peers.sock)
         self.peers.sock = self.wire
         tell = self.peers.register(LOAD_UPDATE, self._heard)
-        share = BoundedSemaphore(station.sockets)
+        share = BoundedSemaphore(station.max_sockets)
         self.desk = Dispatcher(deployment, station.seed, engine_client_factory(deployment, share), tell)
         self.peers.listen()
-        self.directory = _Directory(self.desk, deployment, station.known, station.nameserver)
+        self.directory = _Directory(self.desk, deployment, station.initial_engines, station.nameserver)
         if self.fitted is not None:
             self.fitted.join(self.desk, deployment, self.peers, station.name)
         self.living: dict[int, int] = {}  # as the view has them, with their starts
--- a/marbleworks/net/actor.py
+++ b/marbleworks/net/actor.py
@@ -1,13 +1,14 @@
-"""What all actors share: a mailbox, and one greenlet that reads it.
+"""Actors: a mailbox, and one greenlet that calls what is posted to it.
 
-An actor owns its state alone; others only post to it. It must never end for an exception: that is logged and
-the next mail is read. Nothing here knows what any mail means.
+Only an actor's own greenlet changes its state; others post calls. A call that raises is logged, and the actor
+goes on with the next. The module knows nothing of what the calls mean.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from enum import IntEnum
 from typing import Any
 
 import gevent
@@ -15,22 +16,33 @@
 from gevent.queue import Empty, PriorityQueue
 
 LOG = structlog.get_logger()
-TURN_S = 0.002  # seconds that an actor may go on with its mail while others wait
-Mail = tuple[int, float, int, Callable[..., Any], tuple[Any, ...]]  # rank, place, number, what to call
-_BEGAN = time.time() - time.monotonic()
+TURN_S = 0.002  # for which an actor may go on with its mail while other greenlets are ready
+_CLOCK_OFFSET_S = time.time() - time.monotonic()
+
+
+class MailPriority(IntEnum):
+    """Which mail an actor handles first."""
+
+    WORK_IN_PROGRESS = 0
+    NEW_WORK = 1
+
+
+# Priority, place among new work, number of the post, and the call; the queue compares the first three.
+# A plain tuple, since a router makes one for each event.
+Mail = tuple[MailPriority, float, int, Callable[..., Any], tuple[Any, ...]]
 
 
 def clock() -> float:
-    """The system's Unix time, which here never goes back."""
-    return _BEGAN + time.monotonic()
+    """Returns Unix time in seconds; unlike the system's clock it never goes back."""
+    return _CLOCK_OFFSET_S + time.monotonic()
 
 
 def spawn(work: Callable[..., Any], *args: Any) -> gevent.Greenlet[..., Any]:
-    """A greenlet whose failure is logged by us and harms no other."""
-    return gevent.spawn(_guarded, work, *args)
+    """Starts a greenlet; an exception that ends it is logged."""
+    return gevent.spawn(_call_and_log, work, *args)
 
 
-def _guarded(work: Callable[..., Any], *args: Any) -> None:
+def _call_and_log(work: Callable[..., Any], *args: Any) -> None:
     try:
         work(*args)
     except Exception:
@@ -38,45 +50,55 @@
 
 
 class Actor:
+    """Owns a mailbox, the greenlet that empties it, and one timer.
+
+    Attributes:
+        wake_at: When `on_timer` is to be called; None for never. The timer is cleared before the call.
+    """
+
     def __init__(self) -> None:
         self.mailbox: PriorityQueue[Mail] = PriorityQueue()
-        self.post_count, self.finished = 0, False
-        self.wake_at: float | None = None  # when `rung` is wanted, at the latest
+        self.post_count = 0
+        self.finished = False
+        self.wake_at: float | None = None
         self.greenlet = gevent.spawn(self._run)
 
-    def post(self, what: Callable[..., Any], *args: Any) -> None:
-        """Has this actor's greenlet call one of its methods, after all that was posted before."""
+    def post(self, action: Callable[..., Any], *args: Any) -> None:
+        """Has this actor's greenlet call one of its methods, after everything posted before."""
         self.post_count += 1
-        self.mailbox.put((0, 0.0, self.post_count, what, args))
+        self.mailbox.put((MailPriority.WORK_IN_PROGRESS, 0.0, self.post_count, action, args))
 
-    def post_new_work(self, place: float, what: Callable[..., Any], *args: Any) -> None:
-        """The same for new work, which comes after all that concerns work already begun, by place."""
+    def post_new_work(self, place: float, action: Callable[..., Any], *args: Any) -> None:
+        """Posts a call for new work: after all that concerns work in progress, then by place."""
         self.post_count += 1
-        self.mailbox.put((1, place, self.post_count, what, args))
+        self.mailbox.put((MailPriority.NEW_WORK, place, self.post_count, action, args))
 
     def finish(self) -> None:
-        """Posted last. A greenlet that is killed would keep its frame, and all that it knows, in a cycle."""
+        """Ends the greenlet; posted last.
+
+        A greenlet that is killed would keep its frame, and all that it refers to, in a reference cycle.
+        """
         self.finished = True
 
     def on_timer(self) -> None:
-        """The one timer is due."""
+        """Called when `wake_at` has come."""
 
     def _run(self) -> None:
-        ran = 0.0
+        turn_began = 0.0
         while not self.finished:
             try:
                 now = clock()
-                if now > ran + TURN_S:  # a full mailbox keeps no other greenlet waiting
+                if now > turn_began + TURN_S:  # a full mailbox must not starve other greenlets
                     gevent.sleep(0)
-                    ran = now = clock()
-                left = None if self.wake_at is None else self.wake_at - now
-                if left is not None and left <= 0:
-                    what, args = self.on_timer, ()
+                    turn_began = now = clock()
+                timeout_s = None if self.wake_at is None else self.wake_at - now
+                if timeout_s is not None and timeout_s <= 0:
+                    action, args = self.on_timer, ()
                 else:
-                    _, _, _, what, args = self.mailbox.get(timeout=left)
+                    _, _, _, action, args = self.mailbox.get(timeout=timeout_s)
             except Empty:
-                what, args = self.on_timer, ()
-            if what == self.on_timer:
+                action, args = self.on_timer, ()
+            if action == self.on_timer:
                 self.wake_at = None
-            _guarded(what, *args)
-            del what, args  # an answer of many pages, perhaps, while the next mail is long in coming
+            _call_and_log(action, *args)
+            del action, args  # they may hold a large result, and the next mail may be long in coming
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -1,461 +1,139 @@
-"""The front: the listener, and an actor for each client's connection, which speaks MessagePack-RPC.
-
-A client's actor owns its connection and the numbers of its open calls. It must never answer a call twice, end
-a connection on which a call is open unless the other side broke the protocol, or pass on what it cannot read.
-"""
+"""Accepts clients' connections and keeps their number within the router's file descriptors."""
 
 from __future__ import annotations
 
 import math
-import re
-from collections.abc import Callable, Iterator
-from contextlib import suppress
-from dataclasses import dataclass
+from collections.abc import Callable
 from typing import Any
 
 import gevent
-import msgpack
 from gevent import socket
-from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.net.actor import LOG, TURN_S, Actor, clock, spawn
+from marbleworks.net.actor import LOG, clock, spawn
+from marbleworks.net.client_session import ClientSession
 from marbleworks.net.dispatcher import Dispatcher
-from marbleworks.net.messages import OpenRequest
-from marbleworks.net.statement_parser import table_group
-from marbleworks.net.stream import CloseReason, Stream, StreamClosedError
+from marbleworks.net.protocol import MAX_MESSAGE_BYTES
+from marbleworks.net.stream import CloseReason, Stream
 from marbleworks.ports import ResultStore
 from marbleworks.settings import Settings
 
-ANSWER = 1  # the kind of message that is ours; 0 is a call and 2 a notice
-MOST_OPEN = 32  # calls on a connection, by the protocol
-MOST_PAGES = 4  # and of these that ask for a page: each holds one in memory
-MOST_TOKEN = 64  # characters
-MOST_MESSAGE = 1 << 16  # bytes
-MOST_PARTS = 64  # of an array or a map
-WHOLE_WITHIN = 2.0  # seconds for a first message, or for the rest of one; by the service page 3 are too long
-MOST_WRITE = 1.0  # seconds
-ID = re.compile(r"[0-9a-f]{16}")
-COUNT = re.compile(r"[1-9]\d{0,8}", re.ASCII)
-GIVEN_LOOK = 0.5  # seconds between looks at whether a client that is given a page is still there
-FIGURE = re.compile(r"\d{1,15}(?:\.\d{1,15})?", re.ASCII)
-
-
-BOUNDS: dict[str, Any] = {  # so that no message takes memory out of proportion to its bytes
-    "max_buffer_size": MOST_MESSAGE,
-    "max_str_len": MOST_MESSAGE,
-    "max_bin_len": MOST_MESSAGE,
-    "max_array_len": MOST_PARTS,
-    "max_map_len": MOST_PARTS,
-    "max_ext_len": 0,
-}
-PAGE = "page"  # in place of a command's id, which is hexadecimal
-LINGER = 0.25  # seconds in which what a client still says is read by nobody, before its connection ends
-MOST_LINGER = 1 << 18  # and bytes
-SPEAKS_WITHIN = 0.25  # seconds that a new connection is given where others may be ended for the next
-ROOM_EVERY = 0.05  # seconds between looks for a connection that may be ended for a new one
-OURS = (
-    CloseReason.SILENT,
-    CloseReason.MALFORMED,
-    CloseReason.TOO_LONG,
-)  # ends of a connection that the other side keeps
-
+_FIRST_MESSAGE_GRACE_S = 0.25  # in which a new connection is not closed for the next one
+_ACCEPT_RETRY_INTERVAL_S = 0.05
 
-@dataclass(eq=False)
-class PendingCall:
-    """An open call. It keeps its place until it is answered or, given up, until the desk has heard that."""
 
-    ref: str  # of the command, or PAGE
-    deadline: float
-    request: OpenRequest | None = None
-    abandoned: bool = False  # nothing is owed for it
-
-
-class InvalidCallError(Exception):
-    """A call that gets an error for its answer."""
+class ClientListener:
+    """A listening socket and the sessions of the connections it accepted.
 
+    Attributes:
+        descriptors: One for each connection that may be open.
+        healthy: The answer to `health`.
+        result_store: Where results are stored, if anywhere.
+        health_details: Answers a `health` call about a subsystem.
+        sessions: Sessions that are not closed, in the order of their connections.
+        accepted: A connection that still waits for a descriptor, with its peer's address.
+    """
 
-class ClientListener:
     def __init__(
-        self, address: tuple[str, int], desk: Dispatcher, deployment: Settings, share: BoundedSemaphore
+        self,
+        address: tuple[str, int],
+        dispatcher: Dispatcher,
+        settings: Settings,
+        descriptors: BoundedSemaphore,
     ) -> None:
-        self.dispatcher, self.settings, self.descriptors = desk, deployment, share
+        self.dispatcher = dispatcher
+        self.settings = settings
+        self.descriptors = descriptors
         self.healthy = True
-        self.result_store: ResultStore | None = None  # where results are kept, if anywhere
-        self.health_details: Callable[[str], dict[str, Any]] | None = (
-            None  # what `health` may be asked besides
-        )
-        self.sessions: dict[ClientSession, None] = {}  # in the order in which they came
-        self.accepted: Any = None  # accepted, and without a place yet: one at most
+        self.result_store: ResultStore | None = None
+        self.health_details: Callable[[str], dict[str, Any]] | None = None
+        self.sessions: dict[ClientSession, None] = {}
+        self.accepted: tuple[socket.socket, tuple[str, int]] | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
         self.sock.listen(socket.SOMAXCONN)
-        self.accept_greenlet = spawn(self._accept)
+        self.accept_greenlet = spawn(self._accept_all)
 
-    def _accept(self) -> None:
+    def _accept_all(self) -> None:
         while True:
             try:
-                self._admit()
-            except OSError as err:
-                LOG.warning("not accepted", error=str(err))
-                gevent.sleep(ROOM_EVERY)  # descriptors or memory of the machine are short
-
-    def _admit(self, until: float = math.inf) -> None:
-        """One that comes; while there is no place for it, the next ones wait in the machine's queue."""
+                self._accept()
+            except OSError as err:  # the host is short of descriptors or memory
+                LOG.warning("accept failed", error=str(err))
+                gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)
+
+    def _accept(self, deadline: float = math.inf) -> None:
+        """Accepts one connection; while there is no descriptor for it, later ones wait in the backlog.
+
+        Raises:
+            BlockingIOError: There is no descriptor by the deadline.
+            OSError: The host accepts none.
+        """
         if self.accepted is None:
             self.accepted = self.sock.accept()
         while not self.descriptors.acquire(blocking=False):
-            if clock() >= until:
+            if clock() >= deadline:
                 raise BlockingIOError
-            if not self._make_room():
-                gevent.sleep(ROOM_EVERY)  # by then one may have come to rest
-        (sock, (host, port)), self.accepted = self.accepted, None
+            if not self._close_unused_session():
+                gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)  # a session may have become unused by then
+        sock, (host, port) = self.accepted
+        self.accepted = None
         try:
-            stream = Stream(sock, "client", f"{host}:{port}", MOST_MESSAGE, self.descriptors.release)
+            stream = Stream(sock, "client", f"{host}:{port}", MAX_MESSAGE_BYTES, self.descriptors.release)
         except BaseException:
             self.descriptors.release()
             sock.close()
             raise
         ClientSession(self, stream)
-        gevent.sleep(0)  # it is heard before the next one is let in
-
-    def _make_room(self) -> bool:
-        """Guards against connections kept for nothing: one that never said anything goes, or else the longest
-        idle. What has just come is given time to speak, and what has spoken is read."""
-        old = clock() - SPEAKS_WITHIN
-        unused = [client for client in self.sessions if client.is_unused()]  # in the order in which they came
+        gevent.sleep(0)  # the session reads before the next connection is accepted
+
+    def _close_unused_session(self) -> bool:
+        """Closes the session that is most likely kept for nothing; returns whether one was closed.
+
+        That is the oldest one that never sent a message, or else the one that has been unused for longest. A
+        new connection gets time for its first message, and bytes that have arrived are read first.
+        """
+        unused = [session for session in self.sessions if session.is_unused()]
+        if not unused:
+            return False
+        opened_by = clock() - _FIRST_MESSAGE_GRACE_S
         silent = (
-            client for client in unused if not client.last_message_at and client.stream.opened_at <= old
+            session
+            for session in unused
+            if session.last_message_at is None and session.stream.opened_at <= opened_by
         )
-        client = next(silent, None)
-        if client is None and unused:
-            client = min(unused, key=lambda client: client.last_message_at or client.stream.opened_at)
-        if client is not None and client.stream.peek() is None:
-            client.stream.close(CloseReason.NO_ROOM)
-            return True
-        return False
-
-    def stop_accepting(self, until: float) -> None:
-        """Takes in all that the machine has accepted, and has whoever comes later be refused."""
+        session = next(silent, None) or min(unused, key=_last_used_at)
+        if session.stream.peek() is not None:
+            return False
+        session.stream.close(CloseReason.NO_ROOM)
+        return True
+
+    def stop_accepting(self, deadline: float) -> None:
+        """Accepts what is in the host's backlog, then closes the listening socket."""
         self.accept_greenlet.kill()
         self.sock.settimeout(0.0)
-        while clock() < until:
+        while clock() < deadline:
             try:
-                self._admit(until)
-            except BlockingIOError:  # nothing is left there, and from here to the close nothing else runs
+                self._accept(deadline)
+            except BlockingIOError:  # the backlog is empty, and nothing else runs before the close
                 break
             except OSError as err:
-                LOG.warning("not accepted", error=str(err))
-                gevent.sleep(ROOM_EVERY)
+                LOG.warning("accept failed", error=str(err))
+                gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)
         self.sock.close()
 
     def close_idle_sessions(self) -> bool:
-        """Ends in good order the connections on which nothing is open; True once none is left."""
-        for client in [client for client in self.sessions if client.is_idle()]:
-            client.close_gracefully(CloseReason.STOPPING)
+        """Gracefully closes sessions without open calls; returns whether no session is left."""
+        for session in [session for session in self.sessions if session.is_idle()]:
+            session.close_gracefully(CloseReason.STOPPING)
         return not self.sessions
 
     def close(self) -> None:
-        for client in list(self.sessions):
-            client.stream.close(CloseReason.STOPPING)
-
-
-class ClientSession(Actor):
-    def __init__(self, front: ClientListener, stream: Stream) -> None:
-        super().__init__()
-        self.listener, self.dispatcher, self.settings, self.stream = (
-            front,
-            front.dispatcher,
-            front.settings,
-            stream,
-        )
-        self.calls: dict[int, PendingCall] = {}  # open ones, by the client's number for them
-        self.last_message_at, self.has_written = (
-            0.0,
-            False,
-        )  # a whole message last came then; whether one was sent
-        self.writing = False
-        self.closing: CloseReason | None = None  # from then on what comes is read by nobody
-        front.sessions[self] = None
-        spawn(self._read)
-
-    # What the desk asks.
-
-    def answer(self, call: int, result: bytes, told: dict[str, str]) -> None:
-        self._finish(call, None, [result, told])
-
-    def shed(self, call: int, come_back: float) -> None:
-        after = {"after": str(round(come_back * 1000))} if come_back else {}
-        self._finish(call, ["Rejected", after], None)
-
-    def fail(self, call: int, why: str) -> None:
-        self._finish(call, _failed(why), None)
-
-    def give_page(self, call: int, rows: bytes, told: dict[str, str], given: Event, patience: float) -> None:
-        asked = self.calls.get(call)
-        if asked is not None and not asked.abandoned:
-            self._write([ANSWER, call, None, [rows, told]], clock() + patience)
-        self.calls.pop(call, None)
-        given.set()
-
-    def _finish(self, call: int, error: list[Any] | None, result: list[Any] | None) -> None:
-        asked = self.calls.get(call)
-        if asked is not None and not asked.abandoned:
-            self._write([ANSWER, call, error, result], asked.deadline)
-        if asked is not None and (asked.request is None or not asked.abandoned):
-            self.calls.pop(call, None)  # the reader may have ended while it was written
-
-    def forget(self, command: OpenRequest) -> None:
-        """The desk has heard that it was given up. Its number may be another's by now."""
-        asked = self.calls.get(command.call)
-        if asked is not None and asked.request is command:
-            del self.calls[command.call]
-
-    def _write(self, message: list[Any], until: float) -> None:
-        """A client that does not read holds up no answer but its own."""
-        self.has_written = self.writing = True
-        try:
-            self.stream.write(msgpack.packb(message), max(until, clock() + MOST_WRITE))
-        except StreamClosedError as err:
-            self.stream.close(err.reason)
-        finally:
-            self.writing = False
-
-    # Its end.
-
-    def is_unused(self) -> bool:
-        """Whether nothing is open or being written; something may still be read."""
-        return self.closing is None and not (self.calls or self.writing or self.mailbox.qsize())
-
-    def is_idle(self) -> bool:
-        return self.is_unused() and not self.stream.unread_end and self.stream.peek() is None
-
-    def close_gracefully(self, reason: CloseReason) -> None:
-        """Ends it in good order. Guards against a close that destroys what was just written: bytes that come
-        later would reset the connection, and are read by nobody until the other side ends it, or for a
-        moment."""
-        self.closing = reason
-        self.stream.shutdown_write()
-        gevent.spawn_later(LINGER, self.stream.close, reason)
-
-    def _linger(self, reason: CloseReason) -> None:
-        """The reader's part of that."""
-        most = MOST_LINGER
-        with suppress(StreamClosedError):
-            while most > 0:
-                most -= self.stream.unread_end - self.stream.unread_start
-                self.stream.consume(self.stream.unread_end - self.stream.unread_start)
-                self.stream.fill(clock() + MOST_WRITE)  # by when all is written and `part` has its turn
-                gevent.sleep(0)
-        self.stream.close(reason)
-
-    # What the client says.
-
-    def _read(self) -> None:
-        reason, since = (
-            CloseReason.FAULT,
-            self.stream.opened_at,
-        )  # since: a message or a first answer is due, else 0
-        try:
-            while self.closing is None:
-                try:
-                    self.stream.fill(since + WHOLE_WITHIN if since else None)
-                except StreamClosedError as err:
-                    if (
-                        err.reason is not CloseReason.SILENT
-                        or self.stream.unread_end
-                        or not (self.calls or self.has_written)
-                    ):
-                        raise
-                    since = 0.0 if self.has_written else clock()  # it waits for its first answer
-                    continue
-                if self.closing is not None:
-                    break
-                for message in self._messages():
-                    self.last_message_at, since = clock(), 0.0
-                    self._hear(message)
-                    del message
-                    self._hold_back()
-                if not since and (self.stream.unread_end or not self.has_written):
-                    since = clock()
-                gevent.sleep(0)  # and keeps no other client from being heard
-        except StreamClosedError as err:
-            reason = err.reason
-        finally:
-            if reason is CloseReason.CLOSED and self.calls:
-                reason = CloseReason.BROKEN
-            for call in list(self.calls):
-                self._left(call)
-            self.calls.clear()
-            if self.closing is None and reason in OURS and (self.has_written or self.mailbox.qsize()):
-                self.closing = reason
-                self.post(self.close_gracefully, reason)  # behind what is still to be written
-            if self.closing is not None:
-                self._linger(self.closing)
-            self.stream.close(reason)
-            self.listener.sessions.pop(self, None)
-            self.post(self.finish)
-
-    def _hold_back(self) -> None:
-        """One that sends at full speed waits until its errors are written and its cancels heard. That it has
-        gone is heard all the same."""
-        while self.mailbox.qsize() > MOST_OPEN or len(self.calls) > 2 * MOST_OPEN:
-            if self.stream.buffer_full:
-                gevent.sleep(TURN_S)
-                continue
-            try:
-                self.stream.fill(clock() + TURN_S)
-            except StreamClosedError as err:
-                if err.reason is not CloseReason.SILENT:
-                    raise
-
-    def _messages(self) -> Iterator[Any]:
-        """All that have come whole; the rest stays in the buffer."""
-        unpacker, used, fills = msgpack.Unpacker(**BOUNDS), 0, -1
-        while fills != self.stream.fill_count:  # while one was heard, more may have come
-            self.stream.consume(used)
-            unpacker, used, fills = msgpack.Unpacker(**BOUNDS), 0, self.stream.fill_count
-            with self.stream.unread() as view:
-                unpacker.feed(view)
-            for message in self._unpacked(unpacker):
-                used = unpacker.tell()
-                yield message
-        self.stream.consume(used)
-
-    def _unpacked(self, unpacker: Any) -> Iterator[Any]:
-        while True:
-            try:
-                message = unpacker.unpack()
-            except msgpack.OutOfData:
-                return
-            except (ValueError, TypeError, msgpack.UnpackException, RecursionError):
-                raise StreamClosedError(CloseReason.MALFORMED) from None
-            yield message
-
-    def _say(self, message: list[Any]) -> None:
-        """By way of the mailbox: two greenlets that write at once would mix their bytes."""
-        self.post(self._write, message, 0.0)
-
-    def _hear(self, message: Any) -> None:
-        match message:
-            case [0, int(call), str(method), [dict(fields), *body]] if call not in self.calls:  # type: ignore[has-type]
-                try:
-                    self._call(call, method, fields, body)
-                except InvalidCallError as err:
-                    self._say([ANSWER, call, ["Invalid", {"why": str(err)}], None])
-            case [2, "cancel", [int() as given_up]]:
-                self._left(given_up)
-            case [2, str(), list()]:
-                pass  # a notice that we don't know asks for no answer
-            case _:
-                raise StreamClosedError(CloseReason.MALFORMED)
-
-    def _left(self, call: int) -> None:
-        """Nothing is owed for it any longer."""
-        asked = self.calls.get(call)
-        if asked is not None and not asked.abandoned:
-            asked.abandoned = True
-            if asked.request is not None:
-                asked.request.left = True
-                self.dispatcher.post(self.dispatcher.on_client_disconnect, asked.request)
-
-    def _call(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
-        if method == "health":
-            what, about = fields.get("about"), self.listener.health_details
-            told = about(what) if about is not None and isinstance(what, str) else {}
-            self._say([ANSWER, call, None, [self.listener.healthy, told]])
-        elif method in ("page", "release") and self.listener.result_store is not None:
-            self._kept(self.listener.result_store, call, method, fields)
-        else:
-            self._take(call, method, fields, body)
-
-    def _take(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
-        if method not in self.settings.class_index:
-            raise InvalidCallError("unknown method")
-        if sum(not asked.abandoned for asked in self.calls.values()) >= MOST_OPEN:
-            raise InvalidCallError("too many open calls")
-        if len(body) != 1 or not isinstance(body[0], bytes):
-            raise InvalidCallError("the body is not bin")
-        ref = fields.get("id")
-        if not isinstance(ref, str) or not ID.fullmatch(ref):
-            raise InvalidCallError("id is not 16 hex digits")
-        tenant = self._tenant(fields)
-        now, longest = clock(), self.settings.client_timeouts_s[self.settings.class_index[method]]
-        wait = _number(fields, "wait", 2000.0 * longest)
-        fleet = self.settings.fleet  # what none of its engines could do is no estimate
-        cost = _number(fields, "cost", 1000.0 * longest * max(fleet.cores_by_kind))
-        memory = _number(fields, "need_mb", max(fleet.memory_mb_by_kind))
-        if wait <= 0:
-            raise InvalidCallError("wait is not above 0")
-        deadline = now + wait / 1000.0
-        # Commands are taken by when their clients began to wait: for a retry that was before this try.
-        place = deadline - longest
-        group = table_group(body[0].decode("utf-8", "replace"))
-        shelf = self.listener.result_store if fields.get("spool") == "1" else None
-        tray = shelf.reserve(tenant, method, body[0]) if shelf is not None else None
-        command = OpenRequest(ref, self, call, method, body[0], now, deadline, tray=tray)
-        self.calls[call] = PendingCall(ref, deadline, command)
-        self.dispatcher.post_new_work(
-            place,
-            self.dispatcher.submit,
-            ref,
-            command,
-            group,
-            "",
-            (cost / 1000.0, memory),
-            self.settings.tenant_index.get(tenant, -1),
-        )
-
-    def _tenant(self, fields: dict[Any, Any]) -> str:
-        """Who asks; nobody in particular where the deployment has no tenants."""
-        tenant = fields.get("tenant", "")
-        if not self.settings.tenant_index:
-            return ""
-        if not isinstance(tenant, str) or tenant not in self.settings.tenant_index:
-            raise InvalidCallError("unknown tenant")
-        return tenant
-
-    def _kept(self, shelf: ResultStore, call: int, method: str, fields: dict[Any, Any]) -> None:
-        """A call for a result that is kept; no command, and no engine hears of it."""
-        token, number, tenant = fields.get("spool"), fields.get("page", ""), self._tenant(fields)
-        if not isinstance(token, str) or not 0 < len(token) <= MOST_TOKEN:
-            raise InvalidCallError("spool is not a token")
-        if method == "release":
-            good = shelf.release(token, tenant)
-            self._say(
-                [ANSWER, call, None if good else _failed("no such result"), [b"", {}] if good else None]
-            )
-            return
-        if not isinstance(number, str) or not COUNT.fullmatch(number):
-            raise InvalidCallError("page is not a number from 1")
-        if sum(asked.ref == PAGE for asked in self.calls.values()) >= MOST_PAGES:
-            raise InvalidCallError("too many open calls for pages")
-        self.calls[call] = PendingCall(PAGE, clock() + shelf.page_timeout_s)
-        spawn(self._page, shelf, call, token, tenant, int(number))
-
-    def _page(self, shelf: ResultStore, call: int, token: str, tenant: str, number: int) -> None:
-        """A greenlet of its own: the page is in hand until it has been written or the client has gone."""
-        said = shelf.read_page(token, tenant, number)
-        if isinstance(said, str):
-            error = ["Rejected", {"after": "1000"}] if said == "busy" else _failed(said)
-            self.post(self._finish, call, error, None)
-            return
-        try:
-            given = Event()
-            self.post(self.give_page, call, *said, given, shelf.page_timeout_s)
-            while not given.wait(GIVEN_LOOK) and not self.finished:
-                pass
-        finally:
-            shelf.page_delivered()
-
-
-def _failed(why: str) -> list[Any]:
-    return ["Failed", {"why": why}]
+        """Closes all sessions at once."""
+        for session in list(self.sessions):
+            session.stream.close(CloseReason.STOPPING)
 
 
-def _number(fields: dict[Any, Any], name: str, most: float) -> float:
-    text = fields.get(name)
-    if not isinstance(text, str) or not FIGURE.fullmatch(text) or float(text) > most:
-        raise InvalidCallError(f"{name} is not a number in range")
-    return float(text)
+def _last_used_at(session: ClientSession) -> float:
+    return session.last_message_at or session.stream.opened_at
--- /dev/null
+++ b/marbleworks/net/client_session.py
@@ -0,0 +1,393 @@
+"""One client's connection: its MessagePack-RPC calls, their answers, and its close.
+
+A session is an actor: its own greenlet writes, a second one reads. It never answers a call twice, and closes
+a connection with open calls only where the client breaks the protocol, is gone, or the router stops.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from contextlib import suppress
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import gevent
+from gevent.event import Event
+
+from marbleworks.net import protocol
+from marbleworks.net.actor import TURN_S, Actor, clock, spawn
+from marbleworks.net.dispatcher import Dispatcher
+from marbleworks.net.messages import OpenRequest
+from marbleworks.net.protocol import InvalidCallError, PageCall, QueryCall
+from marbleworks.net.rpc import (
+    CancelNotification,
+    MalformedMessageError,
+    Message,
+    MessageDecoder,
+    Request,
+    Response,
+)
+from marbleworks.net.statement_parser import table_group
+from marbleworks.net.stream import CloseReason, Stream, StreamClosedError
+from marbleworks.ports import ResultStore
+from marbleworks.settings import Settings
+
+_MAX_OPEN_PAGE_CALLS = 4  # each holds a page in memory
+_WRITE_TIMEOUT_S = 1.0  # at least, also for an answer whose call has no time left
+_CLIENT_GONE_POLL_INTERVAL_S = 0.5  # while a page is being delivered
+_DRAIN_TIMEOUT_S = 0.25  # in which received bytes are discarded before a graceful close ends
+_MAX_DRAIN_BYTES = 1 << 18
+# Reasons for which the router, and not the client, ends the connection.
+_CLOSED_BY_US = (CloseReason.SILENT, CloseReason.MALFORMED, CloseReason.TOO_LONG)
+_BUSY_REASON = "busy"  # of a page that is not read now; the store's other reasons are final
+_BUSY_RETRY_AFTER_S = 1.0
+
+
+class SessionHost(Protocol):
+    """What all sessions share: the listener that accepted them.
+
+    Attributes:
+        healthy: The answer to `health`; False while the router stops.
+        result_store: Where results are stored, if anywhere.
+        health_details: Answers a `health` call about a subsystem.
+        sessions: Sessions that are not closed, in the order of their connections; a session adds and removes
+            itself.
+    """
+
+    dispatcher: Dispatcher
+    settings: Settings
+    healthy: bool
+    result_store: ResultStore | None
+    health_details: Callable[[str], dict[str, Any]] | None
+    sessions: dict[ClientSession, None]
+
+
+@dataclass(eq=False)
+class PendingCall:
+    """An open call; it is kept until it is answered or, once abandoned, until the dispatcher knows.
+
+    Attributes:
+        deadline: Unix time in seconds until which the client waits.
+        request: What the dispatcher was given; None for a page.
+        abandoned: The client cancelled the call or is gone; nothing is sent for it any more.
+    """
+
+    deadline: float
+    request: OpenRequest | None = None
+    abandoned: bool = False
+
+
+class ClientSession(Actor):
+    """A client's connection, from its first byte to its close.
+
+    Attributes:
+        calls: Open calls by the client's numbers for them.
+        last_message_at: Unix time in seconds of the last complete message; None before the first.
+        has_written: Whether anything was sent to the client.
+        closing_reason: Set once a graceful close has begun; received bytes are discarded from then on.
+    """
+
+    def __init__(self, listener: SessionHost, stream: Stream) -> None:
+        super().__init__()
+        self.listener = listener
+        self.dispatcher = listener.dispatcher
+        self.settings = listener.settings
+        self.stream = stream
+        self.calls: dict[int, PendingCall] = {}
+        self.last_message_at: float | None = None
+        self.has_written = False
+        self.writing = False
+        self.closing_reason: CloseReason | None = None
+        listener.sessions[self] = None
+        spawn(self._read)
+
+    # Answers. These methods are posted.
+
+    def answer(self, call_id: int, result: bytes, result_fields: dict[str, str]) -> None:
+        """Sends a query's result."""
+        self._finish_call(Response(call_id, None, [result, result_fields]))
+
+    def shed(self, call_id: int, retry_after_s: float) -> None:
+        """Rejects a query; 0 names no time to retry after."""
+        self._finish_call(Response(call_id, protocol.rejected_error(retry_after_s), None))
+
+    def fail(self, call_id: int, reason: str) -> None:
+        """Fails a query for good."""
+        self._finish_call(Response(call_id, protocol.failed_error(reason), None))
+
+    def forget(self, request: OpenRequest) -> None:
+        """Drops an abandoned call, now that the dispatcher knows; its number may be in use again."""
+        call = self.calls.get(request.call)
+        if call is not None and call.request is request:
+            del self.calls[request.call]
+
+    def _deliver_page(self, response: Response, timeout_s: float, delivered: Event) -> None:
+        call = self.calls.get(response.call_id)
+        if call is not None and not call.abandoned:
+            self._write(response, clock() + timeout_s)
+        self.calls.pop(response.call_id, None)
+        delivered.set()
+
+    def _finish_call(self, response: Response) -> None:
+        call = self.calls.get(response.call_id)
+        if call is not None and not call.abandoned:
+            self._write(response, call.deadline)
+        if call is not None and (call.request is None or not call.abandoned):
+            self.calls.pop(response.call_id, None)  # the reader may have ended during the write
+
+    def _post_response(self, response: Response) -> None:
+        """Sends by way of the mailbox: two greenlets that write at once would mix their bytes."""
+        self.post(self._write, response, 0.0)
+
+    def _post_error(self, call_id: int, error: list[Any]) -> None:
+        self._post_response(Response(call_id, error, None))
+
+    def _write(self, response: Response, deadline: float) -> None:
+        """Sends a message; a client that does not read delays no answer but its own."""
+        self.has_written = self.writing = True
+        try:
+            self.stream.write(response.encode(), max(deadline, clock() + _WRITE_TIMEOUT_S))
+        except StreamClosedError as err:
+            self.stream.close(err.reason)
+        finally:
+            self.writing = False
+
+    # Closing.
+
+    def is_unused(self) -> bool:
+        """Whether no call is open and nothing is being written; there may be unread bytes."""
+        return self.closing_reason is None and not (self.calls or self.writing or self.mailbox.qsize())
+
+    def is_idle(self) -> bool:
+        """Whether it is unused and nothing is unread."""
+        return self.is_unused() and not self.stream.unread_end and self.stream.peek() is None
+
+    def close_gracefully(self, reason: CloseReason) -> None:
+        """Closes the connection so that what was just written still arrives.
+
+        Bytes that the client sends after a plain close would reset the connection and destroy it. So only the
+        sending direction is shut down, and received bytes are discarded for a moment.
+        """
+        self.closing_reason = reason
+        self.stream.shutdown_write()
+        gevent.spawn_later(_DRAIN_TIMEOUT_S, self.stream.close, reason)
+
+    def _drain(self, reason: CloseReason) -> None:
+        """Discards received bytes until a graceful close ends, then closes the stream."""
+        remaining_bytes = _MAX_DRAIN_BYTES
+        with suppress(StreamClosedError):
+            while remaining_bytes > 0:
+                unread = self.stream.unread_end - self.stream.unread_start
+                remaining_bytes -= unread
+                self.stream.consume(unread)
+                # By then everything is written, and a posted `close_gracefully` has run.
+                self.stream.fill(clock() + _WRITE_TIMEOUT_S)
+                gevent.sleep(0)
+        self.stream.close(reason)
+
+    # Reading.
+
+    def _read(self) -> None:
+        reason = CloseReason.FAULT
+        try:
+            self._read_messages()
+        except StreamClosedError as err:
+            reason = err.reason
+        finally:
+            self._end(reason)
+
+    def _read_messages(self) -> None:
+        """Handles messages until a graceful close begins.
+
+        Raises:
+            StreamClosedError: The connection is to end or has ended.
+        """
+        # When the wait for a first message, the rest of one or a first answer began; None: for none of these.
+        waiting_since: float | None = self.stream.opened_at
+        while self.closing_reason is None:
+            try:
+                self.stream.fill(
+                    None if waiting_since is None else waiting_since + protocol.MESSAGE_TIMEOUT_S
+                )
+            except StreamClosedError as err:
+                awaits_answer = bool(self.calls or self.has_written)
+                if err.reason is not CloseReason.SILENT or self.stream.unread_end or not awaits_answer:
+                    raise
+                waiting_since = None if self.has_written else clock()
+                continue
+            if self.closing_reason is not None:
+                return
+            if self._handle_messages():
+                waiting_since = None
+            if waiting_since is None and (self.stream.unread_end or not self.has_written):
+                waiting_since = clock()
+            gevent.sleep(0)  # one busy client must not starve the others
+
+    def _end(self, reason: CloseReason) -> None:
+        if reason is CloseReason.CLOSED and self.calls:
+            reason = CloseReason.BROKEN
+        for call_id in list(self.calls):
+            self._abandon(call_id)
+        self.calls.clear()
+        unsent = self.has_written or self.mailbox.qsize()
+        if self.closing_reason is None and reason in _CLOSED_BY_US and unsent:
+            self.closing_reason = reason
+            self.post(self.close_gracefully, reason)  # behind what is still to be written
+        if self.closing_reason is not None:
+            self._drain(self.closing_reason)
+        self.stream.close(reason)
+        self.listener.sessions.pop(self, None)
+        self.post(self.finish)
+
+    def _handle_messages(self) -> bool:
+        """Handles all complete messages in the buffer; returns whether there were any."""
+        handled = False
+        for message in self._messages():
+            handled = True
+            self.last_message_at = clock()
+            self._handle_message(message)
+            self._hold_back()
+        return handled
+
+    def _messages(self) -> Iterator[Message]:
+        """Yields complete messages; the rest of an incomplete one stays in the buffer."""
+        decoded_fills = -1
+        while decoded_fills != self.stream.fill_count:  # more may arrive while a message is handled
+            decoded_fills = self.stream.fill_count
+            with self.stream.unread() as view:
+                decoder = MessageDecoder(view)
+            try:
+                yield from decoder
+            except MalformedMessageError:
+                raise StreamClosedError(CloseReason.MALFORMED) from None
+            self.stream.consume(decoder.consumed)
+
+    def _hold_back(self) -> None:
+        """Waits until a client at full speed has its errors written and its cancels handled.
+
+        The buffer goes on filling meanwhile, so that a disconnect is noticed.
+        """
+        max_open = protocol.MAX_OPEN_CALLS
+        while self.mailbox.qsize() > max_open or len(self.calls) > 2 * max_open:
+            if self.stream.buffer_full:
+                gevent.sleep(TURN_S)
+                continue
+            try:
+                self.stream.fill(clock() + TURN_S)
+            except StreamClosedError as err:
+                if err.reason is not CloseReason.SILENT:
+                    raise
+
+    # Calls.
+
+    def _handle_message(self, message: Message) -> None:
+        if isinstance(message, Request):
+            if message.call_id in self.calls:
+                raise StreamClosedError(CloseReason.MALFORMED)
+            try:
+                self._handle_request(message)
+            except InvalidCallError as err:
+                self._post_error(message.call_id, protocol.invalid_error(str(err)))
+        elif isinstance(message, CancelNotification):
+            self._abandon(message.call_id)
+
+    def _abandon(self, call_id: int) -> None:
+        """The client no longer waits for this call."""
+        call = self.calls.get(call_id)
+        if call is None or call.abandoned:
+            return
+        call.abandoned = True
+        if call.request is not None:
+            call.request.left = True
+            self.dispatcher.post(self.dispatcher.on_client_disconnect, call.request)
+
+    def _handle_request(self, request: Request) -> None:
+        store = self.listener.result_store
+        if request.method == protocol.METHOD_HEALTH:
+            self._handle_health(request)
+        elif request.method == protocol.METHOD_PAGE and store is not None:
+            self._handle_page(request, store)
+        elif request.method == protocol.METHOD_RELEASE and store is not None:
+            self._handle_release(request, store)
+        else:
+            self._handle_query(request)
+
+    def _handle_health(self, request: Request) -> None:
+        topic = protocol.health_topic(request.fields)
+        details_of = self.listener.health_details
+        details = details_of(topic) if details_of is not None and topic is not None else {}
+        self._post_response(Response(request.call_id, None, [self.listener.healthy, details]))
+
+    def _handle_query(self, request: Request) -> None:
+        if request.method not in self.settings.class_index:
+            raise InvalidCallError("unknown method")
+        if sum(not call.abandoned for call in self.calls.values()) >= protocol.MAX_OPEN_CALLS:
+            raise InvalidCallError("too many open calls")
+        query = protocol.decode_query(request.method, request.fields, request.body, self.settings)
+        now = clock()
+        deadline = now + query.timeout_s
+        group = table_group(query.statement.decode("utf-8", "replace"))
+        store = self.listener.result_store if query.stores_result else None
+        reservation = None
+        if store is not None:
+            reservation = store.reserve(query.tenant, query.class_name, query.statement)
+        open_request = OpenRequest(
+            query.request_id,
+            self,
+            request.call_id,
+            query.class_name,
+            query.statement,
+            now,
+            deadline,
+            tray=reservation,
+        )
+        self.calls[request.call_id] = PendingCall(deadline, open_request)
+        self._submit(query, open_request, group)
+
+    def _submit(self, query: QueryCall, open_request: OpenRequest, group: int) -> None:
+        # New work is ordered by when its client began to wait; for a retry that was before this call.
+        place = open_request.deadline - self.settings.client_timeouts_s[query.class_index]
+        self.dispatcher.post_new_work(
+            place,
+            self.dispatcher.submit,
+            query.request_id,
+            open_request,
+            group,
+            "",
+            (query.estimated_work_s, query.estimated_memory_mb),
+            self.settings.tenant_index.get(query.tenant, -1),
+        )
+
+    def _handle_release(self, request: Request, store: ResultStore) -> None:
+        call = protocol.decode_release_call(request.fields, self.settings)
+        if store.release(call.token, call.tenant):
+            self._post_response(Response(request.call_id, None, [b"", {}]))
+        else:
+            self._post_error(request.call_id, protocol.failed_error("no such result"))
+
+    def _handle_page(self, request: Request, store: ResultStore) -> None:
+        page_call = protocol.decode_page_call(request.fields, self.settings)
+        if sum(call.request is None for call in self.calls.values()) >= _MAX_OPEN_PAGE_CALLS:
+            raise InvalidCallError("too many open calls for pages")
+        self.calls[request.call_id] = PendingCall(clock() + store.page_timeout_s)
+        spawn(self._read_page, store, request.call_id, page_call)
+
+    def _read_page(self, store: ResultStore, call_id: int, page_call: PageCall) -> None:
+        """Runs in its own greenlet until the page has been written or the client has gone."""
+        page = store.read_page(page_call.token, page_call.tenant, page_call.number)
+        if isinstance(page, str):
+            if page == _BUSY_REASON:
+                error = protocol.rejected_error(_BUSY_RETRY_AFTER_S)
+            else:
+                error = protocol.failed_error(page)
+            self.post(self._finish_call, Response(call_id, error, None))
+            return
+        rows, fields = page
+        try:
+            delivered = Event()
+            response = Response(call_id, None, [rows, fields])
+            self.post(self._deliver_page, response, store.page_timeout_s, delivered)
+            while not delivered.wait(_CLIENT_GONE_POLL_INTERVAL_S) and not self.finished:
+                pass
+        finally:
+            store.page_delivered()
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -1,22 +1,21 @@
-"""The process from start to end: configuration, wiring of the actors, SIGTERM, the shares of descriptors.
+"""The router's process: logging, descriptor quotas, wiring of the actors, signals, and shutdown.
 
-It owns nothing that lives while the router works, and must never see a command.
+It holds nothing that changes while the router serves, and sees no request.
 """
 
 from __future__ import annotations
 
 import gc
-import json
 import logging
 import signal
 import sys
 from collections.abc import Callable
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Any, Protocol
 
 import gevent
 import structlog
+from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
 from marbleworks.net.actor import LOG, clock
@@ -25,99 +24,107 @@
 from marbleworks.net.discovery import EngineDiscovery
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.engine_client import engine_client_factory
+from marbleworks.net.protocol import CLIENT_ARRIVAL_GRACE_S, RouterConfig
 from marbleworks.ports import ResultStore
 from marbleworks.settings import Settings, SettingsError
 from marbleworks.startup_signals import StartupSignals
 
-OWN_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files opened in passing
-STILL_COMES = 0.6  # seconds after SIGTERM in which clients may still come, by the protocol
-LONGEST_STOP = 3.0  # and for which what was taken may go on at most, if a client waits so long, and ...
-STOP_GRACE = 0.5  # ... so much more, which is well before anyone is killed
-
-
-@dataclass(frozen=True)
-class RouterConfig:
-    """Where one router stands: its addresses, its limits and the deployment it serves."""
-
-    name: str
-    seed: int
-    listen: tuple[str, int]
-    peer_listen: tuple[str, int]
-    peers: list[tuple[str, int]]
-    everyone: tuple[str, int]
-    nameserver: tuple[str, int]
-    sockets: int
-    known: Any
-    settings: Settings
-
-    @classmethod
-    def read(cls, path: str) -> RouterConfig:
-        try:
-            raw = json.loads(Path(path).read_text("utf-8"))
-            return cls(
-                name=str(raw["name"]),
-                seed=int(raw["seed"], 16),
-                listen=_address(raw["listen"]),
-                peer_listen=_address(raw["peer_listen"]),
-                peers=[_address(text) for text in raw["peers"]],
-                everyone=_address(raw["peers_all"]),
-                nameserver=_address(raw["nameserver"]),
-                sockets=int(raw["limits"]["sockets"]),
-                known=raw["known"],
-                settings=Settings(raw["settings"]),
-            )
-        except OSError as err:
-            raise SettingsError(f"{path}: {err.strerror}") from None
-        except KeyError as err:
-            raise SettingsError(f"{path}: {err.args[0]} is missing") from None
-        except (ValueError, TypeError, AttributeError) as err:
-            raise SettingsError(f"{path}: {err}") from None
-
-
-def _address(text: str) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal():
-        raise ValueError(f"{text!r} is not an address with a port")
-    return host, int(port)
-
-
-def _reload(path: str, directory: EngineDiscovery, fittings: RouterSubsystems | None) -> None:
-    """At SIGHUP: of the file, only the address of the name server may change while a router runs."""
-    try:
-        station = RouterConfig.read(path)
-        directory.post(directory.move, station.nameserver)
-        LOG.info("reloaded", nameserver=":".join(map(str, station.nameserver)))
-    except SettingsError as err:
-        LOG.warning("not reloaded", error=str(err))
-    if fittings is not None:
-        fittings.reload()
+_OWN_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files opened in passing
+_MAX_SHUTDOWN_S = 3.0  # for requests in progress, if a client waits so long, and ...
+_SHUTDOWN_GRACE_S = 0.5  # ... so much more for their answers, well before anyone kills the process
+_SHUTDOWN_POLL_INTERVAL_S = 0.01
+_GC_THRESHOLDS = (50_000, 10, 10)
 
 
 class RouterSubsystems(Protocol):
-    """The subsystems of the operator's file, of which nothing else here knows anything."""
+    """The subsystems of the operator's file.
+
+    Attributes:
+        result_store: Where results are stored, if anywhere.
+        health_details: Answers a `health` call about a subsystem, by its name.
+    """
 
     result_store: ResultStore | None
-    health_details: Callable[[str], dict[str, Any]] | None  # what `health` tells of a subsystem by its name
+    health_details: Callable[[str], dict[str, Any]] | None
 
     def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
-        """Before anyone is listened to."""
+        """Attaches the subsystems to the router; called before it accepts clients."""
 
     def stopping(self) -> None:
-        """A planned stop has begun; what was taken is still answered."""
+        """A planned stop has begun; requests in progress are still answered."""
+
+    def reload(self) -> None:
+        """Reads the operator's file again."""
+
+    def close(self) -> None:
+        """The router has answered everything."""
+
+
+@dataclass(frozen=True)
+class _DescriptorQuotas:
+    """File descriptors for connections, one acquired for each."""
+
+    clients: BoundedSemaphore
+    engines: BoundedSemaphore
+
+    @classmethod
+    def divide(cls, max_sockets: int) -> _DescriptorQuotas:
+        # The usual clients hold a third at most; others may come besides.
+        third = max_sockets // 3
+        return cls(
+            clients=BoundedSemaphore(third + _OWN_DESCRIPTORS // 2),
+            engines=BoundedSemaphore(max_sockets - third - 2 * _OWN_DESCRIPTORS),
+        )
+
 
-    def reload(self) -> None: ...
+@dataclass(frozen=True)
+class _Core:
+    """The actors that every router has, without its listener."""
 
-    def close(self) -> None: ...
+    transport: DatagramTransport
+    dispatcher: Dispatcher
+    discovery: EngineDiscovery
 
 
 def serve(
-    station: RouterConfig,
+    config: RouterConfig,
     path: str,
-    fittings: RouterSubsystems | None = None,
-    early: StartupSignals | None = None,
+    subsystems: RouterSubsystems | None = None,
+    startup_signals: StartupSignals | None = None,
 ) -> None:
-    """Runs until SIGTERM and until all that was taken is answered; path is read again at SIGHUP. early: the
-    signals that came before this."""
+    """Runs a router until SIGTERM, and until everything it accepted is answered.
+
+    Args:
+        config: The router's configuration.
+        path: Where it was read from; it is read again at SIGHUP.
+        subsystems: The operator's subsystems, if any.
+        startup_signals: Signals that came before this call.
+    """
+    _configure_logging()
+    quotas = _DescriptorQuotas.divide(config.max_sockets)
+    stop_requested = Event()
+    gevent.signal_handler(signal.SIGTERM, stop_requested.set)
+    gevent.signal_handler(signal.SIGINT, stop_requested.set)
+    core = _start_core(config, quotas.engines)
+    gevent.signal_handler(signal.SIGHUP, _reload, path, core.discovery, subsystems)
+    if startup_signals is not None and startup_signals.reload_requested:
+        _reload(path, core.discovery, None)
+    if startup_signals is not None and startup_signals.stop_requested:
+        LOG.info("stopped", name=config.name, after_s=0.0)
+        return
+    if subsystems is not None:
+        subsystems.join(core.dispatcher, config.settings, core.transport, config.name)
+    listener = ClientListener(config.listen, core.dispatcher, config.settings, quotas.clients)
+    if subsystems is not None:
+        listener.result_store = subsystems.result_store
+        listener.health_details = subsystems.health_details
+    _tune_garbage_collection()
+    LOG.info("serving", name=config.name, listen=_format_address(config.listen))
+    stop_requested.wait()
+    _shut_down(config, core.dispatcher, listener, subsystems)
+
+
+def _configure_logging() -> None:
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -128,49 +135,68 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(sys.stdout),
     )
-    third = station.sockets // 3  # which is what the usual clients hold at most; others may come besides
-    clients = BoundedSemaphore(third + OWN_DESCRIPTORS // 2)
-    engines = BoundedSemaphore(station.sockets - third - 2 * OWN_DESCRIPTORS)
-    deployment, stop = station.settings, gevent.event.Event()
-    longest = min(max(deployment.client_timeouts_s), LONGEST_STOP)
-    gevent.signal_handler(signal.SIGTERM, stop.set)
-    gevent.signal_handler(signal.SIGINT, stop.set)
-    peers = DatagramTransport(
-        station.peer_listen, station.peers, station.everyone, deployment.fleet.router_index
-    )
-    tell = peers.register(
-        LOAD_UPDATE, lambda peer, data: desk.post(desk.scheduler.receive_load_update, peer, data)
+
+
+def _start_core(config: RouterConfig, engine_descriptors: BoundedSemaphore) -> _Core:
+    settings = config.settings
+    transport = DatagramTransport(
+        config.peer_listen, config.peers, config.peer_broadcast, settings.fleet.router_index
     )
-    desk = Dispatcher(deployment, station.seed, engine_client_factory(deployment, engines), tell)
-    peers.listen()
-    directory = EngineDiscovery(desk, deployment, station.known, station.nameserver)
-    gevent.signal_handler(signal.SIGHUP, _reload, path, directory, fittings)
-    if early is not None and early.reload_requested:
-        _reload(path, directory, None)
-    if early is not None and early.stop_requested:
-        LOG.info("stopped", name=station.name, after=0.0)  # before anyone was listened to
-        return
-    if fittings is not None:
-        fittings.join(desk, deployment, peers, station.name)
-    front = ClientListener(station.listen, desk, deployment, clients)
-    if fittings is not None:
-        front.result_store, front.health_details = fittings.result_store, fittings.health_details
+
+    def on_load_update(peer: int, data: bytes) -> None:
+        dispatcher.post(dispatcher.scheduler.receive_load_update, peer, data)
+
+    tell_peers = transport.register(LOAD_UPDATE, on_load_update)
+    engine_clients = engine_client_factory(settings, engine_descriptors)
+    dispatcher = Dispatcher(settings, config.seed, engine_clients, tell_peers)
+    transport.listen()
+    discovery = EngineDiscovery(dispatcher, settings, config.initial_engines, config.nameserver)
+    return _Core(transport, dispatcher, discovery)
+
+
+def _reload(path: str, discovery: EngineDiscovery, subsystems: RouterSubsystems | None) -> None:
+    """Handles SIGHUP; of the configuration only the name server's address changes while a router runs."""
+    try:
+        config = RouterConfig.read(path)
+        discovery.post(discovery.move, config.nameserver)
+        LOG.info("configuration reloaded", nameserver=_format_address(config.nameserver))
+    except SettingsError as err:
+        LOG.warning("configuration not reloaded", error=str(err))
+    if subsystems is not None:
+        subsystems.reload()
+
+
+def _tune_garbage_collection() -> None:
+    """Exempts what exists by now from collections, and makes them rarer: little of the rest is cyclic."""
     gc.collect()
-    gc.freeze()  # what is there from the start is never looked through again, and what comes is rarely cyclic
-    gc.set_threshold(50_000, 10, 10)
-    LOG.info("serving", name=station.name, listen=":".join(map(str, station.listen)))
-    stop.wait()
+    gc.freeze()
+    gc.set_threshold(*_GC_THRESHOLDS)
+
+
+def _shut_down(
+    config: RouterConfig,
+    dispatcher: Dispatcher,
+    listener: ClientListener,
+    subsystems: RouterSubsystems | None,
+) -> None:
+    """Answers everything, while clients that still come are served for a moment, and closes."""
     began = clock()
-    LOG.info("stopping", name=station.name)
-    front.healthy = False
-    if fittings is not None:
-        fittings.stopping()
-    desk.post(desk.stop, began + longest)
-    gevent.sleep(STILL_COMES)
-    front.stop_accepting(began + longest)
-    while not front.close_idle_sessions() and clock() < began + longest + STOP_GRACE:
-        gevent.sleep(0.01)
-    front.close()
-    if fittings is not None:
-        fittings.close()
-    LOG.info("stopped", name=station.name, after=round(clock() - began, 3))
+    deadline = began + min(max(config.settings.client_timeouts_s), _MAX_SHUTDOWN_S)
+    LOG.info("stopping", name=config.name)
+    listener.healthy = False
+    if subsystems is not None:
+        subsystems.stopping()
+    dispatcher.post(dispatcher.stop, deadline)
+    gevent.sleep(CLIENT_ARRIVAL_GRACE_S)
+    listener.stop_accepting(deadline)
+    while not listener.close_idle_sessions() and clock() < deadline + _SHUTDOWN_GRACE_S:
+        gevent.sleep(_SHUTDOWN_POLL_INTERVAL_S)
+    listener.close()
+    if subsystems is not None:
+        subsystems.close()
+    LOG.info("stopped", name=config.name, after_s=round(clock() - began, 3))
+
+
+def _format_address(address: tuple[str, int]) -> str:
+    host, port = address
+    return f"{host}:{port}"
--- a/marbleworks/net/statement_parser.py
+++ b/marbleworks/net/statement_parser.py
@@ -1,52 +1,57 @@
-"""The table group of a statement, read from its words alone.
+"""Finds the table group of an SQL statement by its lexical structure alone.
 
-It knows SQL's lexical rules and no grammar: it must never fail on a statement, and never look inside strings
-and comments.
+It knows SQL's lexical rules and no grammar, accepts any text, and ignores strings and comments.
 """
 
 from __future__ import annotations
 
 import re
 
-NAME = r'(?:[^\W\d][\w$]*|"(?:[^"]|"")+")'
-TOKEN = re.compile(
+_NAME_PATTERN = r'(?:[^\W\d][\w$]*|"(?:[^"]|"")+")'
+_TOKEN = re.compile(
     rf"""
     --[^\n]* | [eE]'(?:[^'\\]|\\.|'')*' | '(?:[^']|'')*' | \d\w*
   | (?P<comment>/\*)
   | (?P<dollar>\$(?:[^\W\d]\w*)?\$)
-  | (?P<name>{NAME}) (?P<dotted> \s*\.\s*{NAME} )*
+  | (?P<name>{_NAME_PATTERN}) (?P<dotted> \s*\.\s*{_NAME_PATTERN} )*
     """,
     re.VERBOSE | re.DOTALL,
 )
-NESTING = re.compile(r"/\*|\*/")
-NUMBERED = re.compile(r"_(\d+)$", re.ASCII)
-ASIDE = "staging"
+_COMMENT_MARK = re.compile(r"/\*|\*/")
+_NUMBER_SUFFIX = re.compile(r"_(\d+)$", re.ASCII)
 
 
 def table_group(text: str) -> int:
-    """The number in the name of the first schema that bears one; 0 where none does."""
-    at = 0
-    while token := TOKEN.search(text, at):
-        at, kind = token.end(), token.lastgroup
+    """Returns the number in the name of the first schema that has one; 0 where none does."""
+    position = 0
+    while token := _TOKEN.search(text, position):
+        position = token.end()
+        kind = token.lastgroup
         if kind == "dotted":
-            name = token["name"]
-            name = name[1:-1].replace('""', '"') if name.startswith('"') else name.lower()
-            number = NUMBERED.search(name)
-            if number and name != ASIDE:
+            number = _NUMBER_SUFFIX.search(_unquote(token["name"]))
+            if number:
                 return int(number[1])
         elif kind == "comment":
-            at = _comment_end(text, at)
+            position = _comment_end(text, position)
         elif kind == "dollar":
-            end = text.find(token[0], at)
-            at = len(text) if end < 0 else end + len(token[0])
+            end = text.find(token[0], position)
+            position = len(text) if end < 0 else end + len(token[0])
     return 0
 
 
-def _comment_end(text: str, at: int) -> int:  # comments nest
+def _unquote(name: str) -> str:
+    if name.startswith('"'):
+        return name[1:-1].replace('""', '"')
+    return name.lower()
+
+
+def _comment_end(text: str, position: int) -> int:
+    """Returns the offset behind the comment that was opened before `position`; comments nest."""
     depth = 1
     while depth:
-        mark = NESTING.search(text, at)
+        mark = _COMMENT_MARK.search(text, position)
         if mark is None:
             return len(text)
-        at, depth = mark.end(), depth + (1 if mark[0] == "/*" else -1)
-    return at
+        position = mark.end()
+        depth += 1 if mark[0] == "/*" else -1
+    return position
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -56,11 +56,11 @@
         )
         listing = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, 0.0), self.engine.address)]
         self.desk.post(self.desk.update_engines, listing, True)
-        self.front = ClientListener((HOST, 0), self.desk, deployment, BoundedSemaphore(200))
+        self.listener = ClientListener((HOST, 0), self.desk, deployment, BoundedSemaphore(200))
         gevent.sleep(0.05)
 
     def client(self) -> RpcClient:
-        return RpcClient(self.front.sock.getsockname())
+        return RpcClient(self.listener.sock.getsockname())
 
     def at_rest(self) -> bool:
         door = self.porter.door
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -23,7 +23,7 @@
 from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer, configuration, dns_answer
 from marbleworks.model import AttemptOutcome
 from marbleworks.net.actor import clock
-from marbleworks.net.client_listener import ClientSession
+from marbleworks.net.client_session import ClientSession
 from marbleworks.net.discovery import EngineDiscovery
 from marbleworks.net.engine_client import EngineClient
 from marbleworks.net.messages import AttemptCall
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -70,14 +70,14 @@
             for be, engine in enumerate(self.engines)
         ]
         self.desk.post(self.desk.update_engines, listing, True)
-        self.front = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(400))
+        self.listener = ClientListener((HOST, 0), self.desk, DEPLOYMENT, BoundedSemaphore(400))
         given = sections_of(f'(spool (folder "{folder}") (room 20 MB) (share 100 %))')["spool"] | terms
         self.chores = TaskRunner(0.5, 1e9, 1.0, lambda: False)
         self.keeper = SpoolService(given, 2.0, self.chores, disk)
-        self.front.result_store = self.keeper
+        self.listener.result_store = self.keeper
 
     def client(self) -> RpcClient:
-        return RpcClient(self.front.sock.getsockname())
+        return RpcClient(self.listener.sock.getsockname())
 
     def close(self) -> None:
         self.chores.stop()
@@ -119,7 +119,7 @@
 def test_unknown_released_foreign_and_expired_tokens_get_one_error(tmp_path: Path, monkeypatch: Any) -> None:
     router = Router(tmp_path, serving(PAGES[:2]), unread=0.4, keep=0.4)
     client = router.client()
-    monkeypatch.setitem(router.front.settings.tenant_index, "other", 1)
+    monkeypatch.setitem(router.listener.settings.tenant_index, "other", 1)
     gone, kept = spooled(client)[3][1]["spool"], spooled(client)[3][1]["spool"]
     page(client, gone, 1, method="release")
     errors = [
@@ -129,7 +129,7 @@
     gevent.sleep(0.5)
     errors += [page(client, kept, 1)[2], page(client, kept, 1, method="release")[2]]
     assert errors == [UNKNOWN] * 5
-    monkeypatch.delitem(router.front.settings.tenant_index, "other")
+    monkeypatch.delitem(router.listener.settings.tenant_index, "other")
     assert sum(router.keeper.ledger.held.values()) == 0
     router.close()
 
