--- a/marbleworks/cli/router.py
+++ b/marbleworks/cli/router.py
@@ -13,7 +13,7 @@
 from marbleworks.startup_signals import StartupSignals
 
 if TYPE_CHECKING:
-    from marbleworks.net.server import RouterConfig
+    from marbleworks.net.protocol import RouterConfig
     from marbleworks.subsystems.wiring import Subsystems
 
 CONFIG = typer.Option(
@@ -69,7 +69,7 @@
 
 
 def _read_config(path: str) -> RouterConfig:
-    from marbleworks.net.server import RouterConfig
+    from marbleworks.net.protocol import RouterConfig
 
     try:
         if not path:
