--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -169,11 +169,11 @@
 @budgets.command("show")
 def budgets_show(addresses: list[str] = ADDRESSES) -> None:
     """Print each budget: whole, held, used, free, unreachable, by router."""
-    from marbleworks.budgets.report import shown
+    from marbleworks.budgets.report import render
     from marbleworks.membership.report import HealthQueryError
 
     try:
-        for line in shown(addresses):
+        for line in render(addresses):
             typer.echo(line)
     except HealthQueryError as err:
         raise _say_and_exit(err) from None
--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -17,38 +17,44 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from marbleworks.budgets.budget_catalog import HIGHEST, Budget
-from marbleworks.budgets.codec import Answer, Entry, Grant, Report
-from marbleworks.budgets.fair_division import Need, divided
+from marbleworks.budgets.budget_catalog import MAX_BUDGET_UNITS, Budget
+from marbleworks.budgets.codec import BudgetAnswer, BudgetGrant, BudgetReport, BudgetUsage
+from marbleworks.budgets.fair_division import Demand, divide
 from marbleworks.membership.leader_election import DRIFT
 
-EVERY = 0.1  # seconds between divisions of one budget
-QUIET = 1.0  # seconds without a report after which a router's need counts no more
-MOST_BUDGETS = 4096
-SPARE_BUDGETS = 64  # beyond twice our own; then those are forgotten of which nothing is held
-MOST_SEEN = 7  # different wholes of one budget that are remembered
-LONG = 60.0  # seconds in which what a budget that we don't have has out ends for sure
+DIVISION_INTERVAL_S = 0.1  # seconds between divisions of one budget
+REPORT_TIMEOUT_S = 1.0  # seconds without a report after which a router's need counts no more
+MAX_BUDGETS = 4096
+MAX_FOREIGN_BUDGETS = 64  # beyond twice our own; then those are forgotten of which nothing is held
+MAX_KNOWN_TOTALS = 7  # different wholes of one budget that are remembered
+UNKNOWN_BUDGET_SETTLE_S = 60.0  # seconds in which what a budget that we don't have has out ends for sure
 
 
 @dataclass(eq=False, slots=True)
 class MemberAccount:
     """What one member has of one budget, beyond its base."""
 
-    held: int = 0  # by its last report
-    told: dict[int, int] = field(default_factory=dict)  # grants by serial that it may not have owned up to
-    serial: int = 0  # of the last grant, and ...
-    units: int = 0  # ... what it was
-    until: float = -math.inf  # it holds nothing from then on
-    token: int = -1  # of its last report
-    used: int = 0
-    base: int = 0
-    whole: int = 0
-    need: Need = field(default_factory=Need)
-    heard: float = -math.inf
+    held_units: int = 0  # by its last report
+    unconfirmed_grants: dict[int, int] = field(
+        default_factory=dict
+    )  # grants by serial that it may not have owned up to
+    grant_serial: int = 0  # of the last grant, and ...
+    granted_units: int = 0  # ... what it was
+    expires_at: float = -math.inf  # it holds nothing from then on
+    report_token: int = -1  # of its last report
+    used_units: int = 0
+    guaranteed_units: int = 0
+    reported_total: int = 0
+    demand: Demand = field(default_factory=Demand)
+    reported_at: float = -math.inf
 
     @property
-    def most(self) -> int:
-        return max(self.held, *self.told.values()) if self.told else self.held
+    def max_units(self) -> int:
+        return (
+            max(self.held_units, *self.unconfirmed_grants.values())
+            if self.unconfirmed_grants
+            else self.held_units
+        )
 
 
 @dataclass(eq=False, slots=True)
@@ -57,22 +63,24 @@
     after the end of a process in which what it had in use does. What is derived (whole, bases, total, shares)
     is worked out anew ten times a second, and when a report changes it."""
 
-    settle: float
-    quiet: float
-    seen: set[int]  # wholes that any router told
-    number: int = 0
-    whole: int = 0
-    bases: int = 0
-    total: int = 0  # of all accounts
+    settle_s: float
+    orphan_timeout_s: float
+    known_totals: set[int]  # wholes that any router told
+    budget_id: int = 0
+    total_units: int = 0
+    guaranteed_units: int = 0
+    committed_units: int = 0  # of all accounts
     accounts: dict[int, MemberAccount] = field(default_factory=dict)
-    old: list[MemberAccount] = field(default_factory=list)  # of processes that have been followed
-    owned_up: int = 0  # held by those who reported for the first time, of whom ...
-    over_at: float = -math.inf  # ... all that processes had which they have followed is over then
+    former_accounts: list[MemberAccount] = field(default_factory=list)  # of processes that have been followed
+    initially_held_units: int = 0  # held by those who reported for the first time, of whom ...
+    predecessors_settled_at: float = (
+        -math.inf
+    )  # ... all that processes had which they have followed is over then
     shares: dict[int, int] = field(default_factory=dict)
     divided_at: float = -math.inf
 
 
-class Members:
+class MemberPolicy:
     """Whose accounts these are: processes of routers, each with a base that it always may use. count: of them
     by the settings; kept: part of a whole of which each has an even share; shares: of those, if more than
     there are members here.
@@ -81,86 +89,86 @@
     book's `quiet`; its account lasts that long beside the new one's."""
 
     def __init__(self, count: int, kept: float, shares: int = 0) -> None:
-        self.count, self.kept, self.shares = count, kept, shares or count
+        self.member_count, self.guaranteed_ratio, self.share_count = count, kept, shares or count
 
-    def base(self, whole: int) -> int:
+    def guaranteed_units(self, whole: int) -> int:
         """Units that one router always may use."""
-        return int(self.kept * whole) // self.shares
+        return int(self.guaranteed_ratio * whole) // self.share_count
 
-    def largest(self, book: BudgetAllocation) -> int:
+    def max_unreported_guarantee(self, book: BudgetAllocation) -> int:
         """The largest base that one of those may have who have not told theirs."""
-        return max(self.base(whole) for whole in book.seen)
+        return max(self.guaranteed_units(whole) for whole in book.known_totals)
 
-    def bases(self, book: BudgetAllocation) -> int:
+    def all_guaranteed_units(self, book: BudgetAllocation) -> int:
         """Units of all bases: as told, and for those that have not told theirs the most that it may be."""
-        told = sum(account.base for account in book.accounts.values())
-        return told + self.largest(book) * (self.count - len(book.accounts))
+        told = sum(account.guaranteed_units for account in book.accounts.values())
+        return told + self.max_unreported_guarantee(book) * (self.member_count - len(book.accounts))
 
-    def beyond(self, whole: int) -> int:
+    def leasable_units(self, whole: int) -> int:
         """Units of a whole that are divided beyond all bases."""
-        return whole - self.shares * self.base(whole)
+        return whole - self.share_count * self.guaranteed_units(whole)
 
-    def seen(self, entry: Entry) -> tuple[int, int]:
+    def observed_use(self, entry: BudgetUsage) -> tuple[int, int]:
         """Units that a member was seen to use, and those of them that its base covers."""
-        return entry.used, entry.base
+        return entry.used_units, entry.guaranteed_units
 
-    def unsure(self, report: Report) -> bool:
+    def is_use_unknown(self, report: BudgetReport) -> bool:
         """Whether the member doesn't know itself what it may have out."""
         return False
 
-    def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
+    def predecessor_settled_at(self, book: BudgetAllocation, lease: float, now: float) -> float:
         """When all is over that a member had which is followed by another at `now`."""
-        return now + book.quiet * (1 + DRIFT)
+        return now + book.orphan_timeout_s * (1 + DRIFT)
 
-    def over_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
+    def predecessors_settled_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
         """When all is over that those had whom a member has followed which is that old."""
-        return self.ended(book, lease, now) - age * (1 - DRIFT)
+        return self.predecessor_settled_at(book, lease, now) - age * (1 - DRIFT)
 
-    def follow(
+    def on_new_incarnation(
         self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
     ) -> None:
         """Another of a name begins. before: the earlier one has told us of itself."""
-        if before and account.most and now < account.until:
-            gone = MemberAccount(account.held, dict(account.told))
-            gone.until = min(account.until, self.ended(book, lease, now))
-            book.old.append(gone)
-        account.held = account.units = account.serial = 0
-        account.told.clear()
-        account.token, account.need = -1, Need()
+        if before and account.max_units and now < account.expires_at:
+            gone = MemberAccount(account.held_units, dict(account.unconfirmed_grants))
+            gone.expires_at = min(account.expires_at, self.predecessor_settled_at(book, lease, now))
+            book.former_accounts.append(gone)
+        account.held_units = account.granted_units = account.grant_serial = 0
+        account.unconfirmed_grants.clear()
+        account.report_token, account.demand = -1, Demand()
 
 
-class Backing:
+class BudgetSource:
     """What there is to divide: the whole, by the operator's file."""
 
-    def units(self, book: BudgetAllocation, now: float) -> int:
+    def leasable_units(self, book: BudgetAllocation, now: float) -> int:
         """Beyond all bases."""
-        return book.whole - book.bases
+        return book.total_units - book.guaranteed_units
 
-    def agreed(self, book: BudgetAllocation) -> int:
+    def agreed_total(self, book: BudgetAllocation) -> int:
         """The whole that no base may be larger for."""
-        return book.whole
+        return book.total_units
 
-    def renews(self, book: BudgetAllocation, now: float) -> bool:
+    def can_renew(self, book: BudgetAllocation, now: float) -> bool:
         """Whether a part may be given, or given for longer."""
         return True
 
-    def before(self, book: BudgetAllocation, members: Members) -> int:
+    def max_earlier_grants(self, book: BudgetAllocation, members: MemberPolicy) -> int:
         """The most that whoever divided before us may have given out."""
-        return max(members.beyond(whole) for whole in book.seen)
+        return max(members.leasable_units(whole) for whole in book.known_totals)
 
 
 @dataclass(frozen=True, slots=True)
-class Sums:
+class AllocationSummary:
     """One budget, all members together, as the level above is told of it. total: units beyond bases by all
     accounts; unknown: that those may have besides who have not told; used, wanted: beyond bases; worth: of a
     unit that is wanted, the mean; base: the largest that one router of them may have."""
 
-    total: int
-    unknown: int
-    used: int
-    wanted: int
-    worth: float
-    base: int
+    committed_units: int
+    unreported_units: int
+    used_units: int
+    wanted_units: int
+    priority_weight: float
+    max_guaranteed_units: int
 
 
 class AllocationLedger:
@@ -177,193 +185,244 @@
         lease: float,
         now: float,
         seen: Mapping[int, set[int]] = MappingProxyType({}),
-        members: Members | None = None,
-        backing: Backing | None = None,
+        members: MemberPolicy | None = None,
+        backing: BudgetSource | None = None,
     ) -> None:
-        self.me, self.count, self.start, self.reign = me, count, start, reign
-        self.lease, self.began, self.seen = lease, now, seen
-        self.members, self.backing = members or Members(count, kept), backing or Backing()
-        self.books: dict[int, BudgetAllocation] = {}
-        self.wholes: dict[int, Budget] = {}
-        self.starts: dict[int, int] = {}
-        self.versions: dict[int, tuple[int, int]] = {}  # by router: of its file
-        self.leaving: set[int] = set()
-        self.serials = 0
-
-    def planned(self, wholes: list[Budget]) -> None:
+        self.member_index, self.member_count, self.incarnation, self.term = me, count, start, reign
+        self.lease_s, self.started_at, self.known_totals = lease, now, seen
+        self.member_policy, self.source = members or MemberPolicy(count, kept), backing or BudgetSource()
+        self.allocations: dict[int, BudgetAllocation] = {}
+        self.budgets: dict[int, Budget] = {}
+        self.incarnations: dict[int, int] = {}
+        self.config_versions: dict[int, tuple[int, int]] = {}  # by router: of its file
+        self.leaving_members: set[int] = set()
+        self.last_serial = 0
+
+    def set_budgets(self, wholes: list[Budget]) -> None:
         """By our own file, now."""
-        self.wholes = {whole.number: whole for whole in wholes}
-        for number, book in self.books.items():
-            if number in self.wholes:
-                own = self.wholes[number]
-                book.seen.add(own.units)
-                book.settle, book.quiet = own.settle, own.quiet
+        self.budgets = {whole.budget_id: whole for whole in wholes}
+        for number, book in self.allocations.items():
+            if number in self.budgets:
+                own = self.budgets[number]
+                book.known_totals.add(own.units)
+                book.settle_s, book.orphan_timeout_s = own.settle_s, own.orphan_timeout_s
             book.divided_at = -math.inf
 
     # What is free.
 
-    def _work_out(self, number: int, book: BudgetAllocation, now: float) -> None:
+    def _refresh(self, number: int, book: BudgetAllocation, now: float) -> None:
         """Forgets what has run out. The whole is the smallest that any router tells that is there: a smaller
         one holds as soon as one tells it, a larger once all do."""
-        book.old = [a for a in book.old if now < a.until]
+        book.former_accounts = [a for a in book.former_accounts if now < a.expires_at]
         for account in book.accounts.values():
-            if now >= account.until:
-                account.held = account.units = account.serial = 0
-                account.told.clear()
-        wholes = [a.whole for a in book.accounts.values() if now < a.heard + QUIET]
-        own = self.wholes.get(number)
-        book.whole = min([*wholes, own.units] if own is not None else wholes, default=book.whole)
-        book.bases = self.members.bases(book)
-        book.total = sum(a.most for a in book.accounts.values()) + sum(a.most for a in book.old)
-
-    def _unknown(self, book: BudgetAllocation, now: float) -> int:
+            if now >= account.expires_at:
+                account.held_units = account.granted_units = account.grant_serial = 0
+                account.unconfirmed_grants.clear()
+        wholes = [a.reported_total for a in book.accounts.values() if now < a.reported_at + REPORT_TIMEOUT_S]
+        own = self.budgets.get(number)
+        book.total_units = min([*wholes, own.units] if own is not None else wholes, default=book.total_units)
+        book.guaranteed_units = self.member_policy.all_guaranteed_units(book)
+        book.committed_units = sum(a.max_units for a in book.accounts.values()) + sum(
+            a.max_units for a in book.former_accounts
+        )
+
+    def _unreported_units(self, book: BudgetAllocation, now: float) -> int:
         """What those may hold who have not reported since we began: no more than the one before us divided,
         less what the others own up to; nothing once it must have run out."""
-        if now >= self._settled(book, self.began):
+        if now >= self._settled_at(book, self.started_at):
             return 0
-        if len(book.accounts) == self.count and now >= book.over_at:
+        if len(book.accounts) == self.member_count and now >= book.predecessors_settled_at:
             return 0  # all have told, for themselves and for those that they have followed
-        return max(self.backing.before(book, self.members) - book.owned_up, 0)
+        return max(self.source.max_earlier_grants(book, self.member_policy) - book.initially_held_units, 0)
 
-    def _settled(self, book: BudgetAllocation, now: float) -> float:
+    def _settled_at(self, book: BudgetAllocation, now: float) -> float:
         """When all has ended that is given by then and not renewed."""
-        return now + (self.lease + book.settle) * (1 + DRIFT)
-
-    def free(self, book: BudgetAllocation, now: float) -> int:
-        return self.backing.units(book, now) - self._unknown(book, now) - book.total
-
-    def sums(self, book: BudgetAllocation, now: float) -> Sums:
-        self._work_out(book.number, book, now)
-        there = [a for a in book.accounts.values() if now < a.heard + QUIET]
-        wants = [(max(a.need.units - a.need.base, 0.0), a.need.worth) for a in there]
+        return now + (self.lease_s + book.settle_s) * (1 + DRIFT)
+
+    def free_units(self, book: BudgetAllocation, now: float) -> int:
+        return (
+            self.source.leasable_units(book, now) - self._unreported_units(book, now) - book.committed_units
+        )
+
+    def summarize(self, book: BudgetAllocation, now: float) -> AllocationSummary:
+        self._refresh(book.budget_id, book, now)
+        there = [a for a in book.accounts.values() if now < a.reported_at + REPORT_TIMEOUT_S]
+        wants = [
+            (max(a.demand.units - a.demand.guaranteed_units, 0.0), a.demand.priority_weight) for a in there
+        ]
         wanted = sum(units for units, _ in wants)
         worth = sum(units * worth for units, worth in wants) / wanted if wanted else 1.0
-        agreed = self.members.base(self.backing.agreed(book))
-        absent = self.members.largest(book) if len(book.accounts) < self.count else 0
-        base = max([agreed, absent, *(a.base for a in book.accounts.values())])
-        used = sum(max(a.used - a.need.base, 0) for a in there)
-        return Sums(book.total, self._unknown(book, now), used, math.ceil(wanted), worth, base)
+        agreed = self.member_policy.guaranteed_units(self.source.agreed_total(book))
+        absent = (
+            self.member_policy.max_unreported_guarantee(book) if len(book.accounts) < self.member_count else 0
+        )
+        base = max([agreed, absent, *(a.guaranteed_units for a in book.accounts.values())])
+        used = sum(max(a.used_units - a.demand.guaranteed_units, 0) for a in there)
+        return AllocationSummary(
+            book.committed_units, self._unreported_units(book, now), used, math.ceil(wanted), worth, base
+        )
 
     # What is heard, and said.
 
-    def reported(self, by: int, report: Report, now: float) -> Answer | None:
+    def handle_report(self, by: int, report: BudgetReport, now: float) -> BudgetAnswer | None:
         """What is given to a router; None where nothing is said, to one that is old or not meant for us."""
-        if not 0 <= by < self.count or report.start < max(self.starts.get(by, 0), 1):
+        if not 0 <= by < self.member_count or report.incarnation < max(self.incarnations.get(by, 0), 1):
             return None
-        if not self.wholes:
+        if not self.budgets:
             return None  # we don't know yet how long anything takes to end
-        if report.to_start != self.start or report.reign != self.reign:
+        if report.leader_incarnation != self.incarnation or report.leader_term != self.term:
             # It learns which right this is, and hears no older answer from then on; then it counts.
-            return Answer(self.start, self.reign, report.token, ()) if report.to_start == self.start else None
-        if report.start > self.starts.get(by, 0):
-            self._began_anew(by, report.start, now)
-        self.versions[by] = report.version, report.digest
-        grants = [self._entry(by, report, entry, now) for entry in report.entries]
+            return (
+                BudgetAnswer(self.incarnation, self.term, report.token, ())
+                if report.leader_incarnation == self.incarnation
+                else None
+            )
+        if report.incarnation > self.incarnations.get(by, 0):
+            self._on_new_incarnation(by, report.incarnation, now)
+        self.config_versions[by] = report.config_version, report.config_digest
+        grants = [self._entry(by, report, entry, now) for entry in report.usages]
         told = tuple(grant for grant in grants if grant is not None)
-        return Answer(self.start, self.reign, report.token, told)
+        return BudgetAnswer(self.incarnation, self.term, report.token, told)
 
-    def _began_anew(self, by: int, start: int, now: float) -> None:
+    def _on_new_incarnation(self, by: int, start: int, now: float) -> None:
         """Another process of its name: what the one before has out ends without it."""
-        before, self.starts[by] = by in self.starts, start
-        self.leaving.discard(by)
-        for book in self.books.values():
+        before, self.incarnations[by] = by in self.incarnations, start
+        self.leaving_members.discard(by)
+        for book in self.allocations.values():
             account = book.accounts.get(by)
             if account is not None:
-                self.members.follow(book, account, before, self.lease, now)
+                self.member_policy.on_new_incarnation(book, account, before, self.lease_s, now)
 
-    def _entry(self, by: int, report: Report, e: Entry, now: float) -> Grant | None:
+    def _entry(self, by: int, report: BudgetReport, e: BudgetUsage, now: float) -> BudgetGrant | None:
         token = report.token
-        if not 0 < e.whole <= HIGHEST or max(e.held, e.used, e.want, e.base, e.had) > HIGHEST:
+        if (
+            not 0 < e.total_units <= MAX_BUDGET_UNITS
+            or max(e.held_units, e.used_units, e.wanted_units, e.guaranteed_units, e.held_or_lapsed_units)
+            > MAX_BUDGET_UNITS
+        ):
             return None
-        book = self.books.get(e.number)
+        book = self.allocations.get(e.budget_id)
         if book is None:
-            if len(self.books) > SPARE_BUDGETS + 2 * len(self.wholes):  # of engines that have gone, mostly
-                self.books = {n: b for n, b in self.books.items() if n in self.wholes or b.total}
-            if len(self.books) >= MOST_BUDGETS:
+            if len(self.allocations) > MAX_FOREIGN_BUDGETS + 2 * len(
+                self.budgets
+            ):  # of engines that have gone, mostly
+                self.allocations = {
+                    n: b for n, b in self.allocations.items() if n in self.budgets or b.committed_units
+                }
+            if len(self.allocations) >= MAX_BUDGETS:
                 return None
-            own = self.wholes.get(e.number)
-            seen = {e.whole, *self.seen.get(e.number, ()), *([own.units] if own is not None else ())}
-            times = (own.settle, own.quiet) if own is not None else (LONG, LONG)
-            book = self.books[e.number] = BudgetAllocation(*times, seen)
-            book.number = e.number
-        account, unsure, members = book.accounts.get(by), self.members.unsure(report), self.members
+            own = self.budgets.get(e.budget_id)
+            seen = {
+                e.total_units,
+                *self.known_totals.get(e.budget_id, ()),
+                *([own.units] if own is not None else ()),
+            }
+            times = (
+                (own.settle_s, own.orphan_timeout_s)
+                if own is not None
+                else (UNKNOWN_BUDGET_SETTLE_S, UNKNOWN_BUDGET_SETTLE_S)
+            )
+            book = self.allocations[e.budget_id] = BudgetAllocation(*times, seen)
+            book.budget_id = e.budget_id
+        account, unsure, members = (
+            book.accounts.get(by),
+            self.member_policy.is_use_unknown(report),
+            self.member_policy,
+        )
         if account is None:
-            if unsure and now < self._settled(book, self.began):
+            if unsure and now < self._settled_at(book, self.started_at):
                 return None  # neither of us knows what it may have out
             account = book.accounts[by] = MemberAccount()
-            account.until = self._settled(book, now)
-            book.owned_up += max(e.held, e.had)
-            over_at = members.over_at(book, self.lease, report.age / 1000.0, now)
-            book.over_at = max(book.over_at, over_at)
+            account.expires_at = self._settled_at(book, now)
+            book.initially_held_units += max(e.held_units, e.held_or_lapsed_units)
+            over_at = members.predecessors_settled_at(book, self.lease_s, report.age_ms / 1000.0, now)
+            book.predecessors_settled_at = max(book.predecessors_settled_at, over_at)
             book.divided_at = -math.inf
-        elif account.token >= 0 and not 0 < (token - account.token) & 0xFFFFFF < 1 << 23:
+        elif account.report_token >= 0 and not 0 < (token - account.report_token) & 0xFFFFFF < 1 << 23:
             return None  # late or double
-        if (e.whole, e.base) != (account.whole, account.base) or e.whole not in book.seen:
-            book.seen = {*sorted(book.seen)[-MOST_SEEN:], e.whole}
+        if (e.total_units, e.guaranteed_units) != (
+            account.reported_total,
+            account.guaranteed_units,
+        ) or e.total_units not in book.known_totals:
+            book.known_totals = {*sorted(book.known_totals)[-MAX_KNOWN_TOTALS:], e.total_units}
             book.divided_at = -math.inf
-        renews = self.backing.renews(book, now)
-        if not renews and now >= account.until:
-            account.units = account.serial = 0
-            account.told.clear()
-        if renews or now >= account.until:
-            account.until = self._settled(book, now)
-        before = account.most
-        account.token, account.heard = token, now
-        account.used, account.base, account.whole = e.used, e.base, e.whole
-        account.held = max(e.held, before) if unsure else e.held
-        account.told = {serial: units for serial, units in account.told.items() if serial > e.serial}
-        used, covered = members.seen(e)
-        account.need.heard(used, covered, e.held, e.want, e.worth, now)
-        book.total += account.most - before
-        if now >= book.divided_at + EVERY:
-            self._divide(e.number, book, now)
+        renews = self.source.can_renew(book, now)
+        if not renews and now >= account.expires_at:
+            account.granted_units = account.grant_serial = 0
+            account.unconfirmed_grants.clear()
+        if renews or now >= account.expires_at:
+            account.expires_at = self._settled_at(book, now)
+        before = account.max_units
+        account.report_token, account.reported_at = token, now
+        account.used_units, account.guaranteed_units, account.reported_total = (
+            e.used_units,
+            e.guaranteed_units,
+            e.total_units,
+        )
+        account.held_units = max(e.held_units, before) if unsure else e.held_units
+        account.unconfirmed_grants = {
+            serial: units for serial, units in account.unconfirmed_grants.items() if serial > e.grant_serial
+        }
+        used, covered = members.observed_use(e)
+        account.demand.update(used, covered, e.held_units, e.wanted_units, e.priority_weight, now)
+        book.committed_units += account.max_units - before
+        if now >= book.divided_at + DIVISION_INTERVAL_S:
+            self._divide(e.budget_id, book, now)
         if not renews:
             return None  # its part runs out, and so do its commands beyond its base
-        before = account.most
-        units = max(min(book.shares.get(by, 0), self.free(book, now) + before), 0) if not unsure else before
-        lapsed = e.serial == account.serial and e.held < account.units  # it has given up what we gave
-        if units != account.units or not account.serial or lapsed:
-            self.serials += 1
-            account.serial, account.units = self.serials, units
-        account.told[account.serial] = units
-        agreed = self.backing.agreed(book)
-        base = members.base(min(agreed, e.whole))
-        if base > account.base:
-            account.base = base  # it may use that as soon as it hears us
-            book.bases = members.bases(book)
-        book.total += account.most - before
-        return Grant(e.number, account.serial, units, agreed)
+        before = account.max_units
+        units = (
+            max(min(book.shares.get(by, 0), self.free_units(book, now) + before), 0) if not unsure else before
+        )
+        lapsed = (
+            e.grant_serial == account.grant_serial and e.held_units < account.granted_units
+        )  # it has given up what we gave
+        if units != account.granted_units or not account.grant_serial or lapsed:
+            self.last_serial += 1
+            account.grant_serial, account.granted_units = self.last_serial, units
+        account.unconfirmed_grants[account.grant_serial] = units
+        agreed = self.source.agreed_total(book)
+        base = members.guaranteed_units(min(agreed, e.total_units))
+        if base > account.guaranteed_units:
+            account.guaranteed_units = base  # it may use that as soon as it hears us
+            book.guaranteed_units = members.all_guaranteed_units(book)
+        book.committed_units += account.max_units - before
+        return BudgetGrant(e.budget_id, account.grant_serial, units, agreed)
 
     def _divide(self, number: int, book: BudgetAllocation, now: float) -> None:
-        self._work_out(number, book, now)
+        self._refresh(number, book, now)
         needs = {
-            n: a.need for n, a in book.accounts.items() if now < a.heard + QUIET and n not in self.leaving
+            n: a.demand
+            for n, a in book.accounts.items()
+            if now < a.reported_at + REPORT_TIMEOUT_S and n not in self.leaving_members
         }
-        book.shares = divided(max(self.backing.units(book, now), 0), needs, number, book.shares)
+        book.shares = divide(max(self.source.leasable_units(book, now), 0), needs, number, book.shares)
         book.divided_at = now
 
     # For whoever looks.
 
-    def disagree(self) -> list[int]:
+    def disagreeing_members(self) -> list[int]:
         """Routers whose file says something else than most files do, or has another version."""
-        told = list(self.versions.values())
+        told = list(self.config_versions.values())
         usual = max(sorted(set(told)), key=told.count, default=(0, 0))
-        return sorted(n for n, version in self.versions.items() if version != usual)
+        return sorted(n for n, version in self.config_versions.items() if version != usual)
 
-    def shown(self, now: float) -> dict[int, dict[str, int]]:
+    def snapshots(self, now: float) -> dict[int, dict[str, int]]:
         """By budget: whole, bases, held, used, free, not known, unreachable, and what each member has."""
         rows = {}
-        for number, book in self.books.items():
-            self._work_out(number, book, now)
-            quiet = [a for a in book.accounts.values() if now >= a.heard + QUIET]
+        for number, book in self.allocations.items():
+            self._refresh(number, book, now)
+            quiet = [a for a in book.accounts.values() if now >= a.reported_at + REPORT_TIMEOUT_S]
             row = {
-                "whole": book.whole,
-                "bases": book.bases,
-                "held": book.total,
-                "used": sum(a.used for a in book.accounts.values() if now < a.heard + QUIET),
-                "free": self.free(book, now),
-                "unknown": self._unknown(book, now),
-                "unreachable": sum(a.most for a in [*quiet, *book.old]),
+                "whole": book.total_units,
+                "bases": book.guaranteed_units,
+                "held": book.committed_units,
+                "used": sum(
+                    a.used_units for a in book.accounts.values() if now < a.reported_at + REPORT_TIMEOUT_S
+                ),
+                "free": self.free_units(book, now),
+                "unknown": self._unreported_units(book, now),
+                "unreachable": sum(a.max_units for a in [*quiet, *book.former_accounts]),
             }
-            rows[number] = row | {f"held {n}": a.most for n, a in sorted(book.accounts.items())}
+            rows[number] = row | {f"held {n}": a.max_units for n, a in sorted(book.accounts.items())}
         return rows
--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -7,7 +7,7 @@
 from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 
-def _fit(budget: dict[str, Any]) -> str | None:
+def _check_scope(budget: dict[str, Any]) -> str | None:
     if bool(budget["out"]) == bool(budget["rate"]):
         return "either 'out' or 'rate'"
     if not budget["profile"] and not budget["tenant"]:
@@ -15,7 +15,7 @@
     return None
 
 
-BUDGETS = Section(
+BUDGETS_SECTION = Section(
     "budgets",
     "budgets of the whole fleet, divided among routers by need",
     (
@@ -78,7 +78,7 @@
             "Commands out, or commands a second, of a profile or a tenant.",
             live=True,
             by="budget",
-            fit=_fit,
+            fit=_check_scope,
             inner=(
                 Setting("profile", ValueType.TEXT, "", ""),
                 Setting("tenant", ValueType.TEXT, "", ""),
--- a/marbleworks/budgets/report.py
+++ b/marbleworks/budgets/report.py
@@ -10,11 +10,11 @@
 
 from marbleworks.membership.report import HealthQueryError, aligned, asked
 
-OWN = ("budget", "whole", "base", "part", "used", "holds for")
-BOOKS = ("budget", "whole", "held", "used", "free", "unreachable", "by router")
+ROUTER_COLUMNS = ("budget", "whole", "base", "part", "used", "holds for")
+LEDGER_COLUMNS = ("budget", "whole", "held", "used", "free", "unreachable", "by router")
 
 
-def shown(addresses: list[str]) -> Iterator[str]:
+def render(addresses: list[str]) -> Iterator[str]:
     """Lines for each router asked, the books last; raises Unasked where none answers."""
     views: list[dict[str, Any]] = []
     for address in addresses:
@@ -29,11 +29,11 @@
             f"router {view['me']}: version {view['version']}, asks router {view['divider']};"
             f" refused {view['refused']}, called off {view['called off']}"
         )
-        yield from aligned(OWN, view["rows"])
+        yield from aligned(ROUTER_COLUMNS, view["rows"])
         yield ""
     books = [view for view in views if view["divides"] == "yes"]
     for view in books:
         yield f"the books of router {view['me']}:"
-        yield from aligned(BOOKS, view["books"])
+        yield from aligned(LEDGER_COLUMNS, view["books"])
     if not books:
         yield f"none of these divides; router {views[0]['divider']} does, or nobody"
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -16,14 +16,14 @@
 
 from marbleworks.budgets.allocation_ledger import (
     AllocationLedger,
-    Backing,
+    AllocationSummary,
     BudgetAllocation,
+    BudgetSource,
     MemberAccount,
-    Members,
-    Sums,
+    MemberPolicy,
 )
-from marbleworks.budgets.budget_catalog import HIGHEST, Budget
-from marbleworks.budgets.codec import FORMAT, Answer, Entry, Report
+from marbleworks.budgets.budget_catalog import MAX_BUDGET_UNITS, Budget
+from marbleworks.budgets.codec import FORMAT, BudgetAnswer, BudgetReport, BudgetUsage
 from marbleworks.budgets.codec import decode as decode_budgets
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.membership.codec import count, read_strictly, seal, unseal
@@ -56,7 +56,7 @@
     epoch: int
 
 
-Said = Hello | Welcome | Report | Answer
+Said = Hello | Welcome | BudgetReport | BudgetAnswer
 
 
 def encode_hello(group: int, h: Hello) -> bytes:
@@ -81,43 +81,43 @@
 def lifted(whole: Budget, lease: float) -> Budget:
     """A budget as the level above has it. lease: of the level below, whose parts may be given until a cell's
     own lease ends, and so hold for another of theirs, and what is out beyond them for `settle` more."""
-    return replace(whole, settle=whole.settle + lease)
+    return replace(whole, settle_s=whole.settle_s + lease)
 
 
-class Places(Members):
+class Places(MemberPolicy):
     """Routers in the places of one cell. shares: routers that the fleet may have at the most; each has an
     even share of what is kept, in whichever cell it is, so that no plan moves a base.
 
     One that is followed in its place may live on in another cell: its parts run out by their leases."""
 
-    def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
-        return now + (lease + book.settle) * (1 + DRIFT)
+    def predecessor_settled_at(self, book: BudgetAllocation, lease: float, now: float) -> float:
+        return now + (lease + book.settle_s) * (1 + DRIFT)
 
 
-class Cells(Members):
+class Cells(MemberPolicy):
     """Cells, or regions: they tell what is beyond the bases of their routers, and the largest of these."""
 
-    def bases(self, book: BudgetAllocation) -> int:
-        told = [account.base for account in book.accounts.values()]
-        unknown = self.largest(book) if len(told) < self.count else 0
-        return self.shares * max([unknown, *told])
+    def all_guaranteed_units(self, book: BudgetAllocation) -> int:
+        told = [account.guaranteed_units for account in book.accounts.values()]
+        unknown = self.max_unreported_guarantee(book) if len(told) < self.member_count else 0
+        return self.share_count * max([unknown, *told])
 
-    def seen(self, entry: Entry) -> tuple[int, int]:
+    def observed_use(self, entry: BudgetUsage) -> tuple[int, int]:
         """What a cell wants is what its books believe of its routers. To doubt it by what is used, again,
         makes parts swing: a cell needs a while until its routers use what it is given."""
-        return max(entry.used, entry.want), 0
+        return max(entry.used_units, entry.wanted_units), 0
 
-    def unsure(self, report: Report) -> bool:
-        return report.age == 0
+    def is_use_unknown(self, report: BudgetReport) -> bool:
+        return report.age_ms == 0
 
-    def over_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
+    def predecessors_settled_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
         return now  # who tells for a cell tells for all that were ever in it
 
-    def follow(
+    def on_new_incarnation(
         self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
     ) -> None:
         """Another leader, the same cell: what it was given, its routers may have."""
-        account.token = -1
+        account.report_token = -1
 
 
 class BudgetLeaseGranter:
@@ -135,7 +135,7 @@
         lease: float,
         now: float,
         seen: Mapping[int, set[int]] = MappingProxyType({}),
-        backing: Backing | None = None,
+        backing: BudgetSource | None = None,
     ) -> None:
         members = Cells(count, kept, shares)
         self.ledger = AllocationLedger(me, count, start, reign, kept, lease, now, seen, members, backing)
@@ -145,19 +145,19 @@
     def hello(self, h: Hello) -> Welcome | None:
         """The one that asked last is a cell's leader. One that is late has lost its cell's right, and does
         nothing with what it hears; the leader that there is asks again."""
-        if not 0 <= h.cell < self.ledger.count:
+        if not 0 <= h.cell < self.ledger.member_count:
             return None
         leader = (h.router, h.start, h.reign)
         if self.leaders.get(h.cell) != leader:
             self.leaders[h.cell] = leader
             self.epochs[h.cell] = self.epochs.get(h.cell, 0) + 1
-        return Welcome(self.ledger.start, self.ledger.reign, h.token, self.epochs[h.cell])
+        return Welcome(self.ledger.incarnation, self.ledger.term, h.token, self.epochs[h.cell])
 
-    def reported(self, cell: int, report: Report, now: float) -> Answer | None:
+    def reported(self, cell: int, report: BudgetReport, now: float) -> BudgetAnswer | None:
         """None to a leader that another has followed: what it says of its cell is old."""
-        if report.start != self.epochs.get(cell):
+        if report.incarnation != self.epochs.get(cell):
             return None
-        return self.ledger.reported(cell, report, now)
+        return self.ledger.handle_report(cell, report, now)
 
 
 @dataclass(eq=False, slots=True)
@@ -169,21 +169,21 @@
     uses: int = 0
     wants: int = 0
 
-    def used(self, now: float) -> int:
+    def used_units(self, now: float) -> int:
         return self.uses
 
-    def held(self, now: float) -> int:
-        return max(self.part(now), self.out)
+    def held_units(self, now: float) -> int:
+        return max(self.valid_lease_units(now), self.in_flight)
 
-    def wanted(self, now: float, since: float, share: int) -> int:
+    def estimate_demand(self, now: float, since: float, share: int) -> int:
         return self.wants
 
 
-class BudgetLeaseHolder(LocalBudgets, Backing):
+class BudgetLeaseHolder(LocalBudgets, BudgetSource):
     """Made with each right over a cell. leader: us, as `Hello` says it. asked: the machines of the level
     above. lease: of that level; below: of our own parts."""
 
-    POCKET = Lease
+    BUDGET_TYPE = Lease
 
     def __init__(self, cell: int, leader: tuple[int, int, int], above: int, lease: float, now: float) -> None:
         LocalBudgets.__init__(self, cell, 1, 0.0, lease, now)
@@ -194,35 +194,35 @@
 
     # As our own books see it.
 
-    def units(self, book: BudgetAllocation, now: float) -> int:
-        pocket = self.pockets.get(book.number)
-        return pocket.part(now) if pocket is not None else 0
+    def leasable_units(self, book: BudgetAllocation, now: float) -> int:
+        pocket = self.budgets.get(book.budget_id)
+        return pocket.valid_lease_units(now) if pocket is not None else 0
 
-    def agreed(self, book: BudgetAllocation) -> int:
-        pocket = self.pockets.get(book.number)
-        return min(book.whole, pocket.agreed) if pocket is not None else book.whole
+    def agreed_total(self, book: BudgetAllocation) -> int:
+        pocket = self.budgets.get(book.budget_id)
+        return min(book.total_units, pocket.agreed_total) if pocket is not None else book.total_units
 
-    def renews(self, book: BudgetAllocation, now: float) -> bool:
+    def can_renew(self, book: BudgetAllocation, now: float) -> bool:
         """Not beyond our own lease: what is out by then ends before the level above counts on it."""
-        pocket = self.pockets.get(book.number)
-        return pocket is not None and now < pocket.until
+        pocket = self.budgets.get(book.budget_id)
+        return pocket is not None and now < pocket.lease_expires_at
 
-    def before(self, book: BudgetAllocation, members: Members) -> int:
+    def max_earlier_grants(self, book: BudgetAllocation, members: MemberPolicy) -> int:
         """All that the cell was leased may be out, until its routers have told what they hold."""
-        return self.left.get(book.number, HIGHEST)
+        return self.left.get(book.budget_id, MAX_BUDGET_UNITS)
 
     # As the level above sees it.
 
-    def tells(self, now: float) -> list[tuple[int, Hello | Report]]:
+    def tells(self, now: float) -> list[tuple[int, Hello | BudgetReport]]:
         """What is said, and to which machine: reports to the one with the right, or a question for it to each
         in turn."""
         if not self.epoch or now >= self.heard_at + SILENT:
             if now < self.asked_at + ASKS:
                 return []
             self.asked_at, self.turn, self.nonce = now, (self.turn + 1) % self.above, self.nonce + 1
-            return [(self.turn, Hello(self.me, *self.leader, self._nonce()))]
+            return [(self.turn, Hello(self.router_index, *self.leader, self._nonce()))]
         self._sum(now)
-        return [(self.heeded[0], r) for r in self.reports(*self.heeded, self.epoch, now)]
+        return [(self.granter[0], r) for r in self.make_reports(*self.granter, self.epoch, now)]
 
     def _nonce(self) -> int:
         """What no answer to an earlier right of ours carries."""
@@ -233,44 +233,48 @@
         """What our books have, beyond bases; of budgets that our file has."""
         if self.books is None:
             return
-        told = dict[int, Sums]()
-        for number, book in self.books.books.items():
-            if number in self.books.wholes:
-                told[number] = self.books.sums(book, now)
-        wholes = [replace(self.books.wholes[n], units=self.books.books[n].whole) for n in told]
-        self.planned([lifted(whole, self.books.lease) for whole in wholes], now)
+        told = dict[int, AllocationSummary]()
+        for number, book in self.books.allocations.items():
+            if number in self.books.budgets:
+                told[number] = self.books.summarize(book, now)
+        wholes = [replace(self.books.budgets[n], units=self.books.allocations[n].total_units) for n in told]
+        self.set_budgets([lifted(whole, self.books.lease_s) for whole in wholes], now)
         for number, sums in told.items():
-            pocket = self.pockets[number]
+            pocket = self.budgets[number]
             assert isinstance(pocket, Lease)
             # What leaders before us gave out is in the cell's account, or in that of nobody above yet.
-            pocket.sure = number in self.left or sums.unknown == 0
-            pocket.out = sums.total + (sums.unknown if pocket.sure else 0)
-            pocket.uses, pocket.wants, pocket.base = sums.used, sums.wanted, sums.base
-            pocket.waiting, pocket.worth = {""} if sums.wanted else set(), sums.worth
-
-    def age(self, entries: tuple[Entry, ...], now: float) -> int:
+            pocket.sure = number in self.left or sums.unreported_units == 0
+            pocket.in_flight = sums.committed_units + (sums.unreported_units if pocket.sure else 0)
+            pocket.uses, pocket.wants, pocket.guaranteed_units = (
+                sums.used_units,
+                sums.wanted_units,
+                sums.max_guaranteed_units,
+            )
+            pocket.waiting, pocket.waiting_weight = {""} if sums.wanted_units else set(), sums.priority_weight
+
+    def age_ms(self, entries: tuple[BudgetUsage, ...], now: float) -> int:
         """0: we don't know what leaders before us gave out, and what the cell was leased is to stand."""
-        leases = [self.pockets[entry.number] for entry in entries]
+        leases = [self.budgets[entry.budget_id] for entry in entries]
         sure = all(isinstance(lease, Lease) and lease.sure for lease in leases)
-        return max(LocalBudgets.age(self, entries, now), 1) if sure else 0
+        return max(LocalBudgets.age_ms(self, entries, now), 1) if sure else 0
 
-    def heard(self, by: int, said: Welcome | Answer, now: float) -> bool:
+    def heard(self, by: int, said: Welcome | BudgetAnswer, now: float) -> bool:
         """Whether it was meant for us."""
         if isinstance(said, Welcome):
             if not self.nonce or said.token != self._nonce():
                 return False
-            if (by, said.start, said.reign, said.epoch) != (*self.heeded, self.reign, self.epoch):
-                self.heed(by, said.start, said.reign)
+            if (by, said.start, said.reign, said.epoch) != (*self.granter, self.granter_term, self.epoch):
+                self.follow_granter(by, said.start, said.reign)
                 self.epoch = said.epoch
             self.heard_at = now
             return True
-        reign = self.reign
-        if not self.answered(by, said, now):
+        reign = self.granter_term
+        if not self.handle_answer(by, said, now):
             return False
-        if said.reign != reign:
+        if said.leader_term != reign:
             self.epoch = 0  # another time that it has the right: it knows no leaders
             return True
         self.heard_at = now
         for grant in said.grants:
-            self.left.setdefault(grant.number, grant.units)
+            self.left.setdefault(grant.budget_id, grant.leased_units)
         return True
--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -19,7 +19,7 @@
 import numpy as np
 
 from marbleworks.budgets.allocation_ledger import AllocationLedger
-from marbleworks.budgets.budget_catalog import DOUBT, Budget
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.faultnet import FaultNet
@@ -171,8 +171,8 @@
 
     def __init__(self, number: int, count: int, whole: Budget) -> None:
         self.purse = LocalBudgets(number, count, 0.25, 2.0, -10.0)
-        self.purse.planned([whole], 0.0)
-        self.pocket = next(iter(self.purse.pockets.values()))
+        self.purse.set_budgets([whole], 0.0)
+        self.pocket = next(iter(self.purse.budgets.values()))
         self.ends: list[float] = []
         self.queue = 0
 
@@ -180,10 +180,14 @@
 def simulated(report: Report, count: int, seed: int) -> None:
     """Zipf's traffic over so many routers in simulated time, a quarter more than the whole can do; after a
     while the order of the routers is another one."""
-    chance, whole, took = random.Random(seed), Budget("w", 4 * count, 0.0, 4.0 + DOUBT), 0.05
+    chance, whole, took = (
+        random.Random(seed),
+        Budget("w", 4 * count, 0.0, 4.0 + ABANDONED_ATTEMPT_TIMEOUT_S),
+        0.05,
+    )
     fleet = [Fellow(n, count, whole) for n in range(count)]
     ledger = AllocationLedger(0, count, 1, 1, 0.25, 2.0, 0.0)
-    ledger.planned([whole])
+    ledger.set_budgets([whole])
     ranks = list(range(count))
     weights = [1.0 / (n + 1) for n in range(count)]
     unit = 1.25 * whole.units / took / sum(weights)
@@ -196,29 +200,29 @@
         used = 0
         for n, one in enumerate(fleet):
             for _ in range(sum(end <= now for end in one.ends)):
-                one.purse.give_back(one.pocket, now, False)
-                one.pocket.held_for(took)
+                one.purse.release(one.pocket, now, False)
+                one.pocket.record_hold(took)
             one.ends = [end for end in one.ends if end > now]
             rate = unit * weights[ranks[n]] * step
             comes = int(rate) + (chance.random() < rate % 1.0)
-            one.pocket.asked += comes
+            one.pocket.arrivals += comes
             one.queue = min(one.queue + comes, int(30 * rate) + 2)
-            while one.queue and one.pocket.room(now):
-                one.purse.take(one.pocket, now)
+            while one.queue and one.pocket.has_room(now):
+                one.purse.acquire(one.pocket, now)
                 one.ends.append(now + took)
                 one.queue -= 1
             one.pocket.waiting.update(str(i) for i in range(min(one.queue, 64)))
             if round(now / step) % 20 == n % 20:
-                for r in one.purse.reports(0, 1, 1, now):
-                    answer = ledger.reported(n, r, now)
+                for r in one.purse.make_reports(0, 1, 1, now):
+                    answer = ledger.handle_report(n, r, now)
                     told += 2
                     if answer is not None:
-                        one.purse.answered(0, answer, now)
-            used += one.pocket.used(now)
+                        one.purse.handle_answer(0, answer, now)
+            used += one.pocket.used_units(now)
         if used > whole.units:
             raise Broken(f"{used} of {whole.units} at {now:.2f}")
         uses.append(used / whole.units)
-        tops.append(fleet[ranks.index(0)].pocket.most(now))
+        tops.append(fleet[ranks.index(0)].pocket.max_units(now))
         now += step
     at = round(shift / step)
     later = tops[-1]
@@ -242,12 +246,12 @@
 def cost(count: int) -> float:
     """Median seconds of asking for a part."""
     purse = LocalBudgets(0, 6, None, 2.0, -10.0)
-    purse.planned([Budget(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
-    pockets, took = list(purse.pockets.values()), list[float]()
+    purse.set_budgets([Budget(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
+    pockets, took = list(purse.budgets.values()), list[float]()
     for n in range(count):
         pocket = pockets[n % 40]
         began = time.perf_counter()
-        pocket.room(1.0)
+        pocket.has_room(1.0)
         took.append(time.perf_counter() - began)
     return percentile(took, 50)
 
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from marbleworks.budgets.allocation_ledger import AllocationLedger
-from marbleworks.budgets.budget_catalog import DOUBT, Budget
-from marbleworks.budgets.codec import Answer, Entry, encode_answer, encode_report
-from marbleworks.budgets.codec import Report as Told
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
+from marbleworks.budgets.codec import BudgetAnswer, BudgetUsage, encode_answer, encode_report
+from marbleworks.budgets.codec import BudgetReport as Told
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.cells.budget_leases import (
     BudgetLeaseGranter,
@@ -42,7 +42,7 @@
 
 CELL, SPARE = 20, 2  # routers in a cell, and places for more
 MACHINES = 7
-KEPT, LEASE, SETTLE, ABOVE = 0.25, 3.0, 4.0 + DOUBT, 6.0
+KEPT, LEASE, SETTLE, ABOVE = 0.25, 3.0, 4.0 + ABANDONED_ATTEMPT_TIMEOUT_S, 6.0
 STEP, EVERY, UP = 0.02, 0.2, 0.4  # seconds: of the simulation, between reports, and between those of a cell
 TOOK, LONG = 0.05, 1.5  # seconds of a command, and of one in many
 STARTS = 14.0  # seconds until a fleet that begins has divided its wholes
@@ -166,7 +166,7 @@
 
     def _router(self, number: int, place: int, began: float) -> Router:
         purse = LocalBudgets(place, self.places, KEPT, LEASE, self.clock() + began, self.shares)
-        purse.planned([self.whole], self.clock())
+        purse.set_budgets([self.whole], self.clock())
         return Router(number, purse, place)
 
     # Time passes.
@@ -198,23 +198,23 @@
         return sum(len(r.ends) for at in self.at for r in at.values()) + len(self.orphans)
 
     def _traffic(self, router: Router) -> None:
-        now, pocket = self.clock(), next(iter(router.purse.pockets.values()))
+        now, pocket = self.clock(), next(iter(router.purse.budgets.values()))
         ended = sum(end <= now for end in router.ends)
         for _ in range(ended):
-            router.purse.give_back(pocket, now, False)
-            pocket.held_for(TOOK)
+            router.purse.release(pocket, now, False)
+            pocket.record_hold(TOOK)
         router.ends = [end for end in router.ends if end > now]
         for _, beyond in router.purse.overdue(now):
             for end in sorted(router.ends)[-beyond:]:
                 router.ends.remove(end)
-                router.purse.give_back(pocket, now, True)
+                router.purse.release(pocket, now, True)
                 self.orphans.append(self.now + ENDS)
         rate = self.rates[self.ranks[router.number]] * STEP
         comes = int(rate) + (self.chance.random() < rate % 1.0)
-        pocket.asked += comes
+        pocket.arrivals += comes
         router.queue = min(router.queue + comes, int(30 * rate) + 2)
-        while router.queue and pocket.room(now):
-            router.purse.take(pocket, now)
+        while router.queue and pocket.has_room(now):
+            router.purse.acquire(pocket, now)
             router.ends.append(now + (LONG if self.chance.random() < self.long else TOOK))
             router.queue -= 1
         pocket.waiting.update(str(i) for i in range(min(router.queue, 64)))
@@ -241,7 +241,7 @@
                     self._up(c, machine, data, partial(self._heard_above, c, place, router))
         if turn % every == place % every and heed.start and heed.divider >= 0 and not heed.yielded:
             with spent.counted():
-                reports = router.purse.reports(heed.divider, heed.divider_start, heed.start, now)
+                reports = router.purse.make_reports(heed.divider, heed.divider_start, heed.start, now)
                 told = [encode_report(NUMBER, report) for report in reports]
             spent.sent += sum(map(len, told)) if heed.divider != place else 0
             for data in told:
@@ -258,11 +258,11 @@
             KEPT,
             LEASE,
             now,
-            {self.whole.number: {self.whole.units}},
+            {self.whole.budget_id: {self.whole.units}},
             Places(self.places, KEPT, self.shares),
             router.lessee,
         )
-        router.ledger.planned([self.whole])
+        router.ledger.set_budgets([self.whole])
         router.lessee.books = router.ledger
 
     def _reported(self, c: int, place: int, to: int, data: bytes) -> None:
@@ -273,7 +273,7 @@
         with spent.counted():
             report = decode(NUMBER, data)
             assert isinstance(report, Told)
-            answer = leader.ledger.reported(place, report, self.clock())
+            answer = leader.ledger.handle_report(place, report, self.clock())
             back = encode_answer(NUMBER, answer) if answer is not None else b""
         if back:
             spent.sent += len(back) if place != to else 0
@@ -284,8 +284,8 @@
         if router is not None and self.groups[c].routers[place].alive:
             with self.spents[c][place].counted():
                 answer = decode(NUMBER, data)
-                assert isinstance(answer, Answer)
-                router.purse.answered(by, answer, self.clock())
+                assert isinstance(answer, BudgetAnswer)
+                router.purse.handle_answer(by, answer, self.clock())
 
     # The level above.
 
@@ -314,7 +314,7 @@
         if router.lessee is not None and peer.alive and peer.standing().may_divide and c not in self.cut:
             with self.spents[c][place].counted():
                 said = decode(NUMBER, data)
-                assert isinstance(said, Welcome | Answer)
+                assert isinstance(said, Welcome | BudgetAnswer)
                 router.lessee.heard(by, said, self.clock())
 
     def _machines(self) -> None:
@@ -322,12 +322,12 @@
             heed = peer.fellow.heed(peer.clock())
             if not peer.alive or heed.right_until <= peer.clock():
                 self.lessors.pop(machine, None)
-            elif machine not in self.lessors or self.lessors[machine].ledger.reign != heed.reign:
-                seen = {self.whole.number: {self.whole.units}}
+            elif machine not in self.lessors or self.lessors[machine].ledger.term != heed.reign:
+                seen = {self.whole.budget_id: {self.whole.units}}
                 self.lessors[machine] = lessor = BudgetLeaseGranter(
                     machine, self.cells, self.shares, heed.start, heed.reign, KEPT, ABOVE, self.clock(), seen
                 )
-                lessor.ledger.planned([lifted(self.whole, LEASE)])
+                lessor.ledger.set_budgets([lifted(self.whole, LEASE)])
 
     # Faults.
 
@@ -355,7 +355,7 @@
         router = self.at[c].pop(place)
         router.place = next(p for p in range(self.places) if p not in self.at[to])
         router.ledger = router.lessee = None
-        router.purse.moved(router.place, self.clock())
+        router.purse.move_to_group(router.place, self.clock())
         self.at[to][router.place] = router
         self.groups[to].start(router.place)
         return router.place
@@ -378,28 +378,30 @@
         self.lessee = BudgetLeaseHolder(cell, (cell * fleet.size, 1, 1), MACHINES, ABOVE, now)
         kept = Places(fleet.places, KEPT, fleet.shares)
         whole = fleet.whole
-        seen = {whole.number: {whole.units}}
+        seen = {whole.budget_id: {whole.units}}
         self.ledger = AllocationLedger(0, fleet.places, 1, 1, KEPT, LEASE, now, seen, kept, self.lessee)
-        self.ledger.planned([whole])
+        self.ledger.set_budgets([whole])
         self.lessee.books, self.token = self.ledger, 0
-        self.entry = Entry(whole.number, 0, 0, 0, 5 * fleet.size, 1.0, whole.units, 1, 0)
+        self.entry = BudgetUsage(whole.budget_id, 0, 0, 0, 5 * fleet.size, 1.0, whole.units, 1, 0)
 
     def control(self, turn: int) -> None:
         fleet, now = self.fleet, self.fleet.clock()
         if turn % round(EVERY / STEP) == self.cell % round(EVERY / STEP):
             self.token += 1
             told = Told(1, 1, 1, self.token, 1, 1, False, 60_000, (self.entry,))
-            answer = self.ledger.reported(0, told, now)
+            answer = self.ledger.handle_report(0, told, now)
             for grant in answer.grants if answer is not None else ():
-                e, units = self.entry, grant.units
-                self.entry = Entry(e.number, grant.serial, units, units, 5 * fleet.size, 1.0, e.whole, 1, 0)
+                e, units = self.entry, grant.leased_units
+                self.entry = BudgetUsage(
+                    e.budget_id, grant.serial, units, units, 5 * fleet.size, 1.0, e.total_units, 1, 0
+                )
         if turn % round(UP / STEP) == self.cell % round(UP / STEP):
             for machine, said in self.lessee.tells(now):
                 fleet._up(self.cell, machine, encoded(said), self._heard)
 
     def _heard(self, data: bytes, by: int) -> None:
         said = decode(NUMBER, data)
-        assert isinstance(said, Welcome | Answer)
+        assert isinstance(said, Welcome | BudgetAnswer)
         self.lessee.heard(by, said, self.fleet.clock())
 
 
@@ -570,7 +572,11 @@
         after.append(mean_use(fleet, 1.0) / max(before, 1.0))
         leader = fleet.leader(c)
         lessee = fleet.at[c][leader].lessee if leader >= 0 else None
-        if led < 0 and lessee is not None and any(p.part(fleet.clock()) for p in lessee.pockets.values()):
+        if (
+            led < 0
+            and lessee is not None
+            and any(p.valid_lease_units(fleet.clock()) for p in lessee.budgets.values())
+        ):
             led = fleet.now - at
     day.after.append(after)
     day.led.append(led if led >= 0 else 10.0)
@@ -628,8 +634,8 @@
     use, half = fleet.use(fleet.now - 4.0, fleet.now), cells * size // 2
     fleet.ranks = fleet.ranks[half:] + fleet.ranks[:half]
     hot = fleet.at[half // size][half % size]
-    pocket, tops = next(iter(hot.purse.pockets.values())), list[int]()
-    fleet.run(8.0, lambda: tops.append(pocket.most(fleet.clock())))
+    pocket, tops = next(iter(hot.purse.budgets.values())), list[int]()
+    fleet.run(8.0, lambda: tops.append(pocket.max_units(fleet.clock())))
     later = sum(tops[-50:]) / 50
     return next((STEP * i for i, top in enumerate(tops) if top >= 0.8 * later), 8.0), use
 
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from marbleworks.budgets.allocation_ledger import AllocationLedger
-from marbleworks.budgets.budget_catalog import DOUBT, Budget
-from marbleworks.budgets.codec import Answer, Report
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
+from marbleworks.budgets.codec import BudgetAnswer, BudgetReport
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.cells.budget_leases import (
     BudgetLeaseGranter,
@@ -103,7 +103,7 @@
     def _purse(self, number: int) -> LocalBudgets:
         began = self.clock(number) if self.now else 0.0
         purse = LocalBudgets(number, PLACES, self.kept, LEASE, began, SHARES)
-        purse.planned([self.wholes[number]], self.clock(number))
+        purse.set_budgets([self.wholes[number]], self.clock(number))
         return purse
 
     def above(self, machine: int) -> float:
@@ -131,7 +131,9 @@
         self.wants(number)
         router, (_, at) = self.routers[number], self.home[leader]
         start = self.cells[cell].starts[at]
-        for report in router.purse.reports(at, start, self.cells[cell].starts[place], self.clock(number)):
+        for report in router.purse.make_reports(
+            at, start, self.cells[cell].starts[place], self.clock(number)
+        ):
             self.flying.append(Letter(number, leader, cell, place, False, report))
 
     def leader_tells(self, cell: int, number: int) -> None:
@@ -146,21 +148,21 @@
             return
         if letter.place >= 0 and letter.sender != letter.to and self.mute & {letter.sender, letter.to}:
             return
-        if letter.above and isinstance(said, Hello | Report):
+        if letter.above and isinstance(said, Hello | BudgetReport):
             self._comes_up(letter)
-        elif letter.above and isinstance(said, Welcome | Answer):
+        elif letter.above and isinstance(said, Welcome | BudgetAnswer):
             if self.may(cell, letter.to):
                 self.cells[cell].desks[letter.to].lessee.heard(letter.sender, said, self.clock(letter.to))
-        elif isinstance(said, Report):
+        elif isinstance(said, BudgetReport):
             if self.may(cell, letter.to):
                 now, ledger = self.clock(letter.to), self.cells[cell].desks[letter.to].ledger
-                answer = ledger.reported(letter.place, said, now)
+                answer = ledger.handle_report(letter.place, said, now)
                 if answer is not None:
                     back = Letter(letter.to, letter.sender, cell, letter.place, False, answer)
                     self.flying.append(back)
-        elif isinstance(said, Answer) and self.home[letter.to] == (cell, letter.place):
+        elif isinstance(said, BudgetAnswer) and self.home[letter.to] == (cell, letter.place):
             by = next((p for p, n in self.cells[cell].members.items() if n == letter.sender), -1)
-            self.routers[letter.to].purse.answered(by, said, self.clock(letter.to))
+            self.routers[letter.to].purse.handle_answer(by, said, self.clock(letter.to))
 
     def _comes_up(self, letter: Letter) -> None:
         if self.lessor is None or letter.to != self.top:
@@ -168,7 +170,7 @@
         said, answer = letter.said, None
         if isinstance(said, Hello):
             answer = self.lessor.hello(said)
-        elif isinstance(said, Report):
+        elif isinstance(said, BudgetReport):
             answer = self.lessor.reported(letter.cell, said, self.above(self.top))  # type: ignore[assignment]
         if answer is not None:
             self.flying.append(Letter(self.top, letter.sender, letter.cell, -1, True, answer))
@@ -190,11 +192,11 @@
             self.kept,
             LEASE,
             now,
-            {self.wholes[number].number: {self.wholes[number].units}},
+            {self.wholes[number].budget_id: {self.wholes[number].units}},
             Places(PLACES, self.kept, SHARES),
             lessee,
         )
-        ledger.planned([self.wholes[number]])
+        ledger.set_budgets([self.wholes[number]])
         lessee.books = ledger
         at.desks[number] = Desk(ledger, lessee)
 
@@ -204,11 +206,11 @@
         self.top_starts[machine] += anew
         self.top, self.reigns = machine, self.reigns + 1
         start = self.top_starts[machine]
-        seen = {self.top_whole.number: {self.top_whole.units}}
+        seen = {self.top_whole.budget_id: {self.top_whole.units}}
         self.lessor = BudgetLeaseGranter(
             machine, CELLS, SHARES, start, self.reigns, self.kept, ABOVE, self.above(machine), seen
         )
-        self.lessor.ledger.planned([lifted(self.top_whole, LEASE)])
+        self.lessor.ledger.set_budgets([lifted(self.top_whole, LEASE)])
 
     def anew(self, number: int) -> None:
         cell, place = self.home[number]
@@ -230,22 +232,22 @@
         to = self.cells[cell]
         to.members[place], self.home[number] = number, (cell, place)
         to.starts[place] = to.starts.get(place, 0) + 1
-        self.routers[number].purse.moved(place, self.clock(number))
+        self.routers[number].purse.move_to_group(place, self.clock(number))
 
     def rewritten(self, number: int, units: int) -> None:
         """A file has another whole; the router -1: that of the machines above."""
         old = self.wholes[max(number, 0)]
-        whole = Budget(old.name, units, old.span, old.settle)
+        whole = Budget(old.name, units, old.window_s, old.settle_s)
         if number < 0:
             self.top_whole = whole
             if self.lessor is not None:
-                self.lessor.ledger.planned([lifted(whole, LEASE)])
+                self.lessor.ledger.set_budgets([lifted(whole, LEASE)])
             return
         self.wholes[number] = whole
-        self.routers[number].purse.planned([whole], self.clock(number))
+        self.routers[number].purse.set_budgets([whole], self.clock(number))
         for cell in self.cells:
             if number in cell.desks:
-                cell.desks[number].ledger.planned([whole])
+                cell.desks[number].ledger.set_budgets([whole])
 
     def cuts(self, cell: int) -> None:
         self.cut ^= {cell}
@@ -276,7 +278,7 @@
 
     def fills(self, number: int) -> None:
         """It takes and begins all that it may."""
-        while self.pocket(number).room(self.clock(number)):
+        while self.pocket(number).has_room(self.clock(number)):
             self.take(number)
         while self.routers[number].begins:
             self.begin(number)
@@ -294,7 +296,7 @@
             if room and self.cells[cell].leader >= 0:
                 yield f"{n} tells", partial(World.tells, number=n)
             yield from self.traffic(n)
-            if self.pocket(n).room(self.clock(n)):
+            if self.pocket(n).has_room(self.clock(n)):
                 yield f"{n} fills", partial(World.fills, number=n)
             if self.cells[cell].leader != n:
                 yield f"right of {cell} to {n}", partial(World.leads, cell=cell, number=n)
@@ -359,7 +361,7 @@
     change. often: other weights of acts. Raises Broken."""
     weights = (often or {}) | {word: w for word, w in WEIGHTED.items() if word not in (often or {})}
     chance = random.Random(seed)
-    settle = span if span else chance.choice([0.3, 1.0]) + DOUBT
+    settle = span if span else chance.choice([0.3, 1.0]) + ABANDONED_ATTEMPT_TIMEOUT_S
     world = begun(Budget("w", units, span, settle), chance.choice([0.0, 0.25, 0.9]))
     wholes = (units, 2 * units) if seed % 2 else ()
     world.bound = max([units, *wholes])
@@ -390,6 +392,6 @@
 def exhaust(depth: int, span: float = 0.0, step: float = 1.2, rounds: int = 80) -> int:
     """Every order of acts to that depth from a fleet of which one cell has all there is to have; the number
     of states. Two routers of the one cell act and one of the other. Raises Broken."""
-    world = begun(Budget("w", 3, span, span if span else 0.3 + DOUBT), 0.0)
+    world = begun(Budget("w", 3, span, span if span else 0.3 + ABANDONED_ATTEMPT_TIMEOUT_S), 0.0)
     warm(world, rounds, (0,))
     return every_order(world, depth, lambda one: one.moves(step, (), (0, 1, 2)))
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -14,13 +14,13 @@
 from typing import Any
 
 from marbleworks.budgets.allocation_ledger import AllocationLedger
-from marbleworks.budgets.budget_catalog import DOUBT, Budget
-from marbleworks.budgets.codec import Answer, Report
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
+from marbleworks.budgets.codec import BudgetAnswer, BudgetReport
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.lab.explore import Broken, every_order
 from marbleworks.membership.leader_election import DRIFT
 
-ENDS = DOUBT - 0.3  # seconds after which an engine ends what nobody asks for
+ENDS = ABANDONED_ATTEMPT_TIMEOUT_S - 0.3  # seconds after which an engine ends what nobody asks for
 LEASE = 1.0
 
 
@@ -58,14 +58,14 @@
     def _purse(self, number: int) -> LocalBudgets:
         began = self.clock(number) if self.now else 0.0  # at first no process ran before
         purse = LocalBudgets(number, len(self.paces), self.kept, LEASE, began)
-        purse.planned([self.wholes[number]], self.clock(number))
+        purse.set_budgets([self.wholes[number]], self.clock(number))
         return purse
 
     def clock(self, number: int) -> float:
         return 100.0 + self.now * self.paces[number]
 
     def pocket(self, number: int) -> LocalBudget:
-        return next(iter(self.routers[number].purse.pockets.values()))
+        return next(iter(self.routers[number].purse.budgets.values()))
 
     def used(self) -> int:
         """Units in use at the engines, by true time."""
@@ -93,16 +93,16 @@
         for pocket, beyond in router.purse.overdue(self.clock(number)):
             for _ in range(min(beyond, router.out)):
                 router.out -= 1
-                router.purse.give_back(pocket, self.clock(number), True)
+                router.purse.release(pocket, self.clock(number), True)
                 self.engine.append(self.now + ENDS)
 
     def take(self, number: int) -> None:
         """Room is looked for. Of a level the command begins by another act, or never; a rate is counted here,
         where it is decided."""
         router, pocket, now = self.routers[number], self.pocket(number), self.clock(number)
-        begin_by = router.purse.take(pocket, now)
-        if pocket.whole.span:
-            self.engine.append(self.now + pocket.whole.span)
+        begin_by = router.purse.acquire(pocket, now)
+        if pocket.budget.window_s:
+            self.engine.append(self.now + pocket.budget.window_s)
         else:
             router.begins.append(begin_by)
 
@@ -112,12 +112,12 @@
         if self.clock(number) <= begin_by:
             router.out += 1
         else:
-            router.purse.give_back(pocket, self.clock(number), False)
+            router.purse.release(pocket, self.clock(number), False)
 
     def end(self, number: int, doubt: bool) -> None:
         router = self.routers[number]
         router.out -= 1
-        router.purse.give_back(self.pocket(number), self.clock(number), doubt)
+        router.purse.release(self.pocket(number), self.clock(number), doubt)
         if doubt:
             self.engine.append(self.now + ENDS)
 
@@ -134,7 +134,7 @@
     def traffic(self, number: int) -> Iterator[tuple[str, Callable[[Any], None]]]:
         """What commands may do at a router."""
         router, n = self.routers[number], number
-        if self.pocket(n).room(self.clock(n)):
+        if self.pocket(n).has_room(self.clock(n)):
             yield f"{n} takes", lambda w: w.take(n)
         if router.begins:
             yield f"{n} begins", lambda w: w.begin(n)
@@ -148,7 +148,7 @@
     """A fleet that is one group, of which one router divides, or none."""
 
     divider: int = -1
-    flying: list[tuple[int, int, Report | Answer]] = field(default_factory=list)
+    flying: list[tuple[int, int, BudgetReport | BudgetAnswer]] = field(default_factory=list)
 
     def tells(self, number: int) -> None:
         if self.divider < 0:
@@ -156,16 +156,16 @@
         router, to = self.routers[number], self.divider
         self.wants(number)
         start = self.routers[to].start
-        reports = router.purse.reports(to, start, router.start, self.clock(number))
+        reports = router.purse.make_reports(to, start, router.start, self.clock(number))
         self.flying += [(number, to, report) for report in reports]
 
     def comes(self, i: int, keep: bool) -> None:
         sender, to, said = self.flying[i] if keep else self.flying.pop(i)
         router, now = self.routers[to], self.clock(to)
-        if isinstance(said, Answer):
-            router.purse.answered(sender, said, now)
+        if isinstance(said, BudgetAnswer):
+            router.purse.handle_answer(sender, said, now)
         elif router.ledger is not None and self.divider == to:
-            answer = router.ledger.reported(sender, said, now)
+            answer = router.ledger.handle_report(sender, said, now)
             if answer is not None:
                 self.flying.append((to, sender, answer))
 
@@ -174,10 +174,10 @@
         if to >= 0:
             router = self.routers[to]
             router.reign += 1
-            seen = {w.number: {w.units} for w in [self.wholes[to]]}
+            seen = {w.budget_id: {w.units} for w in [self.wholes[to]]}
             args = (to, len(self.paces), router.start, router.reign, self.kept, LEASE, self.clock(to))
             router.ledger = AllocationLedger(*args, seen)
-            router.ledger.planned([self.wholes[to]])
+            router.ledger.set_budgets([self.wholes[to]])
 
     def anew(self, number: int) -> None:
         super().anew(number)
@@ -187,11 +187,11 @@
     def rewritten(self, number: int, units: int) -> None:
         """Its file has another whole from now on."""
         old = self.wholes[number]
-        self.wholes[number] = Budget(old.name, units, old.span, old.settle)
+        self.wholes[number] = Budget(old.name, units, old.window_s, old.settle_s)
         router = self.routers[number]
-        router.purse.planned([self.wholes[number]], self.clock(number))
+        router.purse.set_budgets([self.wholes[number]], self.clock(number))
         if router.ledger is not None:
-            router.ledger.planned([self.wholes[number]])
+            router.ledger.set_budgets([self.wholes[number]])
 
     def moves(self, step: float) -> Iterator[tuple[str, Callable[[World], None]]]:
         yield f"time {step}", lambda w: w.passes(step)
@@ -231,7 +231,7 @@
 def stroll(seed: int, acts: int, count: int = 3, span: float = 0.0, units: int = 7) -> int:
     """A random walk of so many acts, which favours what uses the budget up. Raises Broken."""
     chance = random.Random(seed)
-    settle = span if span else chance.choice([0.5, 1.5]) + DOUBT
+    settle = span if span else chance.choice([0.5, 1.5]) + ABANDONED_ATTEMPT_TIMEOUT_S
     paces = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0][:count]
     world = World([Budget("w", units, span, settle)] * count, paces, chance.choice([0.0, 0.25, 0.5]))
     for _ in range(acts):
@@ -243,7 +243,7 @@
 def exhaust(depth: int, count: int = 2, span: float = 0.0) -> int:
     """Every order of acts to that depth from a group of which one has all there is to have; the number of
     states. Raises Broken."""
-    settle = span if span else 0.5 + DOUBT
+    settle = span if span else 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S
     world = World(
         [Budget("w", 3, span, settle)] * count, [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count], 0.0
     )
@@ -254,6 +254,6 @@
             world.tells(n)
             while world.flying:
                 world.comes(0, False)
-            if world.pocket(n).room(world.clock(n)):
+            if world.pocket(n).has_room(world.clock(n)):
                 world.take(n)
     return every_order(world, depth, lambda one: one.moves(0.9))
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -26,8 +26,8 @@
 from gevent import socket
 
 from marbleworks.budgets.allocation_ledger import AllocationLedger
-from marbleworks.budgets.budget_catalog import DOUBT, Budget
-from marbleworks.budgets.codec import Answer, Report, decode, encode_answer, encode_report
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
+from marbleworks.budgets.codec import BudgetAnswer, BudgetReport, decode, encode_answer, encode_report
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
@@ -298,7 +298,7 @@
 
 
 def wholes(count: int, routers: int) -> list[Budget]:
-    return [Budget(f"budget {n}", 50 * routers, 0.0, 0.5 + DOUBT) for n in range(count)]
+    return [Budget(f"budget {n}", 50 * routers, 0.0, 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S) for n in range(count)]
 
 
 class Books:
@@ -309,20 +309,20 @@
     def __init__(self, routers: int, budgets: int, seed: int) -> None:
         self.chance, self.now, plan = random.Random(seed), 100.0, wholes(budgets, routers)
         self.ledger = AllocationLedger(0, routers, 1, 1, 0.25, 2.0, self.now)
-        self.ledger.planned(plan)
+        self.ledger.set_budgets(plan)
         self.purses = [LocalBudgets(n, routers, 0.25, 2.0, 0.0) for n in range(routers)]
         for purse in self.purses:
-            purse.planned(plan, self.now)
+            purse.set_budgets(plan, self.now)
         self.datagrams, self.bytes, self.spent, self.told = 0, 0, 0.0, 0
 
     def use(self, purse: LocalBudgets) -> None:
         """Commands come and go: some units of each budget are in use."""
-        for pocket in purse.pockets.values():
-            pocket.asked += self.chance.randrange(4)
-            while pocket.out > self.chance.randrange(20):
-                purse.give_back(pocket, self.now, False)
-            if pocket.room(self.now):
-                purse.take(pocket, self.now)
+        for pocket in purse.budgets.values():
+            pocket.arrivals += self.chance.randrange(4)
+            while pocket.in_flight > self.chance.randrange(20):
+                purse.release(pocket, self.now, False)
+            if pocket.has_room(self.now):
+                purse.acquire(pocket, self.now)
 
     def round(self) -> None:
         """Each router reports once, spread over the time between two reports."""
@@ -330,7 +330,7 @@
         for number, purse in enumerate(self.purses):
             self.now += self.EVERY / count
             self.use(purse)
-            for report in purse.reports(0, 1, 1, self.now):
+            for report in purse.make_reports(0, 1, 1, self.now):
                 self._told(number, encode_report(GROUP, report))
 
     def _told(self, number: int, data: bytes) -> None:
@@ -338,7 +338,11 @@
 
         def divide() -> None:
             report = decode(GROUP, data)
-            answer = self.ledger.reported(number, report, self.now) if isinstance(report, Report) else None
+            answer = (
+                self.ledger.handle_report(number, report, self.now)
+                if isinstance(report, BudgetReport)
+                else None
+            )
             if answer is not None:
                 said.append(encode_answer(GROUP, answer))
 
@@ -347,8 +351,8 @@
         self.datagrams += 1 + len(said)
         self.bytes += len(data) + sum(map(len, said))
         for answer in [decode(GROUP, wire) for wire in said]:
-            if isinstance(answer, Answer):
-                self.purses[number].answered(0, answer, self.now)
+            if isinstance(answer, BudgetAnswer):
+                self.purses[number].handle_answer(0, answer, self.now)
 
     def settle(self) -> None:
         """Until all know the right that they are told of, and have a part."""
@@ -383,7 +387,7 @@
     for budgets, routers in shapes:
         book = Books(routers, budgets, seed)
         book.settle()
-        out.append(float(state(book.ledger, (book.ledger.wholes,))))
+        out.append(float(state(book.ledger, (book.ledger.budgets,))))
     return {"ledger_state": out}
 
 
@@ -394,20 +398,20 @@
     for count in budgets:
         book = Books(1, count, seed)
         purse, sent = book.purses[0], list[int]()
-        for pocket in purse.pockets.values():  # as many ends as it remembers, which a busy one soon has had
-            for _ in range(pocket.ends.maxlen or 0):
+        for pocket in purse.budgets.values():  # as many ends as it remembers, which a busy one soon has had
+            for _ in range(pocket.recent_releases.maxlen or 0):
                 book.now += 1e-6
-                purse.take(pocket, book.now)
-                purse.give_back(pocket, book.now, False)
+                purse.acquire(pocket, book.now)
+                purse.release(pocket, book.now, False)
         for _ in range(70):
             book.now += book.EVERY
             book.use(purse)
-            reports = purse.reports(0, 1, 1, book.now)
+            reports = purse.make_reports(0, 1, 1, book.now)
             sent.append(sum(len(encode_report(GROUP, report)) for report in reports))
             for report in reports:
-                answer = book.ledger.reported(0, report, book.now)
+                answer = book.ledger.handle_report(0, report, book.now)
                 if answer is not None:
-                    purse.answered(0, answer, book.now)
+                    purse.handle_answer(0, answer, book.now)
         in_bytes.append(statistics.mean(sent[-10:]))
         in_state.append(float(state(purse)))
     return {"report_bytes": in_bytes, "purse_state": in_state}
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -9,13 +9,13 @@
 from functools import partial
 
 from marbleworks.background.options import BACKGROUND
-from marbleworks.budgets.options import BUDGETS
+from marbleworks.budgets.options import BUDGETS_SECTION
 from marbleworks.fair_queue.options import DOOR
 from marbleworks.membership.options import PEERS
 from marbleworks.operator_config import document as book
 from marbleworks.spool.options import SPOOL
 
-SECTIONS = {section.name: section for section in (BACKGROUND, SPOOL, DOOR, PEERS, BUDGETS)}
+SECTIONS = {section.name: section for section in (BACKGROUND, SPOOL, DOOR, PEERS, BUDGETS_SECTION)}
 read_book = partial(book.OperatorConfig.read, SECTIONS)  # raises OperatorError
 sections_of = partial(book.sections_of, SECTIONS)
 described = partial(book.described, SECTIONS)
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -76,7 +76,7 @@
             raise SettingsError(f"{self.book['spool']['folder']}: {err.strerror}") from None
 
     def _budgets(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport) -> None:
-        from marbleworks.budgets.enforcement import Counted
+        from marbleworks.budgets.enforcement import BudgetedConnectionLimit
         from marbleworks.budgets.service import BudgetService
 
         fleet, plan = deployment.fleet, self._plan(deployment)
@@ -84,19 +84,19 @@
         treasurer = self.treasurer = BudgetService(
             self.book["budgets"], plan, desk, group, fleet.router_index, fleet.router_count
         )
-        desk.scheduler.shared_budgets = holder = treasurer.holder
+        desk.scheduler.shared_budgets = holder = treasurer.enforcer
         make = desk.make_engine_client
 
         def counted(desk: Dispatcher, name: str, address: tuple[str, int]) -> EnginePort:
             place: Any = make(desk, name, address)
-            place.share = Counted(place.share, holder, name)
+            place.share = BudgetedConnectionLimit(place.share, holder, name)
             return cast("EnginePort", place)
 
         if self.book["budgets"]["lines-per-core"]:
             desk.make_engine_client = counted
-        self.replan = lambda: desk.post(holder.replan, self._plan(deployment))
+        self.replan = lambda: desk.post(holder.set_catalog, self._plan(deployment))
         if self.steward is not None:
-            self.steward.heeds.append(lambda heed: treasurer.post(treasurer.heeds, heed))
+            self.steward.heeds.append(lambda heed: treasurer.post(treasurer.set_leader, heed))
         self.about = self._about
 
     def _plan(self, deployment: Settings) -> BudgetCatalog:
@@ -106,7 +106,7 @@
         plan = BudgetCatalog(
             terms, deployment.class_index, deployment.tenant_index, deployment.rules.tenant_rates_per_s
         )
-        for name in plan.unknown:
+        for name in plan.unmatched_names:
             LOG.warning("budget of nobody", name=name, what=str(terms["budget"][name]))
         return plan
 
@@ -143,7 +143,7 @@
     def _about(self, what: str) -> dict[str, Any]:
         """What `health` tells besides, of the subsystem that it names."""
         if what == "budgets" and self.treasurer is not None:
-            return self.treasurer.shown()
+            return self.treasurer.snapshot()
         return self.steward.shown() if what == "peers" and self.steward is not None else {}
 
     def close(self) -> None:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -14,20 +14,20 @@
 from marbleworks.budgets import allocation_ledger as ledger_module
 from marbleworks.budgets import local_budget as purse_module
 from marbleworks.budgets.allocation_ledger import AllocationLedger, BudgetAllocation
-from marbleworks.budgets.budget_catalog import DOUBT, Budget, BudgetCatalog
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget, BudgetCatalog
 from marbleworks.budgets.codec import (
-    HEADS,
-    Answer,
-    Entry,
-    Grant,
-    Report,
+    TYPICAL_HEAD_BYTES,
+    BudgetAnswer,
+    BudgetGrant,
+    BudgetReport,
+    BudgetUsage,
     decode,
     encode_answer,
     encode_report,
-    parts,
+    split_usages,
 )
-from marbleworks.budgets.enforcement import BudgetEnforcer, Counted
-from marbleworks.budgets.fair_division import Need, divided
+from marbleworks.budgets.enforcement import BudgetedConnectionLimit, BudgetEnforcer
+from marbleworks.budgets.fair_division import Demand, divide
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
@@ -41,7 +41,7 @@
 
 COUNT, UNITS = st.integers(0, (1 << 40) - 1), st.integers(0, 1 << 24)
 ENTRIES = st.builds(
-    Entry,
+    BudgetUsage,
     st.integers(0, 2**32 - 1),
     COUNT,
     UNITS,
@@ -52,8 +52,8 @@
     UNITS,
     UNITS,
 )
-WIDEST = Entry(2**32 - 1, (1 << 40) - 1, 1 << 24, 1 << 24, 1 << 24, 1e6, 1 << 24, 1 << 24, 1 << 24)
-FILLS_184_BYTES = Entry(1 << 31, 1 << 20, 200, 200, 200, 2.0, 200, 1, 1)  # eight of 23 bytes
+WIDEST = BudgetUsage(2**32 - 1, (1 << 40) - 1, 1 << 24, 1 << 24, 1 << 24, 1e6, 1 << 24, 1 << 24, 1 << 24)
+FILLS_184_BYTES = BudgetUsage(1 << 31, 1 << 20, 200, 200, 200, 2.0, 200, 1, 1)  # eight of 23 bytes
 
 
 # What is told.
@@ -61,51 +61,65 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(ENTRIES, max_size=40), COUNT, st.booleans())
-@example([Entry(0, 0, 0, 0, 0, 0.0, 0, 0, 0)] * 14 + [WIDEST] * 40, (1 << 40) - 1, True)
+@example([BudgetUsage(0, 0, 0, 0, 0, 0.0, 0, 0, 0)] * 14 + [WIDEST] * 40, (1 << 40) - 1, True)
 @example([FILLS_184_BYTES] * 8, (1 << 40) - 1, True)
 def test_reports_come_back_as_they_were_in_datagrams_that_fit(
-    entries: list[Entry], n: int, leaving: bool
+    entries: list[BudgetUsage], n: int, leaving: bool
 ) -> None:
-    head = len(encode_report(7, Report(n, n, n, n, n, n, leaving, n, ())))
-    told = list(parts(entries, head))
+    head = len(encode_report(7, BudgetReport(n, n, n, n, n, n, leaving, n, ())))
+    told = list(split_usages(entries, head))
     assert [entry for some in told for entry in some] == entries
     for some in told:
-        report = Report(n, n, n, n, n, n, leaving, n, some)
+        report = BudgetReport(n, n, n, n, n, n, leaving, n, some)
         data = encode_report(7, report)
         assert len(data) <= MOST and decode(7, data) == report
-        answer = Answer(n, n, n, tuple(Grant(e.number, e.serial, e.used, e.whole) for e in some))
+        answer = BudgetAnswer(
+            n,
+            n,
+            n,
+            tuple(BudgetGrant(e.budget_id, e.grant_serial, e.used_units, e.total_units) for e in some),
+        )
         assert len(encode_answer(7, answer)) <= MOST and decode(7, encode_answer(7, answer)) == answer
 
 
 @pytest.mark.parametrize("entry", [WIDEST, FILLS_184_BYTES])
-def test_the_longest_head_of_a_report_leaves_its_entries_less_room(entry: Entry) -> None:
+def test_the_longest_head_of_a_report_leaves_its_entries_less_room(entry: BudgetUsage) -> None:
     """Every number of the head as wide as it is read: 87 bytes, where ordinary ones take 72 at most."""
     most = (1 << 40) - 1
     purse = LocalBudgets(0, 2, 0.25, 1.0, -10.0)
-    purse.planned([Budget(f"w{n}", 1 << 24 if entry is WIDEST else 200, 0.0, 1.0) for n in range(40)], 0.0)
-    purse.heed(0, most, most)
-    purse.version = purse.digest = most
-    for one in purse.pockets.values():
-        one.serial, one.units, one.until, one.out = entry.serial, entry.held, math.inf, entry.used
-    told = purse.reports(0, most, most, most / 1000.0, 1, True)
-    assert sum(len(report.entries) for report in told) == 40
-    assert max(report.age for report in told) >= 1 << 32
+    purse.set_budgets(
+        [Budget(f"w{n}", 1 << 24 if entry is WIDEST else 200, 0.0, 1.0) for n in range(40)], 0.0
+    )
+    purse.follow_granter(0, most, most)
+    purse.config_version = purse.config_digest = most
+    for one in purse.budgets.values():
+        one.grant_serial, one.leased_units, one.lease_expires_at, one.in_flight = (
+            entry.grant_serial,
+            entry.held_units,
+            math.inf,
+            entry.used_units,
+        )
+    told = purse.make_reports(0, most, most, most / 1000.0, 1, True)
+    assert sum(len(report.usages) for report in told) == 40
+    assert max(report.age_ms for report in told) >= 1 << 32
     assert all(len(encode_report(7, report)) <= MOST for report in told)
 
 
 def test_the_entries_of_an_ordinary_report_have_the_room_that_they_had() -> None:
-    ordinary = Report(1_022_000_000_123, 1_022_000_000_456, 9, 0xFFFF << 24, 4, 2**32 - 1, True, 2**31, ())
-    assert len(encode_report(7, ordinary)) <= HEADS == 72
-    entries = [Entry(zlib.crc32(b"%d" % n), n, n, n // 2, n, 1.0, 200, 9, n) for n in range(100)]
-    assert list(parts(entries, len(encode_report(7, ordinary)))) == list(parts(entries))
+    ordinary = BudgetReport(
+        1_022_000_000_123, 1_022_000_000_456, 9, 0xFFFF << 24, 4, 2**32 - 1, True, 2**31, ()
+    )
+    assert len(encode_report(7, ordinary)) <= TYPICAL_HEAD_BYTES == 72
+    entries = [BudgetUsage(zlib.crc32(b"%d" % n), n, n, n // 2, n, 1.0, 200, 9, n) for n in range(100)]
+    assert list(split_usages(entries, len(encode_report(7, ordinary)))) == list(split_usages(entries))
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(1, 255), st.lists(ENTRIES, max_size=4))
 def test_nothing_unreadable_is_more_than_unreadable(
-    noise: bytes, at: int, flip: int, entries: list[Entry]
+    noise: bytes, at: int, flip: int, entries: list[BudgetUsage]
 ) -> None:
-    data = bytearray(encode_report(7, Report(1, 1, 1, 1, 1, 1, False, 1, tuple(entries))))
+    data = bytearray(encode_report(7, BudgetReport(1, 1, 1, 1, 1, 1, False, 1, tuple(entries))))
     data[at % len(data)] ^= flip
     for bad in (noise, bytes(data), bytes(data[: at % len(data)])):
         with pytest.raises(DatagramDecodeError):
@@ -117,7 +131,7 @@
 
 NEEDS = st.dictionaries(
     st.integers(0, 9),
-    st.builds(Need, st.floats(0, 50), st.floats(0, 50), st.integers(0, 3), st.floats(0.1, 8)),
+    st.builds(Demand, st.floats(0, 50), st.floats(0, 50), st.integers(0, 3), st.floats(0.1, 8)),
     min_size=1,
     max_size=8,
 )
@@ -126,44 +140,44 @@
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.integers(0, 60), NEEDS, st.integers(0, 99), st.dictionaries(st.integers(0, 9), st.integers(0, 30)))
 def test_parts_are_the_whole_and_nobody_starves(whole: int, needs: Any, salt: int, old: Any) -> None:
-    shares = divided(whole, needs, salt, old)
+    shares = divide(whole, needs, salt, old)
     assert sum(shares.values()) == whole and min(shares.values()) >= 0 and shares.keys() == needs.keys()
-    wanted = {n: max(need.units - need.base, 0.0) for n, need in needs.items()}
+    wanted = {n: max(need.units - need.guaranteed_units, 0.0) for n, need in needs.items()}
     needy = [n for n, units in wanted.items() if units > 0]
     for n in needy:
         assert shares[n] >= math.floor(min(wanted[n], 0.25 * whole / len(needy))) - 1
 
 
 def test_what_two_want_goes_by_need_and_worth_and_parts_stay_where_little_changed() -> None:
-    def need(units: float, worth: float = 1.0) -> Need:
-        return Need(units, units, 0, worth)
+    def need(units: float, worth: float = 1.0) -> Demand:
+        return Demand(units, units, 0, worth)
 
-    assert divided(12, {0: need(30), 1: need(30)}) == {0: 6, 1: 6}
-    by_need = divided(40, {0: need(100), 1: need(10)})
+    assert divide(12, {0: need(30), 1: need(30)}) == {0: 6, 1: 6}
+    by_need = divide(40, {0: need(100), 1: need(10)})
     assert by_need[0] > 3 * by_need[1] >= 12
-    by_worth = divided(12, {0: need(30, 8.0), 1: need(30, 1.0)})
+    by_worth = divide(12, {0: need(30, 8.0), 1: need(30, 1.0)})
     assert by_worth[0] > by_worth[1] >= 1
-    spread = [divided(2, {n: need(9) for n in range(3)}, salt) for salt in range(60)]
+    spread = [divide(2, {n: need(9) for n in range(3)}, salt) for salt in range(60)]
     assert all(15 <= sum(share[n] for share in spread) <= 65 for n in range(3))  # not the same two each time
-    old = divided(11, {0: need(20), 1: need(21), 2: need(22)})
-    assert divided(11, {0: need(20.3), 1: need(20.8), 2: need(22)}, old=old) == old
+    old = divide(11, {0: need(20), 1: need(21), 2: need(22)})
+    assert divide(11, {0: need(20.3), 1: need(20.8), 2: need(22)}, previous=old) == old
 
 
 def test_one_that_asks_for_all_and_uses_little_is_believed_little() -> None:
-    hoarder, busy = Need(), Need()
+    hoarder, busy = Demand(), Demand()
     for n in range(20):
-        hoarder.heard(1, 0, 20, 1000, 1.0, 0.2 * n)
-        busy.heard(20, 0, 20, 60, 1.0, 0.2 * n)
+        hoarder.update(1, 0, 20, 1000, 1.0, 0.2 * n)
+        busy.update(20, 0, 20, 60, 1.0, 0.2 * n)
     assert hoarder.units <= 4.0 and busy.units == 60.0
-    shares = divided(40, {0: hoarder, 1: busy})
+    shares = divide(40, {0: hoarder, 1: busy})
     assert shares[1] >= 8 * shares[0]
 
 
 def test_a_need_that_is_over_is_forgotten_within_a_second_or_so() -> None:
-    need = Need()
-    need.heard(50, 0, 50, 80, 1.0, 0.0)
+    need = Demand()
+    need.update(50, 0, 50, 80, 1.0, 0.0)
     assert need.units == 80.0
-    need.heard(0, 0, 50, 0, 1.0, 1.5)
+    need.update(0, 0, 50, 0, 1.0, 1.5)
     assert need.units < 5.0
 
 
@@ -173,25 +187,25 @@
 def pair(
     units: int = 8, kept: float = 0.25, span: float = 0.0
 ) -> tuple[AllocationLedger, list[LocalBudgets], Budget]:
-    whole = Budget("w", units, span, span or 1.0 + DOUBT)
+    whole = Budget("w", units, span, span or 1.0 + ABANDONED_ATTEMPT_TIMEOUT_S)
     purses = [LocalBudgets(n, 2, kept, 1.0, -10.0) for n in range(2)]
     for purse in purses:
-        purse.planned([whole], 0.0)
+        purse.set_budgets([whole], 0.0)
     ledger = AllocationLedger(0, 2, 1, 1, kept, 1.0, 0.0)
-    ledger.planned([whole])
+    ledger.set_budgets([whole])
     return ledger, purses, whole
 
 
 def pocket(purse: LocalBudgets) -> LocalBudget:
-    return next(iter(purse.pockets.values()))
+    return next(iter(purse.budgets.values()))
 
 
 def tell(ledger: AllocationLedger, purses: list[LocalBudgets], now: float, who: Any = (0, 1)) -> None:
     for n in who:
-        for report in purses[n].reports(0, 1, 1, now):
-            answer = ledger.reported(n, report, now)
+        for report in purses[n].make_reports(0, 1, 1, now):
+            answer = ledger.handle_report(n, report, now)
             if answer is not None:
-                purses[n].answered(0, answer, now)
+                purses[n].handle_answer(0, answer, now)
 
 
 def test_all_of_a_whole_can_be_used_and_not_one_unit_more() -> None:
@@ -199,11 +213,11 @@
     for n in range(1, 12):
         pocket(purses[0]).waiting.update(map(str, range(9)))
         tell(ledger, purses, 0.2 * n)
-        while pocket(purses[0]).room(0.2 * n):
-            purses[0].take(pocket(purses[0]), 0.2 * n)
-    used = [pocket(p).used(2.2) for p in purses]
-    assert sum(pocket(p).most(2.2) for p in purses) == 8 and used[0] >= 6
-    assert ledger.free(next(iter(ledger.books.values())), 2.2) == 0
+        while pocket(purses[0]).has_room(0.2 * n):
+            purses[0].acquire(pocket(purses[0]), 0.2 * n)
+    used = [pocket(p).used_units(2.2) for p in purses]
+    assert sum(pocket(p).max_units(2.2) for p in purses) == 8 and used[0] >= 6
+    assert ledger.free_units(next(iter(ledger.allocations.values())), 2.2) == 0
 
 
 def test_a_part_ends_with_its_lease_and_its_commands_go_on_until_they_are_called_off() -> None:
@@ -211,37 +225,44 @@
     for n in range(1, 6):
         pocket(purses[1]).waiting.update(map(str, range(9)))
         tell(ledger, purses, 0.2 * n)
-        while pocket(purses[1]).room(0.2 * n):
-            purses[1].take(pocket(purses[1]), 0.2 * n)
+        while pocket(purses[1]).has_room(0.2 * n):
+            purses[1].acquire(pocket(purses[1]), 0.2 * n)
     mine = pocket(purses[1])
-    out = mine.used(1.0)
+    out = mine.used_units(1.0)
     assert out > 1 and purses[1].overdue(1.0) == []
-    assert mine.most(2.1) == mine.base == 1 and mine.used(2.1) == out and not mine.room(2.1)
+    assert (
+        mine.max_units(2.1) == mine.guaranteed_units == 1
+        and mine.used_units(2.1) == out
+        and not mine.has_room(2.1)
+    )
     assert purses[1].overdue(2.5) == []
-    late = 2.0 + whole.settle
+    late = 2.0 + whole.settle_s
     assert purses[1].overdue(late) == [(mine, out - 1)]
     tell(ledger, purses, late, who=[0])  # what it held is free by then
     for n in range(1, 8):
         pocket(purses[0]).waiting.update(map(str, range(9)))
         tell(ledger, purses, late + 0.2 * n, who=[0])
-    assert pocket(purses[0]).most(late + 1.4) == 7
+    assert pocket(purses[0]).max_units(late + 1.4) == 7
 
 
 def test_a_unit_whose_command_may_run_on_is_not_free_for_a_while() -> None:
     _, purses, _ = pair()
     mine = pocket(purses[0])
-    assert purses[0].take(mine, 0.0) == math.inf  # of its base
-    purses[0].give_back(mine, 0.5, True)
-    assert mine.used(0.5) == mine.used(0.5 + DOUBT - 0.01) == 1 and mine.used(0.5 + DOUBT + 0.01) == 0
+    assert purses[0].acquire(mine, 0.0) == math.inf  # of its base
+    purses[0].release(mine, 0.5, True)
+    assert (
+        mine.used_units(0.5) == mine.used_units(0.5 + ABANDONED_ATTEMPT_TIMEOUT_S - 0.01) == 1
+        and mine.used_units(0.5 + ABANDONED_ATTEMPT_TIMEOUT_S + 0.01) == 0
+    )
 
 
 def test_a_rate_is_no_more_than_its_burst_in_any_window() -> None:
     purse = LocalBudgets(0, 1, None, 1.0, -10.0)
-    purse.planned([Budget("r", 5, 1.0, 1.0)], 0.0)
+    purse.set_budgets([Budget("r", 5, 1.0, 1.0)], 0.0)
     mine, times, now = pocket(purse), list[float](), 0.0
     while now < 20.0:
-        if mine.room(now):
-            purse.take(mine, now)
+        if mine.has_room(now):
+            purse.acquire(mine, now)
             times.append(now)
         now += 0.01
     assert len(times) > 90
@@ -258,51 +279,51 @@
     ledger, purses, whole = pair(16)
     for n in range(1, 5):
         wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).most(0.8) for p in purses) == 16
-    purses[1].planned([Budget("w", 8, 0.0, whole.settle)], 0.8)  # its file was changed first
+    assert sum(pocket(p).max_units(0.8) for p in purses) == 16
+    purses[1].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 0.8)  # its file was changed first
     for n in range(5, 10):
         wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).most(1.8) for p in purses) == 8
-    purses[0].planned([Budget("w", 8, 0.0, whole.settle)], 1.8)
-    ledger.planned([Budget("w", 8, 0.0, whole.settle)])
-    purses[0].planned([Budget("w", 24, 0.0, whole.settle)], 1.9)  # and up again, at one of them
-    ledger.planned([Budget("w", 24, 0.0, whole.settle)])
+    assert sum(pocket(p).max_units(1.8) for p in purses) == 8
+    purses[0].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 1.8)
+    ledger.set_budgets([Budget("w", 8, 0.0, whole.settle_s)])
+    purses[0].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 1.9)  # and up again, at one of them
+    ledger.set_budgets([Budget("w", 24, 0.0, whole.settle_s)])
     for n in range(10, 14):
         wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).most(2.6) for p in purses) == 8
-    purses[1].planned([Budget("w", 24, 0.0, whole.settle)], 2.6)
+    assert sum(pocket(p).max_units(2.6) for p in purses) == 8
+    purses[1].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 2.6)
     for n in range(14, 19):
         wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).most(3.6) for p in purses) == 24
+    assert sum(pocket(p).max_units(3.6) for p in purses) == 24
 
 
 def test_files_that_disagree_are_found() -> None:
     ledger = AllocationLedger(0, 3, 1, 1, 0.25, 1.0, 0.0)
-    ledger.planned([Budget("w", 8, 0.0, 1.0)])
+    ledger.set_budgets([Budget("w", 8, 0.0, 1.0)])
     for n, digest in enumerate([5, 5, 6]):
-        ledger.reported(n, Report(1, 1, 1, 1, 3, digest, False, 0, ()), 0.1)
-    assert ledger.disagree() == [2]
+        ledger.handle_report(n, BudgetReport(1, 1, 1, 1, 3, digest, False, 0, ()), 0.1)
+    assert ledger.disagreeing_members() == [2]
 
 
 def test_forged_entries_and_numbers_cost_nothing() -> None:
     ledger, purses, _ = pair()
     wanted(ledger, purses, 0.1)
     wanted(ledger, purses, 0.2)
-    before = dict(next(iter(ledger.shown(0.3).values())))
-    huge = Entry(3, 1, 1 << 30, 1 << 30, 1 << 30, 1.0, 1 << 30, 1 << 30, 0)
-    ledger.reported(1, Report(1, 1, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
-    ledger.reported(9, Report(1, 1, 1, 99, 1, 1, False, 0, ()), 0.3)
-    ledger.reported(1, Report(1, 77, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
-    assert dict(next(iter(ledger.shown(0.3).values()))) == before and len(ledger.books) == 1
+    before = dict(next(iter(ledger.snapshots(0.3).values())))
+    huge = BudgetUsage(3, 1, 1 << 30, 1 << 30, 1 << 30, 1.0, 1 << 30, 1 << 30, 0)
+    ledger.handle_report(1, BudgetReport(1, 1, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
+    ledger.handle_report(9, BudgetReport(1, 1, 1, 99, 1, 1, False, 0, ()), 0.3)
+    ledger.handle_report(1, BudgetReport(1, 77, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
+    assert dict(next(iter(ledger.snapshots(0.3).values()))) == before and len(ledger.allocations) == 1
 
 
 def test_budgets_of_engines_that_have_gone_are_forgotten() -> None:
     ledger = AllocationLedger(0, 2, 1, 1, 0.25, 1.0, 0.0)
-    ledger.planned([Budget("w", 8, 0.0, 1.0)])
+    ledger.set_budgets([Budget("w", 8, 0.0, 1.0)])
     for n in range(500):
-        entry = Entry(1000 + n, 0, 0, 0, 0, 1.0, 8, 1, 0)
-        ledger.reported(1, Report(1, 1, 1, n + 1, 1, 1, False, 0, (entry,)), 0.01 * n)
-    assert len(ledger.books) <= 68
+        entry = BudgetUsage(1000 + n, 0, 0, 0, 0, 1.0, 8, 1, 0)
+        ledger.handle_report(1, BudgetReport(1, 1, 1, n + 1, 1, 1, False, 0, (entry,)), 0.01 * n)
+    assert len(ledger.allocations) <= 68
 
 
 # The explorer.
@@ -323,7 +344,7 @@
 def test_whatever_is_drawn_the_engines_never_bear_more_than_a_ledger_that_sees_all(
     draws: list[int], span: float
 ) -> None:
-    world = World([Budget("w", 5, span, span or 0.5 + DOUBT)] * 3, [0.99, 1.01, 1.0])
+    world = World([Budget("w", 5, span, span or 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S)] * 3, [0.99, 1.01, 1.0])
     world.moves_right(0)
     for draw in draws:
         moves = list(world.moves((0.05, 0.3, 0.9)[draw % 3]))
@@ -336,11 +357,11 @@
 
 
 def nothing_unknown(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(AllocationLedger, "_unknown", lambda self, book, now: 0)
+    patch.setattr(AllocationLedger, "_unreported_units", lambda self, book, now: 0)
 
 
 def told_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger_module.MemberAccount, "most", property(lambda self: self.held))
+    patch.setattr(ledger_module.MemberAccount, "max_units", property(lambda self: self.held_units))
 
 
 def free_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -353,48 +374,48 @@
 
 
 def lease_from_arrival(patch: pytest.MonkeyPatch) -> None:
-    answered = LocalBudgets.answered
+    answered = LocalBudgets.handle_answer
 
-    def late(self: LocalBudgets, by: int, answer: Answer, now: float) -> bool:
-        self.tokens = {token: (now, said) for token, (_, said) in self.tokens.items()}
+    def late(self: LocalBudgets, by: int, answer: BudgetAnswer, now: float) -> bool:
+        self.open_reports = {token: (now, said) for token, (_, said) in self.open_reports.items()}
         return answered(self, by, answer, now)
 
-    patch.setattr(LocalBudgets, "answered", late)
+    patch.setattr(LocalBudgets, "handle_answer", late)
 
 
 def older_grants_count(patch: pytest.MonkeyPatch) -> None:
-    answered = LocalBudgets.answered
+    answered = LocalBudgets.handle_answer
 
-    def anyhow(self: LocalBudgets, by: int, answer: Answer, now: float) -> bool:
-        for one in self.pockets.values():
-            one.serial = 0
+    def anyhow(self: LocalBudgets, by: int, answer: BudgetAnswer, now: float) -> bool:
+        for one in self.budgets.values():
+            one.grant_serial = 0
         return answered(self, by, answer, now)
 
-    patch.setattr(LocalBudgets, "answered", anyhow)
+    patch.setattr(LocalBudgets, "handle_answer", anyhow)
 
 
 def base_at_once(patch: pytest.MonkeyPatch) -> None:
-    planned = LocalBudgets.planned
+    planned = LocalBudgets.set_budgets
 
     def at_once(self: LocalBudgets, wholes: list[Budget], now: float) -> None:
-        self.began = -100.0
+        self.started_at = -100.0
         planned(self, wholes, now)
 
-    patch.setattr(LocalBudgets, "planned", at_once)
+    patch.setattr(LocalBudgets, "set_budgets", at_once)
 
 
 def no_doubt(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(purse_module, "DOUBT", 0.0)
+    patch.setattr(purse_module, "ABANDONED_ATTEMPT_TIMEOUT_S", 0.0)
 
 
 def any_reign(patch: pytest.MonkeyPatch) -> None:
-    reported = AllocationLedger.reported
+    reported = AllocationLedger.handle_report
 
-    def anyway(self: AllocationLedger, by: int, report: Report, now: float) -> Any:
-        self.reign = report.reign
+    def anyway(self: AllocationLedger, by: int, report: BudgetReport, now: float) -> Any:
+        self.term = report.leader_term
         return reported(self, by, report, now)
 
-    patch.setattr(AllocationLedger, "reported", anyway)
+    patch.setattr(AllocationLedger, "handle_report", anyway)
 
 
 @pytest.mark.parametrize(
@@ -424,12 +445,16 @@
         (budget "acme" (tenant "acme") (rate 5)))"""
     terms = sections_of(text)["budgets"]
     plan = BudgetCatalog(terms, {"look": 0, "report": 1}, {"acme": 0}, [12.0])
-    assert [(n.whole.name, n.whole.units, n.whole.span) for n in plan.named] == [
+    assert [(n.budget.name, n.budget.units, n.budget.window_s) for n in plan.scoped_budgets] == [
         ("named month-end", 40, 0.0),
         ("named acme", 5, 1.0),
     ]
-    assert plan.named[0].covers(1, 0) and not plan.named[0].covers(0, 0) and plan.named[1].covers(0, 0)
-    assert plan.tenants[0].units == 12 and plan.version == 4
+    assert (
+        plan.scoped_budgets[0].covers(1, 0)
+        and not plan.scoped_budgets[0].covers(0, 0)
+        and plan.scoped_budgets[1].covers(0, 0)
+    )
+    assert plan.tenant_budgets[0].units == 12 and plan.config_version == 4
     for bad, what in (
         ('(budgets (budget "x" (out 4)))', "'profile', 'tenant' or both"),
         ('(budgets (budget "x" (profile "y")))', "either 'out' or 'rate'"),
@@ -443,15 +468,15 @@
         assert err.value.line == 1 and err.value.column > 1
     assert BudgetCatalog(
         sections_of('(budgets (budget "x" (profile "no") (out 4)))')["budgets"], {}, {}
-    ).unknown == ["x"]
+    ).unmatched_names == ["x"]
 
 
 def test_a_rate_below_one_in_its_window_is_counted_over_a_longer_one() -> None:
     plan = BudgetCatalog(
         sections_of('(budgets (budget "x" (tenant "a") (rate 0.3)))')["budgets"], {}, {"a": 0}
     )
-    whole = plan.named[0].whole
-    assert whole.units == 1 and whole.units / whole.span <= 0.3
+    whole = plan.scoped_budgets[0].budget
+    assert whole.units == 1 and whole.units / whole.window_s <= 0.3
 
 
 # What the decisions ask.
@@ -534,7 +559,7 @@
         for wait in shed
     )
     assert len(desk.sent) + len(desk.over) + len(desk.scheduler.pending) == 12
-    assert desk.holder.refused == len(desk.over)
+    assert desk.holder.refused_count == len(desk.over)
 
 
 def test_a_tenants_share_is_what_its_budget_says(still: None) -> None:
@@ -575,7 +600,7 @@
     cores = Settings(SETTINGS).fleet.cores_by_kind[0]
     desk = Desk(f"(budgets (lines-per-core {2 / cores}) (tenants off))", engines=1)
     share = BoundedSemaphore(8)
-    counted = Counted(share, desk.holder, "s-0")
+    counted = BudgetedConnectionLimit(share, desk.holder, "s-0")
     assert counted.acquire(blocking=False) and counted.acquire(blocking=False)
     assert not counted.acquire(blocking=False) and share.counter == 6  # nothing is kept of one that failed
     counted.release()
@@ -597,11 +622,11 @@
                 cmd.on_attempt_end(send.no, how, False, None)
         desk.scheduler.on_timer()
         now = desk.clock
-        assert all(p.used(now) <= p.most(now) for p in desk.purse.pockets.values())
+        assert all(p.used_units(now) <= p.max_units(now) for p in desk.purse.budgets.values())
     for cmd in cmds:
         for send in list(cmd.out):
             cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
         cmd.on_client_disconnect()
     desk.clock += 10.0
-    assert all(p.used(desk.clock) == 0 for p in desk.purse.pockets.values())
-    assert not desk.holder.taken and not any(desk.holder.queues.values())
+    assert all(p.used_units(desk.clock) == 0 for p in desk.purse.budgets.values())
+    assert not desk.holder.acquired and not any(desk.holder.waiting_by_budget.values())
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -12,10 +12,10 @@
 from typer.testing import CliRunner
 
 from marbleworks.__main__ import app
-from marbleworks.budgets.budget_catalog import DOUBT
-from marbleworks.budgets.codec import ENTRIES, Entry, parts
-from marbleworks.budgets.options import BUDGETS
-from marbleworks.budgets.service import EVERY
+from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S
+from marbleworks.budgets.codec import MAX_REPORT_ENTRIES, BudgetUsage, split_usages
+from marbleworks.budgets.options import BUDGETS_SECTION
+from marbleworks.budgets.service import REPORT_INTERVAL_S
 from marbleworks.lab import duties, page, target
 from marbleworks.lab.duties import Duty, Role, Status
 from marbleworks.lab.page import OFF, OVER, UNRUN, Book, PageError, Results, problems, written
@@ -338,16 +338,16 @@
 
 
 def test_the_figures_of_the_code_are_the_codes() -> None:
-    told = {s.name: s.default for s in BUDGETS.settings}
+    told = {s.name: s.default for s in BUDGETS_SECTION.settings}
     assert (told["lease"], told["settle"]) == (target.LEASE, target.SETTLE)
     assert (target.ASKS, target.ANSWER, target.TOLD) == (1 / ASK_EVERY, MOST_ANSWER, TOLD_AFTER)
     assert target.HOMES == MAX_HOME_SETS
     peers = {s.name: s.default for s in PEERS.settings}
     assert (peers["term"], DRIFT) == (target.TERM, target.DRIFT)
-    assert (target.REPORTS, target.QUIET) == (1 / EVERY, DOUBT)
+    assert (target.REPORTS, target.QUIET) == (1 / REPORT_INTERVAL_S, ABANDONED_ATTEMPT_TIMEOUT_S)
     most = 2**16 - 1
-    widest = Entry(2**32 - 1, 2**32 - 1, most, most, most, most / 100, most, most, most)
-    assert len(next(parts([widest] * ENTRIES))) == target.FEWEST
+    widest = BudgetUsage(2**32 - 1, 2**32 - 1, most, most, most, most / 100, most, most, most)
+    assert len(next(split_usages([widest] * MAX_REPORT_ENTRIES))) == target.FEWEST
 
 
 def test_a_formula_multiplies_divides_and_adds() -> None:
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -351,8 +351,11 @@
     before, told = book.datagrams, book.told
     book.round()
     assert (book.told - told, book.datagrams - before) == (8, 16)  # a report and an answer of each
-    pockets = [pocket for purse in book.purses for pocket in purse.pockets.values()]
-    assert all(pocket.units > 0 and pocket.used(book.now) <= pocket.most(book.now) for pocket in pockets)
+    pockets = [pocket for purse in book.purses for pocket in purse.budgets.values()]
+    assert all(
+        pocket.leased_units > 0 and pocket.used_units(book.now) <= pocket.max_units(book.now)
+        for pocket in pockets
+    )
     assert sizes.ledgers((4, 8), 1, seed=1)["ledger_datagrams"] == pytest.approx([40.0, 80.0])
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -183,7 +183,7 @@
 
 
 BARE = peers.Message(peers.MessageType(3), 7)
-REPORT = budgets.Report(
+REPORT = budgets.BudgetReport(
     1_022_000_000_000,
     1_022_000_000_123,
     9,
@@ -192,10 +192,13 @@
     0xDEADBEEF,
     True,
     250,
-    (budgets.Entry(0, 7, 120, 80, 300, 2.25, 4000, 100, 140), budgets.Entry(5, 0, 0, 0, 1, 0.0, 7000, 9, 0)),
+    (
+        budgets.BudgetUsage(0, 7, 120, 80, 300, 2.25, 4000, 100, 140),
+        budgets.BudgetUsage(5, 0, 0, 0, 1, 0.0, 7000, 9, 0),
+    ),
 )
-ANSWER = budgets.Answer(
-    1_022_000_000_123, 9, 65_536, (budgets.Grant(0, 8, 130, 4000), budgets.Grant(5, 1, 0, 70_000))
+ANSWER = budgets.BudgetAnswer(
+    1_022_000_000_123, 9, 65_536, (budgets.BudgetGrant(0, 8, 130, 4000), budgets.BudgetGrant(5, 1, 0, 70_000))
 )
 
 
