--- a/marbleworks/cli/budgets.py
+++ b/marbleworks/cli/budgets.py
@@ -18,11 +18,11 @@
 @app.command("show")
 def show(addresses: list[str] = ADDRESSES) -> None:
     """Print each budget: whole, held, used, free, unreachable, by router."""
-    from marbleworks.budgets.report import shown
+    from marbleworks.budgets.report import render
     from marbleworks.membership.report import HealthQueryError
 
     try:
-        for line in shown(addresses):
+        for line in render(addresses):
             typer.echo(line)
     except HealthQueryError as error:
         raise failure(error) from None
