--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -29,7 +29,7 @@
 )
 from marbleworks.net.statement_parser import table_group
 from marbleworks.net.stream import CloseReason, Stream, StreamClosedError
-from marbleworks.ports import ResultStore
+from marbleworks.ports import PageUnavailable, ResultStore
 from marbleworks.settings import Settings
 
 _MAX_OPEN_PAGE_CALLS = 4  # each holds a page in memory
@@ -39,7 +39,6 @@
 _MAX_DRAIN_BYTES = 1 << 18
 # Reasons for which the router, and not the client, ends the connection.
 _CLOSED_BY_US = (CloseReason.SILENT, CloseReason.MALFORMED, CloseReason.TOO_LONG)
-_BUSY_REASON = "busy"  # of a page that is not read now; the store's other reasons are final
 _BUSY_RETRY_AFTER_S = 1.0
 
 
@@ -363,7 +362,7 @@
         if store.release(call.token, call.tenant):
             self._post_response(Response(request.call_id, None, [b"", {}]))
         else:
-            self._post_error(request.call_id, protocol.failed_error("no such result"))
+            self._post_error(request.call_id, protocol.failed_error(PageUnavailable.UNKNOWN_RESULT.value))
 
     def _handle_page(self, request: Request, store: ResultStore) -> None:
         page_call = protocol.decode_page_call(request.fields, self.settings)
@@ -375,17 +374,16 @@
     def _read_page(self, store: ResultStore, call_id: int, page_call: PageCall) -> None:
         """Runs in its own greenlet until the page has been written or the client has gone."""
         page = store.read_page(page_call.token, page_call.tenant, page_call.number)
-        if isinstance(page, str):
-            if page == _BUSY_REASON:
+        if isinstance(page, PageUnavailable):
+            if page is PageUnavailable.BUSY:
                 error = protocol.rejected_error(_BUSY_RETRY_AFTER_S)
             else:
-                error = protocol.failed_error(page)
+                error = protocol.failed_error(page.value)
             self.post(self._finish_call, Response(call_id, error, None))
             return
-        rows, fields = page
         try:
             delivered = Event()
-            response = Response(call_id, None, [rows, fields])
+            response = Response(call_id, None, [page.rows, page.fields])
             self.post(self._deliver_page, response, store.page_timeout_s, delivered)
             while not delivered.wait(_CLIENT_GONE_POLL_INTERVAL_S) and not self.finished:
                 pass
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from enum import Enum
+from typing import Any, NamedTuple, Protocol
 
 
 class ResultNotStoredError(Exception):
@@ -21,6 +22,29 @@
         self.retry_after_s = retry_after_s
 
 
+class StoredResult(NamedTuple):
+    """A committed result: its first page, and the fields that tell the client how to read the rest."""
+
+    first_page: bytes
+    fields: dict[str, str]
+
+
+class StoredPage(NamedTuple):
+    """A page of a stored result with its fields for the client."""
+
+    rows: bytes
+    fields: dict[str, str]
+
+
+class PageUnavailable(str, Enum):
+    """Why there is no page; the values are in answers to clients."""
+
+    BUSY = "busy"  # now; all others are final
+    UNKNOWN_RESULT = "no such result"  # unknown, expired, released and other tenants' tokens alike
+    UNKNOWN_PAGE = "no such page"
+    LOST = "the result is lost"
+
+
 class ResultWriter(Protocol):
     """Takes the rows of one attempt's result in order.
 
@@ -34,8 +58,8 @@
             ResultNotStoredError: The rows were not taken by then.
         """
 
-    def commit(self, deadline: float) -> tuple[bytes, dict[str, str]]:
-        """Returns the first page and the result's fields for the client once all is durable.
+    def commit(self, deadline: float) -> StoredResult:
+        """Returns once all is durable.
 
         Raises:
             ResultNotStoredError: The result was not durable by the deadline.
@@ -76,8 +100,8 @@
     def reserve(self, tenant: str, profile: str, statement: bytes) -> ResultReservation:
         """Reserves room for the result of a statement, as far as there is any."""
 
-    def read_page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
-        """Returns a page (numbered from 1) and its fields, or the reason why there is none.
+    def read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
+        """Returns a page (numbered from 1), or the reason why there is none.
 
         May block. A page that is returned counts as held in memory until `page_delivered`.
         """
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -22,7 +22,7 @@
 from marbleworks.background.task_runner import OffloadedCall, Steps, TaskRunner, Wait
 from marbleworks.background.threads import Threads
 from marbleworks.net.actor import LOG, clock, spawn
-from marbleworks.ports import ResultNotStoredError
+from marbleworks.ports import PageUnavailable, ResultNotStoredError, StoredPage, StoredResult
 from marbleworks.spool.catalog import USABLE, Catalog, Lifetimes, Result, digest, place
 from marbleworks.spool.disk import Disk
 from marbleworks.spool.record_codec import HEAD_SIZE, CorruptRecordError, Entry, Found, Kind, packed
@@ -40,7 +40,6 @@
 TIGHT = 0.5  # part of the folder's room from which on what is no more is deleted at once
 LOOKS = 0.25  # seconds after which what has ended is looked for at the latest
 SPARE_TIME = 0.02  # seconds kept for telling the client
-UNKNOWN = "no such result"  # one and the same for unknown, expired, released and others' tokens
 Job = tuple[
     "AsyncResult[list[Spot]]", Callable[[], list[Entry]], bool, int | None, Callable[[list[Spot]], None]
 ]
@@ -144,23 +143,23 @@
 
     # What a front asks.
 
-    def read_page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
+    def read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
         if not self.in_hand.acquire(timeout=GIVEN_WITHIN):
-            return "busy"
+            return PageUnavailable.BUSY
         said = self._page(token, tenant, number)
-        if isinstance(said, str):
+        if isinstance(said, PageUnavailable):
             self.in_hand.release()
         return said
 
     def page_delivered(self) -> None:
         self.in_hand.release()
 
-    def _page(self, token: str, tenant: str, number: int) -> tuple[bytes, dict[str, str]] | str:
+    def _page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
         result = self.catalogue.find(token, tenant, clock())
         if result is None:
-            return UNKNOWN
+            return PageUnavailable.UNKNOWN_RESULT
         if not 1 <= number <= result.pages:
-            return "no such page"
+            return PageUnavailable.UNKNOWN_PAGE
         for last in (False, True):
             spot = result.places[number - 1], result.lengths[number - 1]
             try:
@@ -168,20 +167,20 @@
                 break
             except (OSError, CorruptRecordError, KeyError) as err:
                 if self.catalogue.numbers.get(result.number) is not result:
-                    return UNKNOWN  # it ended meanwhile
+                    return PageUnavailable.UNKNOWN_RESULT  # it ended meanwhile
                 if last or spot[0] == result.places[number - 1]:
                     self._lost(result, err)
-                    return "the result is lost"
+                    return PageUnavailable.LOST
         now = clock()
         if self.catalogue.numbers.get(result.number) is not result:
-            return UNKNOWN
+            return PageUnavailable.UNKNOWN_RESULT
         self.catalogue.touch(result, now)
         told = {
             "page": str(number),
             "pages": str(result.pages),
             "until": _unix_ms(self.catalogue.ends(result)),
         }
-        return rows, told
+        return StoredPage(rows, told)
 
     def release(self, token: str, tenant: str) -> bool:
         result = self.catalogue.find(token, tenant, clock())
@@ -577,7 +576,7 @@
         else:
             self.taken += more
 
-    def commit(self, deadline: float) -> tuple[bytes, dict[str, str]]:
+    def commit(self, deadline: float) -> StoredResult:
         self._page(deadline)
         while self.pending:
             self._wait(self.pending.popleft(), deadline)
@@ -594,7 +593,7 @@
             "rows": str(self.rows),
             "until": _unix_ms(keeper.catalogue.ends(result)),
         }
-        return self.first, told
+        return StoredResult(self.first, told)
 
     def _whole(self, result: Result, spots: list[Spot]) -> None:
         """The end is durable. Called before anything else is written."""
