--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -138,7 +138,7 @@
         """Sends by way of the mailbox: two greenlets that write at once would mix their bytes."""
         self.post(self._write, response, 0.0)
 
-    def _post_error(self, call_id: int, error: list[Any]) -> None:
+    def _post_error(self, call_id: int, error: protocol.CallError) -> None:
         self._post_response(Response(call_id, error, None))
 
     def _write(self, response: Response, deadline: float) -> None:
--- a/marbleworks/net/protocol.py
+++ b/marbleworks/net/protocol.py
@@ -118,20 +118,28 @@
     FAILED = "Failed"
 
 
-def invalid_error(reason: str) -> list[Any]:
+@dataclass(frozen=True, slots=True)
+class CallError:
+    """The error that a client gets in place of a result; its fields have the protocol's names."""
+
+    name: ErrorName
+    fields: dict[str, str]
+
+
+def invalid_error(reason: str) -> CallError:
     """Returns the error for a call that cannot be read."""
-    return [ErrorName.INVALID.value, {FIELD_REASON: reason}]
+    return CallError(ErrorName.INVALID, {FIELD_REASON: reason})
 
 
-def failed_error(reason: str) -> list[Any]:
+def failed_error(reason: str) -> CallError:
     """Returns the error for a call that failed for good."""
-    return [ErrorName.FAILED.value, {FIELD_REASON: reason}]
+    return CallError(ErrorName.FAILED, {FIELD_REASON: reason})
 
 
-def rejected_error(retry_after_s: float) -> list[Any]:
+def rejected_error(retry_after_s: float) -> CallError:
     """Returns the error for a call that may be repeated; 0 names no time for that."""
     fields = {FIELD_RETRY_AFTER: str(round(retry_after_s * 1000))} if retry_after_s else {}
-    return [ErrorName.REJECTED.value, fields]
+    return CallError(ErrorName.REJECTED, fields)
 
 
 @dataclass(frozen=True, slots=True)
--- a/marbleworks/net/rpc.py
+++ b/marbleworks/net/rpc.py
@@ -60,12 +60,13 @@
     """The answer to a call: an error or a result, the other is None."""
 
     call_id: int
-    error: list[Any] | None
+    error: protocol.CallError | None
     result: list[Any] | None
 
     def encode(self) -> bytes:
         """Returns the message as it is sent."""
-        data: bytes = msgpack.packb([_RESPONSE, self.call_id, self.error, self.result])
+        error = None if self.error is None else [self.error.name.value, self.error.fields]
+        data: bytes = msgpack.packb([_RESPONSE, self.call_id, error, self.result])
         return data
 
 
