--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -46,9 +46,9 @@
         """The operator's file says so from now on."""
         self.plan = plan
         self.purse.version, self.purse.digest = plan.version, plan.digest
-        self.listed()
+        self.engines_changed()
 
-    def listed(self) -> None:
+    def engines_changed(self) -> None:
         """Engines came or went: what is budgeted for each of them comes and goes too."""
         pockets, engines, rules = self.purse.pockets, self.gateway.engines, self.gateway.rules
         wholes = self.plan.fixed()
@@ -97,25 +97,25 @@
             pocket.worth += self.gateway.request_classes[profile].priority_weight
             self.hurry()
 
-    def wait(self, ref: str, profile: int, tenant: int, patience: float) -> float | None:
+    def admission_wait(self, ref: str, class_index: int, tenant: int, wait_budget_s: float) -> float | None:
         now = clock()
         self.came += 1
-        for pocket in self._named(profile, tenant):
+        for pocket in self._named(class_index, tenant):
             pocket.asked += 1.0
             queue = self.queues.setdefault(pocket.whole.number, set())
             if not queue and pocket.room(now):
                 continue
-            self._wanted(pocket, ref, profile)
+            self._wanted(pocket, ref, class_index)
             pace = pocket.pace(now)
             expected = (len(queue) + 1) / pace if pace else ROUND * (len(queue) + 1)
-            if expected > patience:
+            if expected > wait_budget_s:
                 self.refused += 1
-                self.over(ref)
+                self.stop_waiting(ref)
                 return min(expected, LONGEST)
             queue.add(ref)
         return None
 
-    def within(self, ref: str, tenant: int) -> bool | None:
+    def is_within_quota(self, ref: str, tenant: int) -> bool | None:
         whole = self.plan.tenants.get(tenant)
         if whole is None:
             return None
@@ -130,22 +130,26 @@
             self.hurry()
         return False
 
-    def room(self, ref: str, profile: int, tenant: int, be: int) -> bool:
+    def has_room(self, ref: str, class_index: int, tenant: int, engine_id: int) -> bool:
         now = clock()
-        for pocket in self._named(profile, tenant):
+        for pocket in self._named(class_index, tenant):
             if not pocket.room(now):
-                self._wanted(pocket, ref, profile)
+                self._wanted(pocket, ref, class_index)
                 return False
-        level, cold, unit = self.at.get(be, (None, None, 1.0))
+        level, cold, unit = self.at.get(engine_id, (None, None, 1.0))
         if level is not None and not level.room(now):
-            self._wanted(level, ref, profile)
+            self._wanted(level, ref, class_index)
             return False
-        if cold is not None and self._fresh(be, now) and not cold.room(now, self._cold_units(profile, unit)):
-            self._wanted(cold, ref, profile)
+        if (
+            cold is not None
+            and self._fresh(engine_id, now)
+            and not cold.room(now, self._cold_units(class_index, unit))
+        ):
+            self._wanted(cold, ref, class_index)
             return False
         return True
 
-    def out(self) -> float:
+    def max_in_flight(self) -> float:
         now = clock()
         levels = [level for level, _, _ in self.at.values() if level is not None]
         return sum(level.most(now) for level in levels) if levels else math.inf
@@ -156,7 +160,7 @@
     def _cold_units(self, profile: int, unit: float) -> int:
         return max(math.ceil(self.gateway.mean_work(profile) / unit), 1)
 
-    def further(self, spare: float, earned: float) -> float:
+    def retry_allowance(self, spare: float, earned: float) -> float:
         if self.plan.further is None:
             return earned
         pocket = self.purse.pockets[self.plan.further.number]
@@ -167,36 +171,38 @@
             self.hurry()
         return -1.0
 
-    def cold(self, be: int) -> float | None:
-        cold = self.at.get(be, (None, None, 1.0))[1]
+    def slow_start_share(self, engine_id: int) -> float | None:
+        cold = self.at.get(engine_id, (None, None, 1.0))[1]
         return None if cold is None else cold.most(clock()) / COLD_UNITS
 
-    def take(self, ref: str, send_no: int, profile: int, tenant: int, be: int) -> None:
+    def acquire(self, ref: str, attempt_no: int, class_index: int, tenant: int, engine_id: int) -> None:
         now = clock()
         self.begin_by = math.inf
         levels = []
-        for pocket in [*self._named(profile, tenant), self.at.get(be, (None, None, 1.0))[0]]:
+        for pocket in [*self._named(class_index, tenant), self.at.get(engine_id, (None, None, 1.0))[0]]:
             if pocket is not None:
                 self.begin_by = min(self.begin_by, self.purse.take(pocket, now))
                 if not pocket.whole.span:
                     levels.append(pocket)
-        _, cold, unit = self.at.get(be, (None, None, 1.0))
-        if cold is not None and self._fresh(be, now):
-            self.begin_by = min(self.begin_by, self.purse.take(cold, now, self._cold_units(profile, unit)))
-        if send_no and self.plan.further is not None:
+        _, cold, unit = self.at.get(engine_id, (None, None, 1.0))
+        if cold is not None and self._fresh(engine_id, now):
+            self.begin_by = min(
+                self.begin_by, self.purse.take(cold, now, self._cold_units(class_index, unit))
+            )
+        if attempt_no and self.plan.further is not None:
             self.purse.take(self.purse.pockets[self.plan.further.number], now)
         if levels:
-            self.taken[ref, send_no] = levels, now
-        self.over(ref)
+            self.taken[ref, attempt_no] = levels, now
+        self.stop_waiting(ref)
 
-    def give_back(self, ref: str, send_no: int, doubt: bool) -> None:
+    def release(self, ref: str, attempt_no: int, may_still_run: bool) -> None:
         now = clock()
-        levels, since = self.taken.pop((ref, send_no), ([], now))
+        levels, since = self.taken.pop((ref, attempt_no), ([], now))
         for pocket in levels:
             pocket.held_for(now - since)
-            self.purse.give_back(pocket, now, doubt)
+            self.purse.give_back(pocket, now, may_still_run)
 
-    def over(self, ref: str) -> None:
+    def stop_waiting(self, ref: str) -> None:
         for queue in self.queues.values():
             queue.discard(ref)
 
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -167,7 +167,7 @@
     def _bound(self) -> None:
         """What budgets let out there binds at the door, where turns are fair."""
         if self.gateway.shared_budgets is not None:
-            self.door.window.bound = self.gateway.shared_budgets.out()
+            self.door.window.bound = self.gateway.shared_budgets.max_in_flight()
 
     def _tick(self) -> None:
         self._bound()
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -80,24 +80,24 @@
     def now(self) -> float:
         return self.clock
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        self.sent, self.sent_to = self.sent + 1, be
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        self.sent, self.sent_to = self.sent + 1, engine_id
 
-    def cancel(self, ref: str, send_no: int) -> None: ...
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None: ...
 
-    def set_terms(self, ref: str, priority: int, memory: float) -> None: ...
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None: ...
 
-    def shed(self, ref: str, come_back: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         self.ended += 1
 
     def fail(self, ref: str) -> None:
         self.ended += 1
 
-    def probe(self, be: int) -> None: ...
+    def probe_load(self, engine_id: int) -> None: ...
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def broadcast(self, data: bytes) -> None: ...
 
-    def wake(self, at: float) -> None:
+    def schedule_wakeup(self, at: float) -> None:
         self.wakes = min(self.wakes, at)
 
     def log(self, text: str) -> None: ...
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -155,7 +155,7 @@
                 engine.post(engine.listed, entry.is_up, entry.started_at)
         self.scheduler.update_engines([entry for entry, _ in engines], whole)
         if self.scheduler.shared_budgets is not None:
-            self.scheduler.shared_budgets.listed()
+            self.scheduler.shared_budgets.engines_changed()
         if self.admission is not None:
             self.admission.listed()
 
@@ -194,26 +194,26 @@
     def now(self) -> float:
         return clock()
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        command, engine = self.open_requests[ref], self.engine_clients[be]
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        command, engine = self.open_requests[ref], self.engine_clients[engine_id]
         send = AttemptCall(
-            ref, len(command.engines), command.profile, command.statement, command.memory, until
+            ref, len(command.engines), command.profile, command.statement, command.memory, deadline
         )
         send.tray, send.begin_by, send.wanted = command.tray, begin_by, command.wanted
         command.engines.append(engine)
         engine.post(engine.send, send)
 
-    def cancel(self, ref: str, send_no: int) -> None:
-        engine = self.open_requests[ref].engines[send_no]
-        engine.post(engine.cancel, ref, send_no)
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        engine = self.open_requests[ref].engines[attempt_no]
+        engine.post(engine.cancel, ref, attempt_no)
 
-    def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        self.open_requests[ref].memory = round(memory)  # there is no field for a priority
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
+        self.open_requests[ref].memory = round(memory_mb)  # there is no field for a priority
 
-    def shed(self, ref: str, come_back: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         command = self.open_requests[ref]
         command.over = True
-        command.client.post(command.client.shed, command.call, come_back)
+        command.client.post(command.client.shed, command.call, retry_after_s)
         if self.admission is not None:
             self.post(self.admission.over, ref, True)
         self.post(self._forget, ref)  # the module closes it after this
@@ -224,13 +224,13 @@
         command.client.post(command.client.fail, command.call, "failed")
         self.post(self._forget, ref)
 
-    def probe(self, be: int) -> None:
+    def probe_load(self, engine_id: int) -> None:
         """There is no call that asks an engine for its load: it comes with answers."""
 
-    def tell_peers(self, data: bytes) -> None:
+    def broadcast(self, data: bytes) -> None:
         self.tell(data)
 
-    def wake(self, at: float) -> None:
+    def schedule_wakeup(self, at: float) -> None:
         self.wake_at = min(self.wake_at or at, at)
 
     def log(self, text: str) -> None:
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -79,64 +79,84 @@
 
 
 class SharedBudgets(Protocol):
-    """What this router may use of budgets that it shares with others, as the decisions see it. It says how
-    much; where, whether again and what to shed stay with them. profile, tenant and be are indices."""
+    """What this router may use of the budgets that it shares with others, as the scheduler sees it.
 
-    begin_by: float  # until when the send that was counted last may begin; infinite mostly
+    It says how much may be used; which engine, whether to retry and what to shed stay with the scheduler.
+    class_index, tenant and engine_id are the platform's indices.
+    """
 
-    def wait(self, ref: str, profile: int, tenant: int, patience: float) -> float | None:
-        """None: it may go, or wait its turn within so many seconds; else those after which it may come."""
+    begin_by: float  # the latest start of the attempt that was last acquired; infinite mostly
 
-    def within(self, ref: str, tenant: int) -> bool | None:
-        """Whether its tenant is within its share; None where that is not divided here."""
+    def admission_wait(self, ref: str, class_index: int, tenant: int, wait_budget_s: float) -> float | None:
+        """Returns None if the request may be sent or wait for its turn within wait_budget_s.
 
-    def room(self, ref: str, profile: int, tenant: int, be: int) -> bool:
-        """Whether one more command may be out there."""
+        Otherwise the seconds after which its client may try again.
+        """
 
-    def out(self) -> float:
-        """Commands that may be out at all engines together; infinite where engines have no budget."""
+    def is_within_quota(self, ref: str, tenant: int) -> bool | None:
+        """Returns whether the tenant is within its quota, None where quotas are not divided here."""
 
-    def further(self, spare: float, earned: float) -> float:
-        """So many further sends, in place of those that the router has earned itself."""
+    def has_room(self, ref: str, class_index: int, tenant: int, engine_id: int) -> bool:
+        """Returns whether one more attempt may be in flight at the engine."""
 
-    def cold(self, be: int) -> float | None:
-        """Our part of what a fresh engine bears; None where that is not divided here."""
+    def max_in_flight(self) -> float:
+        """Returns how many requests may be in flight at all engines; infinite if engines have no budget."""
 
-    def take(self, ref: str, send_no: int, profile: int, tenant: int, be: int) -> None: ...
+    def retry_allowance(self, spare: float, earned: float) -> float:
+        """Returns how many retries may be made, in place of those that this router earned by itself."""
 
-    def give_back(self, ref: str, send_no: int, doubt: bool) -> None:
-        """doubt: it may run on at its engine."""
+    def slow_start_share(self, engine_id: int) -> float | None:
+        """Returns our part of what a warming engine bears; None where that is not divided here."""
 
-    def over(self, ref: str) -> None:
-        """It waits no longer."""
+    def acquire(self, ref: str, attempt_no: int, class_index: int, tenant: int, engine_id: int) -> None:
+        """Counts an attempt that is about to start."""
 
-    def listed(self) -> None:
-        """Engines came or went."""
+    def release(self, ref: str, attempt_no: int, may_still_run: bool) -> None:
+        """Counts an attempt as ended. may_still_run: its engine may go on with it."""
+
+    def stop_waiting(self, ref: str) -> None:
+        """The request is completed and waits for no budget."""
+
+    def engines_changed(self) -> None:
+        """Engines were added or removed."""
 
 
 class SchedulerPort(Protocol):
-    """What the decisions ask of the platform. A command is named by the ref it was taken with."""
+    """What the scheduler asks of the platform. A request is named by the ref it was submitted with."""
+
+    def now(self) -> float:
+        """Returns the time in seconds."""
+
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        """Sends a request to an engine; the attempts of one request are numbered from 0.
 
-    def now(self) -> float: ...
+        The platform ends it at the deadline. It withdraws an attempt of which no byte has left by begin_by,
+        whose engine drains or whose client has gone.
+        """
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        """Send to an engine; sends of one command number from 0. Given up by the platform at until. A send
-        of which no byte has left by begin_by, whose engine drains or whose client has gone is withdrawn."""
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        """Cancels an attempt that is in flight."""
 
-    def cancel(self, ref: str, send_no: int) -> None: ...
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
+        """Sets the priority, at once, and the memory of later attempts; 0 leaves that to the engine."""
 
-    def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        """Priority, at once, and memory for sends to come; 0 leaves the memory to the engine."""
+    def shed(self, ref: str, retry_after_s: float) -> None:
+        """Answers that the request was not run and when its client may try again."""
 
-    def shed(self, ref: str, come_back: float) -> None: ...
+    def fail(self, ref: str) -> None:
+        """Answers that the request failed."""
 
-    def fail(self, ref: str) -> None: ...
+    def probe_load(self, engine_id: int) -> None:
+        """Asks an engine for its load; the answer comes to `Scheduler.on_probe_result`."""
 
-    def probe(self, be: int) -> None: ...
+    def broadcast(self, data: bytes) -> None:
+        """Sends a load update to all other routers."""
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def schedule_wakeup(self, at: float) -> None:
+        """Has `Scheduler.on_timer` be called by then.
 
-    def wake(self, at: float) -> None:
-        """Has `awake` be called by then. A platform may keep the earliest wish alone until it has done so."""
+        A platform may keep only the earliest time until it has called it.
+        """
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Writes a line to the router's log."""
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -373,7 +373,9 @@
         cmd.tenant = tenant
         cmd.benefit *= self._within_share(ref, tenant, cmd.taken)
         if wait is None and self.shared_budgets is not None:
-            wait = self.shared_budgets.wait(ref, profile, tenant, cmd.target - self.port.now() - cmd.alone())
+            wait = self.shared_budgets.admission_wait(
+                ref, profile, tenant, cmd.target - self.port.now() - cmd.alone()
+            )
         self.recent_work.append((profile, cmd.work))
         recent(self.takes, self.port.now() - self.rules.retry_budget_window_s).append((self.port.now(), 1.0))
         if cmd.profile.ordered_by_key and key:
@@ -399,7 +401,7 @@
         if cmd.last < self.soonest:
             self.soonest = cmd.last
             if cmd.last < self.waking:
-                self.port.wake(cmd.last)
+                self.port.schedule_wakeup(cmd.last)
         kin = (cmd.index, cmd.work <= self.mark)
         fit = self._fit(cmd, now) if kin not in self.crowded and self._has_turn(cmd, now) else []
         if not fit:
@@ -462,7 +464,7 @@
                 self._watch()
             self.review()
         if min(self.soonest, self.waking) < math.inf:  # of our wishes a platform keeps the first alone
-            self.port.wake(min(self.soonest, self.waking))
+            self.port.schedule_wakeup(min(self.soonest, self.waking))
 
     def give_up(self, cmd: RequestState, wait: float | None = None) -> None:
         """The final answer, at once: shed where a further try is known to do no harm, else failed.
@@ -480,17 +482,17 @@
         cmd.completed = True
         self.pending.pop(cmd.no, None)
         if self.shared_budgets is not None:
-            self.shared_budgets.over(cmd.ref)
+            self.shared_budgets.stop_waiting(cmd.ref)
         if cmd.joined:
             self.graphs[cmd.group].remove(cmd)
             cmd.joined = False
         for send in [s for s in cmd.out if self.rules.allows_cancel and not s.cancelled]:
             send.cancelled = True
-            self.port.cancel(cmd.ref, send.no)
+            self.port.cancel_attempt(cmd.ref, send.no)
 
     def given_back(self, cmd: RequestState, send_no: int, doubt: bool) -> None:
         if self.shared_budgets is not None:
-            self.shared_budgets.give_back(cmd.ref, send_no, doubt)
+            self.shared_budgets.release(cmd.ref, send_no, doubt)
 
     def take_back(self, cmd: RequestState, send: Attempt) -> None:
         """It never left, and counts in no budget."""
@@ -512,7 +514,7 @@
         if (
             self.rules.allows_peer_messages and now > engine.reported + LATELY
         ):  # one router's news serves all of them
-            self.port.tell_peers(engine.mark + bytes([128 * full + min(127, round(32.0 * load))]))
+            self.port.broadcast(engine.mark + bytes([128 * full + min(127, round(32.0 * load))]))
         engine.load, engine.full, engine.reported, engine.heard = load, full, now, now
 
     def on_probe_result(self, be: int, reached: bool, report: LoadReport | None) -> None:
@@ -624,7 +626,10 @@
 
     def _grown(self, engine: EngineState, now: float) -> float:
         """How many times its floor a fresh engine bore when the oldest of what counts now may have left."""
-        if self.shared_budgets is not None and self.shared_budgets.cold(engine.entry.engine_id) is not None:
+        if (
+            self.shared_budgets is not None
+            and self.shared_budgets.slow_start_share(engine.entry.engine_id) is not None
+        ):
             return 1.0
         then = now - self.rules.overload_window_s - self.slack
         return self._warm(engine, then) / max(self.rules.slow_start_floor, 1e-9)
@@ -636,7 +641,11 @@
     def slow_start_share(self, engine: EngineState, now: float) -> float:
         """Our part of what a fresh engine bears at its start. As it warms sponsors are added, each with the
         same part; where all are, their parts grow."""
-        part = None if self.shared_budgets is None else self.shared_budgets.cold(engine.entry.engine_id)
+        part = (
+            None
+            if self.shared_budgets is None
+            else self.shared_budgets.slow_start_share(engine.entry.engine_id)
+        )
         if part is not None or self.place == NONE:
             return part or 0.0
         grown = self._grown(engine, now)
@@ -649,7 +658,7 @@
         if not cmd.asked:
             cmd.asked_at, cmd.asked = now, two
             for engine in cmd.asked:
-                self.port.probe(engine.entry.engine_id)
+                self.port.probe_load(engine.entry.engine_id)
         return now >= cmd.asked_at + BEAT or all(e.reported >= cmd.asked_at for e in cmd.asked)
 
     def _chance(self) -> float:
@@ -682,7 +691,7 @@
             ):
                 return False
         allotment = self.shared_budgets
-        if allotment is not None and not allotment.room(cmd.ref, cmd.index, cmd.tenant, entry.engine_id):
+        if allotment is not None and not allotment.has_room(cmd.ref, cmd.index, cmd.tenant, entry.engine_id):
             return False
         if not self._fresh(engine, now):
             return True
@@ -714,7 +723,7 @@
             else rules.retry_budget_floor + rules.retry_budget_ratio * took
         )
         if self.shared_budgets is not None:
-            earned = self.shared_budgets.further(spare, earned)
+            earned = self.shared_budgets.retry_allowance(spare, earned)
         return not cmd.left or spare * (spent + 1) <= earned
 
     def _repeat_by(self, cmd: RequestState) -> float:
@@ -748,9 +757,9 @@
         self.pending.pop(cmd.no, None)
         priority = 3 if cmd.work <= self.mark else 2 if cmd.profile.is_load else 1
         learned = self.rules.accepts_memory_grants and len(self.needs[cmd.index]) >= SAMPLES // 2
-        self.port.set_terms(cmd.ref, priority, 1.15 * cmd.memory if learned else 0.0)
+        self.port.set_attempt_terms(cmd.ref, priority, 1.15 * cmd.memory if learned else 0.0)
         if self.shared_budgets is not None:
-            self.shared_budgets.take(cmd.ref, cmd.sends, cmd.index, cmd.tenant, engine.entry.engine_id)
+            self.shared_budgets.acquire(cmd.ref, cmd.sends, cmd.index, cmd.tenant, engine.entry.engine_id)
         send, begin_by = Attempt(cmd, cmd.sends, engine, now), self._begin_by(cmd, engine, now)
         if cmd.left:
             send.retry = 1.0
@@ -766,7 +775,7 @@
             engine.loading.append(cmd.group)
         engine.threads += cmd.profile.threads
         engine.memory += cmd.memory
-        self.port.send(cmd.ref, engine.entry.engine_id, cmd.last, begin_by)
+        self.port.start_attempt(cmd.ref, engine.entry.engine_id, cmd.last, begin_by)
 
     def heard_well(self, engine: EngineState, report: LoadReport | None) -> None:
         engine.heard, engine.refuses = self.port.now(), False
@@ -836,7 +845,7 @@
         if fit:
             self._send(cmd, self._two(cmd, fit, now)[0], now)
             send.cancelled = True
-            self.port.cancel(cmd.ref, send.no)
+            self.port.cancel_attempt(cmd.ref, send.no)
         return bool(fit)
 
     def mean_work(self, profile: int) -> float:
@@ -845,7 +854,7 @@
 
     def _within_share(self, ref: str, tenant: int, now: float) -> float:
         """What a tenant's commands are worth at its present rate."""
-        within = None if self.shared_budgets is None else self.shared_budgets.within(ref, tenant)
+        within = None if self.shared_budgets is None else self.shared_budgets.is_within_quota(ref, tenant)
         if within is not None:
             return 1.0 if within else self.rules.over_quota_weight
         times = self.tenant_takes[tenant] if 0 <= tenant < len(self.tenant_takes) else deque(maxlen=0)
@@ -859,4 +868,4 @@
     def _wake(self, at: float) -> None:
         if at < self.waking:
             self.waking = at
-            self.port.wake(at)
+            self.port.schedule_wakeup(at)
--- a/marbleworks/simulation/__main__.py
+++ b/marbleworks/simulation/__main__.py
@@ -44,28 +44,30 @@
 
     # What the gateway asks for.
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        self.out.append(action("relay", handle=ref, cut_at_ms=ms(until), engine=self.addresses[be]))
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        self.out.append(action("relay", handle=ref, cut_at_ms=ms(deadline), engine=self.addresses[engine_id]))
 
-    def cancel(self, ref: str, send_no: int) -> None:
-        self.out.append(action("revoke", handle=ref, seq_no=send_no))
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        self.out.append(action("revoke", handle=ref, seq_no=attempt_no))
 
-    def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        self.out.append(action("tune", handle=ref, rank=priority, allot_mb=f"{memory:.0f}"))
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
+        self.out.append(action("tune", handle=ref, rank=priority, allot_mb=f"{memory_mb:.0f}"))
 
-    def shed(self, ref: str, come_back: float) -> None:
-        self.out.append(action("refuse", handle=ref, retry_after_ms=ms(come_back) if come_back else None))
+    def shed(self, ref: str, retry_after_s: float) -> None:
+        self.out.append(
+            action("refuse", handle=ref, retry_after_ms=ms(retry_after_s) if retry_after_s else None)
+        )
 
     def fail(self, ref: str) -> None:
         self.out.append(action("report_failure", handle=ref))
 
-    def probe(self, be: int) -> None:
-        self.out.append(action("poll", engine=self.addresses[be]))
+    def probe_load(self, engine_id: int) -> None:
+        self.out.append(action("poll", engine=self.addresses[engine_id]))
 
-    def tell_peers(self, data: bytes) -> None:
+    def broadcast(self, data: bytes) -> None:
         self.out.append(action("say", whom=-1, body=data.hex() or "-"))
 
-    def wake(self, at: float) -> None:
+    def schedule_wakeup(self, at: float) -> None:
         if at < self.due:
             self.due = at
             self.out.append(action("wake_me", ctx=0, due_at_ms=ms(at)))
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -452,16 +452,16 @@
         self.scheduler.shared_budgets = self.holder
         entries = [EngineEntry(n, f"s-{n}", 0, 0, 0, EngineStatus.UP, 0.0) for n in range(engines)]
         self.scheduler.update_engines(entries, True)
-        self.holder.listed()
+        self.holder.engines_changed()
 
     def now(self) -> float:
         return self.clock
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        self.sent.append((ref, be))
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        self.sent.append((ref, engine_id))
 
-    def shed(self, ref: str, come_back: float) -> None:
-        self.over.append((ref, come_back))
+    def shed(self, ref: str, retry_after_s: float) -> None:
+        self.over.append((ref, retry_after_s))
 
     def fail(self, ref: str) -> None:
         self.over.append((ref, -1.0))
@@ -489,7 +489,7 @@
         and not desk.over
     )
     first = next(cmd for cmd in cmds if cmd.ref == desk.sent[0][0])
-    first.answered(0, None, None)
+    first.on_answer(0, None, None)
     assert len(desk.sent) == 5 and desk.sent[4][1] == desk.sent[0][1]
 
 
@@ -519,12 +519,12 @@
     desk = Desk("(budgets (further 2) (tenants off))", engines=4)
     cmds = [desk.take(f"{n:x}") for n in range(6)]
     for cmd in cmds:
-        cmd.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+        cmd.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     again = [cmd for cmd in cmds if cmd.sends == 2]
     assert len(again) == 2 and len(desk.sent) == 8
     desk.clock += 1.1
     late = desk.take("f")
-    late.ended(0, AttemptOutcome.UNREACHABLE, False, None)
+    late.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     assert late.sends == 2
 
 
@@ -532,8 +532,8 @@
     desk = Desk("(budgets (cold on) (tenants off))", engines=0)
     desk.scheduler.began = 0.0
     desk.scheduler.update_engines([EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, desk.clock - 0.1)], True)
-    desk.holder.listed()
-    assert desk.holder.cold(0) == 1.0  # alone it has all of it
+    desk.holder.engines_changed()
+    assert desk.holder.slow_start_share(0) == 1.0  # alone it has all of it
     for n in range(200):
         desk.take(f"{n:x}")
     rules, engine = desk.scheduler.rules, desk.scheduler.engines[0]
@@ -562,16 +562,16 @@
             send = cmd.out[0]
             how = chance.choice(list(AttemptOutcome))
             if chance.random() < 0.7:
-                cmd.answered(send.no, None, None)
+                cmd.on_answer(send.no, None, None)
             else:
-                cmd.ended(send.no, how, False, None)
+                cmd.on_attempt_end(send.no, how, False, None)
         desk.scheduler.on_timer()
         now = desk.clock
         assert all(p.used(now) <= p.most(now) for p in desk.purse.pockets.values())
     for cmd in cmds:
         for send in list(cmd.out):
-            cmd.ended(send.no, AttemptOutcome.ERROR, True, None)
-        cmd.client_left()
+            cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
+        cmd.on_client_disconnect()
     desk.clock += 10.0
     assert all(p.used(desk.clock) == 0 for p in desk.purse.pockets.values())
     assert not desk.holder.taken and not any(desk.holder.queues.values())
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -48,10 +48,10 @@
     def may_have_run(self, ref: str) -> list[dict[str, Any]]:
         return [s for s in self.of(ref) if s["how"] is None or not s["how"].never_ran]
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
         take, now = self.takes[ref], self.clock
         p, earlier, doubtful = take["profile"], self.of(ref), self.may_have_run(ref)
-        listed, started, kind = self.lists[be]
+        listed, started, kind = self.lists[engine_id]
         assert not take["over"] and now < take["deadline"], "sent for a command that is over"
         assert listed is EngineStatus.UP, "sent to an engine that drains or is gone"
         assert p.allowed_machine_kinds is None or kind in p.allowed_machine_kinds, "placement"
@@ -88,13 +88,15 @@
             assert (
                 spent <= RULES.retry_budget_floor + RULES.retry_budget_ratio * took
             ), "budget of further sends"
-        send = {"ref": ref, "no": len(earlier), "be": be, "at": now, "how": None, "further": further}
+        send = {"ref": ref, "no": len(earlier), "be": engine_id, "at": now, "how": None, "further": further}
         send["by"] = begin_by
         self.sends.append(send)
         if started > 0 and now < started + RULES.slow_start_s:
             # Every command of a profile weighs the same, and no share of the other router is used up.
-            since_start = self.sends[self.before_start[be] :]
-            here = [s for s in since_start if s["be"] == be and s["by"] >= now - RULES.overload_window_s]
+            since_start = self.sends[self.before_start[engine_id] :]
+            here = [
+                s for s in since_start if s["be"] == engine_id and s["by"] >= now - RULES.overload_window_s
+            ]
             left = [s for s in here if s["how"] is None or not s["how"].never_sent]
             weights = [self.takes[s["ref"]]["usual"] for s in left]
             age = (
@@ -109,7 +111,7 @@
         assert self.clock <= self.takes[ref]["deadline"] + 0.02, "the final answer is late"
         self.takes[ref]["over"] = True
 
-    def shed(self, ref: str, come_back: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         effect = self.takes[ref]["profile"].idempotency
         assert effect is not Idempotency.NON_IDEMPOTENT or not self.may_have_run(
             ref
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -65,7 +65,7 @@
 def test_a_send_says_by_when_it_must_begin() -> None:
     """Found by reading: mail, descriptors and connections kept sends past what had allowed them."""
     stage, by = Stage(rules=replace(RULES, retry_budget_ratio=None, max_attempts=4)), list[float]()
-    stage.port.send = lambda ref, be, until, begin: by.append(begin - stage.port.clock)  # type: ignore[method-assign]
+    stage.port.start_attempt = lambda ref, be, until, begin: by.append(begin - stage.port.clock)  # type: ignore[method-assign]
     stage.take(left=9.0)  # a first send, to an engine that has long been there: as long as it can be answered
     cmd = stage.take(UNIQUED, left=9.0, group=2)
     stage.port.clock += 0.5
@@ -576,7 +576,7 @@
 def test_a_send_leaves_time_to_tell_the_client() -> None:
     """Found on sockets at a full core: outcomes at the very end reached the client too late."""
     stage, untils = Stage(), list[float]()
-    stage.port.send = lambda ref, be, until, by: untils.append(until - stage.port.clock)  # type: ignore[method-assign]
+    stage.port.start_attempt = lambda ref, be, until, by: untils.append(until - stage.port.clock)  # type: ignore[method-assign]
     for left in (0.5, 20.0):
         stage.take(left=left)
     assert untils == pytest.approx([0.47, 19.97])
@@ -655,7 +655,7 @@
 def test_a_router_short_of_cpu_keeps_more_time_for_telling() -> None:
     """Found on a calm day of 900 commands a second: 33 of 63,000 outcomes reached their clients too late."""
     stage, untils = Stage(), list[float]()
-    stage.port.send = lambda ref, be, until, by: untils.append(until - stage.port.clock)  # type: ignore[method-assign]
+    stage.port.start_attempt = lambda ref, be, until, by: untils.append(until - stage.port.clock)  # type: ignore[method-assign]
     stage.take(left=6.0)
     stage.take(left=6.0, waited=0.1)
     stage.take(left=6.0)
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -81,28 +81,28 @@
     def now(self) -> float:
         return self.clock
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        self.asked.append(("send", ref, be))
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        self.asked.append(("send", ref, engine_id))
 
-    def cancel(self, ref: str, send_no: int) -> None:
-        self.asked.append(("cancel", ref, send_no))
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        self.asked.append(("cancel", ref, attempt_no))
 
-    def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        self.asked.append(("terms", ref, priority, memory))
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
+        self.asked.append(("terms", ref, priority, memory_mb))
 
-    def shed(self, ref: str, come_back: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         self.asked.append(("shed", ref))
 
     def fail(self, ref: str) -> None:
         self.asked.append(("fail", ref))
 
-    def probe(self, be: int) -> None:
-        self.asked.append(("probe", be))
+    def probe_load(self, engine_id: int) -> None:
+        self.asked.append(("probe", engine_id))
 
-    def tell_peers(self, data: bytes) -> None:
+    def broadcast(self, data: bytes) -> None:
         self.asked.append(("tell", data))
 
-    def wake(self, at: float) -> None:
+    def schedule_wakeup(self, at: float) -> None:
         self.asked.append(("wake", at))
         self.due = min(self.due, at)
 
