--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -507,16 +507,16 @@
         self.scheduler.shared_budgets = self.holder
         entries = [EngineEntry(n, f"s-{n}", 0, 0, 0, EngineStatus.UP, 0.0) for n in range(engines)]
         self.scheduler.update_engines(entries, True)
-        self.holder.listed()
+        self.holder.engines_changed()
 
     def now(self) -> float:
         return self.clock
 
-    def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        self.sent.append((ref, be))
+    def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        self.sent.append((ref, engine_id))
 
-    def shed(self, ref: str, come_back: float) -> None:
-        self.over.append((ref, come_back))
+    def shed(self, ref: str, retry_after_s: float) -> None:
+        self.over.append((ref, retry_after_s))
 
     def fail(self, ref: str) -> None:
         self.over.append((ref, -1.0))
@@ -587,8 +587,8 @@
     desk = Desk("(budgets (cold on) (tenants off))", engines=0)
     desk.scheduler.began = 0.0
     desk.scheduler.update_engines([EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, desk.clock - 0.1)], True)
-    desk.holder.listed()
-    assert desk.holder.cold(0) == 1.0  # alone it has all of it
+    desk.holder.engines_changed()
+    assert desk.holder.slow_start_share(0) == 1.0  # alone it has all of it
     for n in range(200):
         desk.take(f"{n:x}")
     rules, engine = desk.scheduler.rules, desk.scheduler.engines[0]
