--- a/marbleworks/budgets/codec.py
+++ b/marbleworks/budgets/codec.py
@@ -1,7 +1,7 @@
-"""The bytes of what routers tell the one that divides of their budgets, and of its answers. No I/O, no clock.
+"""Datagrams by which routers report their use of budgets and the granter answers. No I/O, no clock.
 
-It owns the format, sealed as the group's other datagrams are. An entry is a row of numbers; what a later
-version adds behind is passed over.
+Each is sealed as the group's other datagrams are (`membership/codec.py`). A usage or a grant is a row of
+numbers; numbers that a later version adds behind them are ignored.
 """
 
 from __future__ import annotations
@@ -14,16 +14,27 @@
 from marbleworks.membership.codec import MOST, Format, count, read_strictly, seal, unseal
 
 FORMAT = Format(0xD2, 1, 1)
-MAX_REPORT_ENTRIES = 14  # of a report at most
-TYPICAL_HEAD_BYTES = 72  # bytes that a report without its entries is taken for, unless its numbers need more
-PRIORITY_WEIGHT_SCALE = 100.0  # parts of one in which worth is told
+MAX_REPORT_ENTRIES = 14
+TYPICAL_HEAD_BYTES = 72  # of a report without usages; larger numbers than usual may need more
+PRIORITY_WEIGHT_SCALE = 100.0  # a priority weight is sent as hundredths
+MAX_PRIORITY_WEIGHT = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetUsage:
-    """What a router says of one budget. serial: of the grant that it has, of the divider it tells this. held:
-    units beyond its base that it may use or uses still; had: the same, with a part that ran out just now.
-    whole, base: by its own file."""
+    """What a member reports of one budget.
+
+    Attributes:
+        budget_id: of the budget.
+        grant_serial: of the last grant that it has from the granter it reports to; 0: none.
+        held_units: beyond its guaranteed units: what it may use or still uses.
+        used_units: in use.
+        wanted_units: that it would use if it had them.
+        priority_weight: the mean of the requests that wait.
+        total_units: the budget's total by its own configuration.
+        guaranteed_units: by its own configuration.
+        held_or_lapsed_units: held_units, or those of a lease that expired just now if they are more.
+    """
 
     budget_id: int
     grant_serial: int
@@ -38,8 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetReport:
-    """start: the teller's. to_start, reign: of the divider it is meant for, and of its present right, as far
-    as the teller knows. token: echoed by the answer. version, digest: of its file."""
+    """A member's report to the granter.
+
+    Attributes:
+        incarnation: of the member.
+        leader_incarnation: of the granter that it is meant for.
+        leader_term: the granter's term as far as the member knows; 0: unknown.
+        token: comes back in the answer.
+        config_version: of the member's configuration.
+        config_digest: of the member's configuration.
+        is_leaving: the member wants nothing more.
+        age_ms: since the member began or joined.
+        usages: of the budgets that it has anything to report of.
+    """
 
     incarnation: int
     leader_incarnation: int
@@ -54,7 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetGrant:
-    """whole: the smallest that any router tells; a base follows no larger one."""
+    """What a member may use of one budget beyond its guaranteed units, for the time of a lease.
+
+    Attributes:
+        budget_id: of the budget.
+        serial: larger than that of each earlier grant of the same term.
+        leased_units: in place of those of the grant before.
+        agreed_total: the smallest total that any member reports; guaranteed units follow no larger one.
+    """
 
     budget_id: int
     serial: int
@@ -64,7 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetAnswer:
-    """start, reign: of the divider. Without grants where the report was not of this reign."""
+    """The granter's answer to a report; without grants where the report was not meant for this term.
+
+    Attributes:
+        leader_incarnation: of the granter.
+        leader_term: of the granter.
+        token: of the report.
+        grants: for the usages of the report.
+    """
 
     leader_incarnation: int
     leader_term: int
@@ -72,77 +108,115 @@
     grants: tuple[BudgetGrant, ...]
 
 
-def _usage_row(e: BudgetUsage) -> list[int]:
+def _usage_row(usage: BudgetUsage) -> list[int]:
     return [
-        e.budget_id,
-        e.grant_serial,
-        e.held_units,
-        e.used_units,
-        e.wanted_units,
-        round(PRIORITY_WEIGHT_SCALE * min(e.priority_weight, 1e6)),
-        e.total_units,
-        e.guaranteed_units,
-        e.held_or_lapsed_units,
+        usage.budget_id,
+        usage.grant_serial,
+        usage.held_units,
+        usage.used_units,
+        usage.wanted_units,
+        round(PRIORITY_WEIGHT_SCALE * min(usage.priority_weight, MAX_PRIORITY_WEIGHT)),
+        usage.total_units,
+        usage.guaranteed_units,
+        usage.held_or_lapsed_units,
     ]
 
 
-def encode_report(group: int, r: BudgetReport) -> bytes:
-    rows = [_usage_row(entry) for entry in r.usages]
+def encode_report(group: int, report: BudgetReport) -> bytes:
+    """The datagram of a report. group: the number of the group whose members read it."""
     fields = {
-        8: r.age_ms,
+        8: report.age_ms,
         0: 0,
-        1: r.incarnation,
-        2: r.token,
-        3: r.leader_incarnation,
-        4: r.config_version,
-        5: r.config_digest,
-        6: r.leader_term,
-        9: rows,
+        1: report.incarnation,
+        2: report.token,
+        3: report.leader_incarnation,
+        4: report.config_version,
+        5: report.config_digest,
+        6: report.leader_term,
+        9: [_usage_row(usage) for usage in report.usages],
     }
-    return seal(FORMAT, group, {**fields, 7: 1} if r.is_leaving else fields)
+    if report.is_leaving:
+        fields[7] = 1
+    return seal(FORMAT, group, fields)
 
 
-def encode_answer(group: int, a: BudgetAnswer) -> bytes:
-    rows = [[g.budget_id, g.serial, g.leased_units, g.agreed_total] for g in a.grants]
-    return seal(FORMAT, group, {0: 1, 1: a.leader_incarnation, 2: a.token, 6: a.leader_term, 9: rows})
+def encode_answer(group: int, answer: BudgetAnswer) -> bytes:
+    """The datagram of an answer."""
+    rows = [
+        [grant.budget_id, grant.serial, grant.leased_units, grant.agreed_total] for grant in answer.grants
+    ]
+    fields = {0: 1, 1: answer.leader_incarnation, 2: answer.token, 6: answer.leader_term, 9: rows}
+    return seal(FORMAT, group, fields)
 
 
 def decode(group: int, data: bytes) -> BudgetReport | BudgetAnswer:
-    """Raises Unreadable."""
+    """Reads a datagram.
+
+    Raises:
+        DatagramDecodeError: it is not a report or an answer for that group.
+    """
     fields = unseal(FORMAT, group, data)
     with read_strictly():
         rows = fields.get(9, ())
         if len(rows) > MAX_REPORT_ENTRIES:
             raise ValueError
         if fields[0] == 1:
-            grants = tuple(BudgetGrant(*(count(value) for value in row[:4])) for row in rows)
-            return BudgetAnswer(count(fields[1]), count(fields[6]), count(fields[2]), grants)
+            return BudgetAnswer(
+                leader_incarnation=count(fields[1]),
+                leader_term=count(fields[6]),
+                token=count(fields[2]),
+                grants=tuple(BudgetGrant(*(count(value) for value in row[:4])) for row in rows),
+            )
         if fields[0] != 0:
             raise ValueError
-        entries = tuple(_read_usage([count(value) for value in row[:9]]) for row in rows)
-        start, to_start, reign, token = (count(fields[key]) for key in (1, 3, 6, 2))
-        version, digest, leaving = count(fields[4]), count(fields[5]), bool(fields.get(7))
-        age = count(fields[8])
-        return BudgetReport(start, to_start, reign, token, version, digest, leaving, age, entries)
+        usages = tuple(_read_usage([count(value) for value in row[:9]]) for row in rows)
+        return BudgetReport(
+            incarnation=count(fields[1]),
+            leader_incarnation=count(fields[3]),
+            leader_term=count(fields[6]),
+            token=count(fields[2]),
+            config_version=count(fields[4]),
+            config_digest=count(fields[5]),
+            is_leaving=bool(fields.get(7)),
+            age_ms=count(fields[8]),
+            usages=usages,
+        )
 
 
 def _read_usage(row: list[int]) -> BudgetUsage:
-    number, serial, held, used, want, worth, whole, base, had = row
-    return BudgetUsage(number, serial, held, used, want, worth / PRIORITY_WEIGHT_SCALE, whole, base, had)
+    budget_id, serial, held, used, wanted, weight, total, guaranteed, held_or_lapsed = row
+    return BudgetUsage(
+        budget_id,
+        serial,
+        held,
+        used,
+        wanted,
+        weight / PRIORITY_WEIGHT_SCALE,
+        total,
+        guaranteed,
+        held_or_lapsed,
+    )
 
 
 def split_usages(
-    entries: list[BudgetUsage], head: int = TYPICAL_HEAD_BYTES
+    usages: list[BudgetUsage], head_bytes: int = TYPICAL_HEAD_BYTES
 ) -> Iterator[tuple[BudgetUsage, ...]]:
-    """As many as fit a datagram, by the bytes that they take. head: bytes of the report without entries."""
-    room = MOST - max(head, TYPICAL_HEAD_BYTES)
-    part, size = list[BudgetUsage](), 0
-    for entry in entries:
-        takes = len(msgpack.packb(_usage_row(entry)))
-        if len(part) >= MAX_REPORT_ENTRIES or size + takes > room:
+    """Divides usages, in order, among as few reports as fit datagrams.
+
+    Args:
+        usages: of all budgets.
+        head_bytes: of each report without usages; counted as the typical number at least.
+    """
+    room = MOST - max(head_bytes, TYPICAL_HEAD_BYTES)
+    part: list[BudgetUsage] = []
+    size = 0
+    for usage in usages:
+        row_bytes = len(msgpack.packb(_usage_row(usage)))
+        if len(part) >= MAX_REPORT_ENTRIES or size + row_bytes > room:
             yield tuple(part)
-            part, size = [], 0
-        part.append(entry)
-        size += takes
+            part = []
+            size = 0
+        part.append(usage)
+        size += row_bytes
     if part:
         yield tuple(part)
--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -1,15 +1,17 @@
-"""The desk's side of budgets: what the decisions ask before a send, and what is told and heard of it.
+"""Enforces budgets at a router: answers the scheduler before each attempt and counts what attempts use.
 
-It owns the router's `Purse` and which units each send took; all of it runs in the desk's greenlet. It must
-never decide who gets what, or give up a command but for what is called off in a cut.
+A `BudgetEnforcer` runs in the dispatcher's greenlet. It does not decide how much any router gets, and cancels
+requests only where a lease expired and was not renewed in time.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
+from marbleworks.budgets.allocation import AllocationSnapshot
 from marbleworks.budgets.budget_catalog import SLOW_START_UNITS, Budget, BudgetCatalog
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport
 from marbleworks.budgets.local_budget import MAX_TRACKED_WAITERS, LocalBudget, LocalBudgets
@@ -17,285 +19,361 @@
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.scheduling.scheduler import SLOW_START_TRUST
 
-GRANT_ROUND_TRIP_S = 0.4  # seconds within which a part that is asked for comes, mostly
-MAX_RETRY_AFTER_S = 60.0  # seconds that anyone is told to stay away
+GRANT_ROUND_TRIP_S = 0.4  # within which a lease that is asked for mostly arrives
+MAX_RETRY_AFTER_S = 60.0
+CONNECTION_WAITER = "line"  # stands for all that wait for a connection
+
+
+@dataclass(frozen=True, slots=True)
+class EngineBudgets:
+    """What is budgeted for one engine; None: no such budget.
+
+    Attributes:
+        in_flight: requests in flight there.
+        slow_start: work that it bears while it is warming up.
+        work_per_unit: of the slow-start budget, in seconds on one thread.
+    """
+
+    in_flight: LocalBudget | None = None
+    slow_start: LocalBudget | None = None
+    work_per_unit: float = 1.0
+
+
+NO_ENGINE_BUDGETS = EngineBudgets()
+
+
+@dataclass(eq=False, slots=True)
+class AcquiredUnits:
+    """Concurrency budgets of which an attempt has a unit, and since when."""
+
+    budgets: list[LocalBudget]
+    acquired_at: float
 
 
 class BudgetEnforcer:
-    """purse: ours, planned at once by `plan`. hurry: called where something waits for a part."""
+    """Implements `ports.SharedBudgets`.
+
+    Args:
+        dispatcher: in whose greenlet all of this runs.
+        catalog: the budgets of the operator's file.
+        local_budgets: ours.
+        request_report: called where something waits for a lease.
+    """
 
     def __init__(
-        self, desk: Dispatcher, plan: BudgetCatalog, purse: LocalBudgets, hurry: Callable[[], None]
+        self,
+        dispatcher: Dispatcher,
+        catalog: BudgetCatalog,
+        local_budgets: LocalBudgets,
+        request_report: Callable[[], None],
     ) -> None:
-        self.dispatcher, self.scheduler, self.local_budgets, self.request_report = (
-            desk,
-            desk.scheduler,
-            purse,
-            hurry,
-        )
+        self.dispatcher = dispatcher
+        self.scheduler = dispatcher.scheduler
+        self.local_budgets = local_budgets
+        self.request_report = request_report
         self.begin_by = math.inf
-        self.acquired: dict[
-            tuple[str, int], tuple[list[LocalBudget], float]
-        ] = {}  # by send: its levels, and when
-        self.arrivals = 0  # commands since the last report, of which each engine has its part
-        self.waiting_by_budget: dict[int, set[str]] = {}  # by budget: commands that wait for it here
-        # By engine: commands out there, what it bears while cold, and the work of one unit of that.
-        self.engine_budgets: dict[int, tuple[LocalBudget | None, LocalBudget | None, float]] = {}
-        self.connection_budgets: dict[str, LocalBudget] = {}  # by engine: connections
-        self.scoped_budgets: dict[tuple[int, int], list[LocalBudget]] = {}
-        self.refused_count = self.cancelled_count = 0
+        self.acquired: dict[tuple[str, int], AcquiredUnits] = {}  # by request and attempt
+        self.arrivals = 0  # requests since the last report; engines share them evenly
+        self.waiting_by_budget: dict[int, set[str]] = {}  # requests that were told to wait, by budget id
+        self.engine_budgets: dict[int, EngineBudgets] = {}  # by engine id
+        self.connection_budgets: dict[str, LocalBudget] = {}  # by engine name
+        self.scoped_budgets: dict[
+            tuple[int, int], list[LocalBudget]
+        ] = {}  # by class and tenant, as asked for
+        self.refused_count = 0
+        self.cancelled_count = 0
         self.is_leaving = False
-        self.set_catalog(plan)
-
-    def set_catalog(self, plan: BudgetCatalog) -> None:
-        """The operator's file says so from now on."""
-        self.catalog = plan
-        self.local_budgets.config_version, self.local_budgets.config_digest = (
-            plan.config_version,
-            plan.config_digest,
-        )
+        self.set_catalog(catalog)
+
+    def set_catalog(self, catalog: BudgetCatalog) -> None:
+        """Takes over the budgets of a reloaded file."""
+        self.catalog = catalog
+        self.local_budgets.config_version = catalog.config_version
+        self.local_budgets.config_digest = catalog.config_digest
         self.listed()
 
     def listed(self) -> None:
-        """Engines came or went: what is budgeted for each of them comes and goes too."""
-        pockets, engines, rules = self.local_budgets.budgets, self.scheduler.engines, self.scheduler.rules
-        wholes = self.catalog.static_budgets()
-        of_each: dict[int, list[Budget | None]] = {}
-        lines: dict[str, Budget] = {}
-        for be, engine in engines.items():
+        """Follows the list of engines with the budgets of each."""
+        engines = self.scheduler.engines
+        window_s = self.scheduler.rules.overload_window_s
+        budgets = self.catalog.static_budgets()
+        in_flight: dict[int, Budget] = {}
+        slow_start: dict[int, Budget] = {}
+        connections: dict[str, Budget] = {}
+        for engine_id, engine in engines.items():
             entry = engine.entry
-            cold = None
+            budget = self.catalog.engine_budget(entry.name, engine.cores)
+            if budget is not None:
+                in_flight[engine_id] = budget
+                budgets.append(budget)
             if entry.started_at > 0 and self.catalog.divides_slow_start:
-                cold = self.catalog.slow_start_budget(entry.name, entry.started_at, rules.overload_window_s)
-            of_each[be] = [self.catalog.engine_budget(entry.name, engine.cores), cold]
-            line = self.catalog.connection_budget(entry.name, engine.cores)
-            if line is not None:
-                lines[entry.name] = line
-            wholes += [whole for whole in [*of_each[be], line] if whole is not None]
-        self.local_budgets.set_budgets(wholes, clock())
-        self.engine_budgets = {}
-        for be, (level, cold) in of_each.items():
-            work = (
-                rules.slow_start_floor * engines[be].cores * rules.overload_multiple * rules.overload_window_s
-            )
-            self.engine_budgets[be] = (
-                pockets.get(level.budget_id) if level is not None else None,
-                pockets.get(cold.budget_id) if cold is not None else None,
-                SLOW_START_TRUST * work / SLOW_START_UNITS,
+                budget = self.catalog.slow_start_budget(entry.name, entry.started_at, window_s)
+                slow_start[engine_id] = budget
+                budgets.append(budget)
+            budget = self.catalog.connection_budget(entry.name, engine.cores)
+            if budget is not None:
+                connections[entry.name] = budget
+                budgets.append(budget)
+        self.local_budgets.set_budgets(budgets, clock())
+        self.engine_budgets = {
+            engine_id: EngineBudgets(
+                self._local(in_flight.get(engine_id)),
+                self._local(slow_start.get(engine_id)),
+                self._work_per_unit(engine.cores),
             )
-        self.connection_budgets = {name: pockets[whole.budget_id] for name, whole in lines.items()}
+            for engine_id, engine in engines.items()
+        }
+        local = self.local_budgets.budgets
+        self.connection_budgets = {name: local[budget.budget_id] for name, budget in connections.items()}
         self.scoped_budgets.clear()
         self.waiting_by_budget = {
-            number: queue for number, queue in self.waiting_by_budget.items() if number in pockets
+            budget_id: waiting for budget_id, waiting in self.waiting_by_budget.items() if budget_id in local
         }
 
+    def _local(self, budget: Budget | None) -> LocalBudget | None:
+        return None if budget is None else self.local_budgets.budgets.get(budget.budget_id)
+
+    def _work_per_unit(self, cores: int) -> float:
+        """Work of one unit of an engine's slow-start budget."""
+        rules = self.scheduler.rules
+        work = rules.slow_start_floor * cores * rules.overload_multiple * rules.overload_window_s
+        return SLOW_START_TRUST * work / SLOW_START_UNITS
+
     def budgets(self) -> list[Budget]:
-        return [pocket.budget for pocket in self.local_budgets.budgets.values()]
+        """All budgets by our own configuration."""
+        return [local.budget for local in self.local_budgets.budgets.values()]
 
-    # What the decisions ask.
+    # What the scheduler asks.
 
-    def _budgets_covering(self, profile: int, tenant: int) -> list[LocalBudget]:
-        found = self.scoped_budgets.get((profile, tenant))
+    def _budgets_covering(self, class_index: int, tenant_index: int) -> list[LocalBudget]:
+        found = self.scoped_budgets.get((class_index, tenant_index))
         if found is None:
-            wholes = [named.budget for named in self.catalog.scoped_budgets if named.covers(profile, tenant)]
-            found = self.scoped_budgets[profile, tenant] = [
-                self.local_budgets.budgets[whole.budget_id] for whole in wholes
+            found = [
+                self.local_budgets.budgets[scoped.budget.budget_id]
+                for scoped in self.catalog.scoped_budgets
+                if scoped.covers(class_index, tenant_index)
             ]
+            self.scoped_budgets[class_index, tenant_index] = found
         return found
 
-    def _record_waiter(self, pocket: LocalBudget, ref: str, profile: int) -> None:
-        if ref not in pocket.waiting and len(pocket.waiting) < MAX_TRACKED_WAITERS:
-            pocket.waiting.add(ref)
-            pocket.waiting_weight += self.scheduler.request_classes[profile].priority_weight
+    def _record_waiter(self, local: LocalBudget, ref: str, class_index: int) -> None:
+        if ref not in local.waiting and len(local.waiting) < MAX_TRACKED_WAITERS:
+            local.waiting.add(ref)
+            local.waiting_weight += self.scheduler.request_classes[class_index].priority_weight
             self.request_report()
 
     def wait(self, ref: str, profile: int, tenant: int, patience: float) -> float | None:
+        """Counts a request that has arrived; see `ports.SharedBudgets`."""
         now = clock()
         self.arrivals += 1
-        for pocket in self._budgets_covering(profile, tenant):
-            pocket.arrivals += 1.0
-            queue = self.waiting_by_budget.setdefault(pocket.budget.budget_id, set())
-            if not queue and pocket.has_room(now):
+        for local in self._budgets_covering(profile, tenant):
+            local.arrivals += 1.0
+            waiting = self.waiting_by_budget.setdefault(local.budget.budget_id, set())
+            if not waiting and local.has_room(now):
                 continue
-            self._record_waiter(pocket, ref, profile)
-            pace = pocket.releases_per_s(now)
-            expected = (len(queue) + 1) / pace if pace else GRANT_ROUND_TRIP_S * (len(queue) + 1)
-            if expected > patience:
+            self._record_waiter(local, ref, profile)
+            releases_per_s = local.releases_per_s(now)
+            turn = len(waiting) + 1
+            expected_s = turn / releases_per_s if releases_per_s else GRANT_ROUND_TRIP_S * turn
+            if expected_s > patience:
                 self.refused_count += 1
                 self.over(ref)
-                return min(expected, MAX_RETRY_AFTER_S)
-            queue.add(ref)
+                return min(expected_s, MAX_RETRY_AFTER_S)
+            waiting.add(ref)
         return None
 
     def within(self, ref: str, tenant: int) -> bool | None:
-        whole = self.catalog.tenant_budgets.get(tenant)
-        if whole is None:
+        """Takes a unit of the tenant's rate where there is one."""
+        budget = self.catalog.tenant_budgets.get(tenant)
+        if budget is None:
             return None
-        pocket, now = self.local_budgets.budgets[whole.budget_id], clock()
-        pocket.arrivals += 1.0
-        if pocket.has_room(now):
-            self.local_budgets.acquire(pocket, now)
+        now = clock()
+        local = self.local_budgets.budgets[budget.budget_id]
+        local.arrivals += 1.0
+        if local.has_room(now):
+            self.local_budgets.acquire(local, now)
             return True
-        if len(pocket.waiting) < MAX_TRACKED_WAITERS:
-            pocket.waiting.add(ref)
-            pocket.waiting_weight += 1.0
+        if len(local.waiting) < MAX_TRACKED_WAITERS:
+            local.waiting.add(ref)
+            local.waiting_weight += 1.0
             self.request_report()
         return False
 
     def room(self, ref: str, profile: int, tenant: int, be: int) -> bool:
+        """Whether all budgets of an attempt at an engine have room; one that has not is asked for more."""
         now = clock()
-        for pocket in self._budgets_covering(profile, tenant):
-            if not pocket.has_room(now):
-                self._record_waiter(pocket, ref, profile)
+        for local in self._budgets_covering(profile, tenant):
+            if not local.has_room(now):
+                self._record_waiter(local, ref, profile)
                 return False
-        level, cold, unit = self.engine_budgets.get(be, (None, None, 1.0))
-        if level is not None and not level.has_room(now):
-            self._record_waiter(level, ref, profile)
-            return False
-        if (
-            cold is not None
-            and self._is_in_slow_start(be, now)
-            and not cold.has_room(now, self._slow_start_units(profile, unit))
-        ):
-            self._record_waiter(cold, ref, profile)
+        engine = self.engine_budgets.get(be, NO_ENGINE_BUDGETS)
+        if engine.in_flight is not None and not engine.in_flight.has_room(now):
+            self._record_waiter(engine.in_flight, ref, profile)
             return False
+        if engine.slow_start is not None and self._is_in_slow_start(be, now):
+            units = self._slow_start_units(profile, engine.work_per_unit)
+            if not engine.slow_start.has_room(now, units):
+                self._record_waiter(engine.slow_start, ref, profile)
+                return False
         return True
 
     def out(self) -> float:
+        """Requests that may be in flight at all engines together."""
         now = clock()
-        levels = [level for level, _, _ in self.engine_budgets.values() if level is not None]
-        return sum(level.max_units(now) for level in levels) if levels else math.inf
+        budgets = [
+            engine.in_flight for engine in self.engine_budgets.values() if engine.in_flight is not None
+        ]
+        return sum(local.max_units(now) for local in budgets) if budgets else math.inf
 
-    def _is_in_slow_start(self, be: int, now: float) -> bool:
-        return now - self.scheduler.engines[be].entry.started_at < self.scheduler.rules.slow_start_s
+    def _is_in_slow_start(self, engine_id: int, now: float) -> bool:
+        started_at = self.scheduler.engines[engine_id].entry.started_at
+        return now - started_at < self.scheduler.rules.slow_start_s
 
-    def _slow_start_units(self, profile: int, unit: float) -> int:
-        return max(math.ceil(self.scheduler.mean_work(profile) / unit), 1)
+    def _slow_start_units(self, class_index: int, work_per_unit: float) -> int:
+        return max(math.ceil(self.scheduler.mean_work(class_index) / work_per_unit), 1)
 
     def further(self, spare: float, earned: float) -> float:
+        """Infinite where the fleet's retry budget has room, negative where it has none."""
         if self.catalog.retry_budget is None:
             return earned
-        pocket = self.local_budgets.budgets[self.catalog.retry_budget.budget_id]
-        if pocket.has_room(clock(), math.ceil(spare)):
+        local = self.local_budgets.budgets[self.catalog.retry_budget.budget_id]
+        if local.has_room(clock(), math.ceil(spare)):
             return math.inf
-        if len(pocket.waiting) < MAX_TRACKED_WAITERS:
-            pocket.waiting.add(str(len(pocket.waiting)))
+        if len(local.waiting) < MAX_TRACKED_WAITERS:
+            local.waiting.add(str(len(local.waiting)))
             self.request_report()
         return -1.0
 
     def cold(self, be: int) -> float | None:
-        cold = self.engine_budgets.get(be, (None, None, 1.0))[1]
-        return None if cold is None else cold.max_units(clock()) / SLOW_START_UNITS
+        """Our part of an engine's slow-start load."""
+        slow_start = self.engine_budgets.get(be, NO_ENGINE_BUDGETS).slow_start
+        return None if slow_start is None else slow_start.max_units(clock()) / SLOW_START_UNITS
 
     def take(self, ref: str, send_no: int, profile: int, tenant: int, be: int) -> None:
+        """Takes a unit of each budget of an attempt, and sets `begin_by`."""
         now = clock()
         self.begin_by = math.inf
-        levels = []
-        for pocket in [
-            *self._budgets_covering(profile, tenant),
-            self.engine_budgets.get(be, (None, None, 1.0))[0],
-        ]:
-            if pocket is not None:
-                self.begin_by = min(self.begin_by, self.local_budgets.acquire(pocket, now))
-                if not pocket.budget.window_s:
-                    levels.append(pocket)
-        _, cold, unit = self.engine_budgets.get(be, (None, None, 1.0))
-        if cold is not None and self._is_in_slow_start(be, now):
-            self.begin_by = min(
-                self.begin_by, self.local_budgets.acquire(cold, now, self._slow_start_units(profile, unit))
-            )
+        engine = self.engine_budgets.get(be, NO_ENGINE_BUDGETS)
+        concurrent = []
+        for local in [*self._budgets_covering(profile, tenant), engine.in_flight]:
+            if local is not None:
+                self.begin_by = min(self.begin_by, self.local_budgets.acquire(local, now))
+                if not local.budget.window_s:
+                    concurrent.append(local)
+        if engine.slow_start is not None and self._is_in_slow_start(be, now):
+            units = self._slow_start_units(profile, engine.work_per_unit)
+            begin_by = self.local_budgets.acquire(engine.slow_start, now, units)
+            self.begin_by = min(self.begin_by, begin_by)
         if send_no and self.catalog.retry_budget is not None:
             self.local_budgets.acquire(self.local_budgets.budgets[self.catalog.retry_budget.budget_id], now)
-        if levels:
-            self.acquired[ref, send_no] = levels, now
+        if concurrent:
+            self.acquired[ref, send_no] = AcquiredUnits(concurrent, now)
         self.over(ref)
 
     def give_back(self, ref: str, send_no: int, doubt: bool) -> None:
+        """Releases the units of an attempt that has ended."""
+        acquired = self.acquired.pop((ref, send_no), None)
+        if acquired is None:
+            return
         now = clock()
-        levels, since = self.acquired.pop((ref, send_no), ([], now))
-        for pocket in levels:
-            pocket.record_hold(now - since)
-            self.local_budgets.release(pocket, now, doubt)
+        for local in acquired.budgets:
+            local.record_hold(now - acquired.acquired_at)
+            self.local_budgets.release(local, now, doubt)
 
     def over(self, ref: str) -> None:
-        for queue in self.waiting_by_budget.values():
-            queue.discard(ref)
+        """A request waits no longer."""
+        for waiting in self.waiting_by_budget.values():
+            waiting.discard(ref)
 
-    # Connections, as the engines' actors ask for them.
+    # Connections, for the engine clients.
 
-    def acquire_connection(self, name: str) -> bool:
-        """Whether one more may be made to an engine; it is counted then."""
-        pocket, now = self.connection_budgets.get(name), clock()
-        if pocket is None:
+    def acquire_connection(self, engine: str) -> bool:
+        """Takes a unit for one more connection to an engine; False where there is none."""
+        local = self.connection_budgets.get(engine)
+        if local is None:
             return True
-        if not pocket.has_room(now):
-            pocket.waiting.add("line")
+        now = clock()
+        if not local.has_room(now):
+            local.waiting.add(CONNECTION_WAITER)
             self.request_report()
             return False
-        self.local_budgets.acquire(pocket, now)
+        self.local_budgets.acquire(local, now)
         return True
 
-    def release_connection(self, name: str) -> None:
-        pocket = self.connection_budgets.get(name)
-        if pocket is not None and pocket.in_flight:
-            self.local_budgets.release(pocket, clock(), False)
+    def release_connection(self, engine: str) -> None:
+        """Gives back the unit of a connection that has ended."""
+        local = self.connection_budgets.get(engine)
+        if local is not None and local.in_flight:
+            self.local_budgets.release(local, clock(), False)
 
-    # What goes to the divider, and comes.
+    # Reports to the granter and its answers.
 
-    def make_reports(self, to: int, to_start: int, start: int) -> list[BudgetReport]:
+    def make_reports(self, granter: int, granter_incarnation: int, incarnation: int) -> list[BudgetReport]:
+        """Cancels what is overdue, and reports the rest."""
         self._cancel_overdue()
-        engines = max(len(self.scheduler.up), 1)
-        for level, _, _ in self.engine_budgets.values():
-            if level is not None:
-                level.arrivals += self.arrivals / engines
+        engine_count = max(len(self.scheduler.up), 1)
+        for engine in self.engine_budgets.values():
+            if engine.in_flight is not None:
+                engine.in_flight.arrivals += self.arrivals / engine_count
         self.arrivals = 0
-        return self.local_budgets.make_reports(to, to_start, start, clock(), engines, self.is_leaving)
+        return self.local_budgets.make_reports(
+            granter, granter_incarnation, incarnation, clock(), engine_count, self.is_leaving
+        )
 
     def handle_answer(self, by: int, answer: BudgetAnswer) -> None:
-        if self.local_budgets.handle_answer(by, answer, clock()):
-            for engine in self.dispatcher.engine_clients.values() if self.connection_budgets else ():
+        """Takes over the grants of an answer, and has waiting requests and connections tried again."""
+        if not self.local_budgets.handle_answer(by, answer, clock()):
+            return
+        if self.connection_budgets:
+            for engine in self.dispatcher.engine_clients.values():
                 engine.post(engine.try_again)
-            if self.scheduler.pending:
-                self.scheduler.review()
+        if self.scheduler.pending:
+            self.scheduler.review()
 
     def _cancel_overdue(self) -> None:
-        """In a cut, or where what divides is gone: what is out beyond the base for longer than is settled."""
-        for pocket, beyond in self.local_budgets.overdue(clock()):
-            sends = [key for key, (levels, _) in self.acquired.items() if pocket in levels][-beyond:]
-            for ref, _ in sends:
-                command = self.dispatcher.open_requests.get(ref)
-                if command is not None and command.handle is not None and not command.over:
+        """Cancels requests beyond the guaranteed units whose lease expired and was not renewed in time."""
+        for local, excess in self.local_budgets.overdue(clock()):
+            attempts = [key for key, acquired in self.acquired.items() if local in acquired.budgets]
+            for ref, _ in attempts[-excess:]:
+                request = self.dispatcher.open_requests.get(ref)
+                if request is not None and request.handle is not None and not request.over:
                     self.cancelled_count += 1
-                    LOG.warning("called off for want of a part", ref=ref, budget=pocket.budget.name)
-                    self.scheduler.give_up(command.handle)
+                    LOG.warning("request cancelled over budget", ref=ref, budget=local.budget.name)
+                    self.scheduler.give_up(request.handle)
 
     def leave(self) -> None:
-        """A planned stop, or another process has our name: our parts end now, bases stay."""
+        """Ends our leases for a planned stop, or where another process has our name."""
         self.is_leaving = True
         self.local_budgets.close()
 
     def table_rows(self) -> list[list[str]]:
-        """A row for each budget: name, whole, base, part, used, seconds that the part still holds."""
-        now, rows = clock(), []
-        for pocket in sorted(self.local_budgets.budgets.values(), key=lambda p: p.budget.name):
-            left = f"{pocket.lease_expires_at - now:.1f} s" if pocket.valid_lease_units(now) else "-"
-            figures = [
-                pocket.budget.units,
-                pocket.guaranteed_units,
-                pocket.valid_lease_units(now),
-                pocket.used_units(now),
-            ]
-            rows.append([pocket.budget.name, *map(str, figures), left])
+        """A row for each budget: name, total, guaranteed, leased, used, time that the lease still lasts."""
+        now = clock()
+        rows = []
+        for local in sorted(self.local_budgets.budgets.values(), key=lambda one: one.budget.name):
+            leased = local.valid_lease_units(now)
+            left = f"{local.lease_expires_at - now:.1f} s" if leased else "-"
+            units = (local.budget.units, local.guaranteed_units, leased, local.used_units(now))
+            rows.append([local.budget.name, *map(str, units), left])
         return rows
 
 
 class BudgetedConnectionLimit:
-    """The share of descriptors of one engine's connections, each of which is counted in its budget too."""
+    """A semaphore of connections to one engine that counts each in the engine's budget too.
 
-    def __init__(self, share: Any, holder: BudgetEnforcer, name: str) -> None:
-        self.limit, self.enforcer, self.engine_name = share, holder, name
+    Args:
+        limit: the semaphore; it bounds descriptors.
+        enforcer: of the budgets.
+        engine_name: whose connections these are.
+    """
+
+    def __init__(self, limit: Any, enforcer: BudgetEnforcer, engine_name: str) -> None:
+        self.limit = limit
+        self.enforcer = enforcer
+        self.engine_name = engine_name
 
     def acquire(self, blocking: bool = True) -> bool:
+        """Takes a descriptor and a unit, or neither."""
         if not self.limit.acquire(blocking=blocking):
             return False
         if self.enforcer.acquire_connection(self.engine_name):
@@ -304,16 +382,28 @@
         return False
 
     def release(self) -> None:
+        """Gives both back."""
         self.limit.release()
         self.enforcer.release_connection(self.engine_name)
 
 
-def allocation_rows(shown: dict[int, dict[str, int]], wholes: list[Budget]) -> list[list[Any]]:
-    """The divider's books as rows: name, whole, held, used, free, unreachable, by router."""
-    names = {whole.budget_id: whole.name for whole in wholes}
+def allocation_rows(snapshots: dict[int, AllocationSnapshot], budgets: list[Budget]) -> list[list[str]]:
+    """The ledger as rows: name, total, held, used, free, unreachable, units by member.
+
+    Args:
+        snapshots: by budget id.
+        budgets: of our own configuration; others are shown by their number.
+    """
+    names = {budget.budget_id: budget.name for budget in budgets}
     rows = []
-    for number, row in sorted(shown.items(), key=lambda item: names.get(item[0], "")):
-        by = " ".join(f"{key[5:]}:{units}" for key, units in row.items() if key.startswith("held ") and units)
-        figures = [row["whole"], row["bases"] + row["held"], row["used"], row["free"]]
-        rows.append([names.get(number, f"{number:08x}"), *map(str, figures), str(row["unreachable"]), by])
+    for budget_id, one in sorted(snapshots.items(), key=lambda item: names.get(item[0], "")):
+        by_member = " ".join(f"{member}:{units}" for member, units in one.member_units.items() if units)
+        figures = (
+            one.total_units,
+            one.guaranteed_units + one.committed_units,
+            one.used_units,
+            one.free_units,
+            one.unreachable_units,
+        )
+        rows.append([names.get(budget_id, f"{budget_id:08x}"), *map(str, figures), by_member])
     return rows
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -1,8 +1,9 @@
-"""What one router may use of each budget: its base, its part, and what it has in use. No I/O, no clock.
+"""What one router may use of each budget and has in use. No I/O, no clock.
 
-It owns the parts that were given and the units in use. A unit is in use from when a command takes it until it
-is surely over; a part is void once its lease has run out by our own clock. It must never let more units be
-taken than base and part are at that moment, or believe an older grant. docs/design/budgets.md has the proof.
+A router always has its guaranteed units, and beyond those the units of a lease while that lasts by its own
+clock. A unit is in use from when a request takes it until the request has surely ended. No more units are
+taken than the router has at that moment, and no older grant is believed. docs/design/budgets.md has the
+proof. Times are seconds of one clock.
 """
 
 from __future__ import annotations
@@ -11,318 +12,455 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport, BudgetUsage, encode_report, split_usages
 from marbleworks.membership.leader_election import DRIFT
 
-RELEASE_RATE_WINDOW_S = 2.0  # seconds over which the pace of ends is counted
-ARRIVAL_RATE_WINDOW_S = 0.3  # seconds over which what comes is counted
-DEFAULT_HOLD_S = 0.1  # seconds for which a unit is in use, before any was
-HOLD_SMOOTHING = 0.05  # part of the last in what is learned of that
-MAX_TRACKED_WAITERS = 64  # commands that are told apart as waiting for one budget
-MAX_OPEN_REPORTS = 64  # reports that may still be answered
+RELEASE_RATE_WINDOW_S = 2.0
+ARRIVAL_RATE_WINDOW_S = 0.3
+MIN_ARRIVALS_PER_S = 1e-2  # below this an arrival rate counts as none
+MIN_INTERVAL_S = 1e-3  # between two reports, for rates
+DEFAULT_HOLD_S = 0.1  # for which a unit is in use, before any was
+HOLD_SMOOTHING = 0.05  # weight of the last hold in the mean
+DEMAND_TOLERANCE_UNITS = 0.05  # by which an estimated demand may be rounded down
+MAX_RECENT_RELEASES = 256  # of one budget that the release rate counts
+MAX_TRACKED_WAITERS = 64  # requests that are told apart as waiting for one budget
+MAX_OPEN_REPORTS = 64  # that may still be answered
+LAST_TOKEN = 0xFFFF << 24 | 0xFFFFFF
+
+
+class GranterRef(NamedTuple):
+    """A member that may grant units, and its incarnation."""
+
+    member: int
+    incarnation: int
+
+
+NO_GRANTER = GranterRef(-1, 0)
+
+
+class LeaseOrigin(NamedTuple):
+    """Who granted a lease, and in which of its terms."""
+
+    granter: GranterRef
+    term: int
+
+
+class OpenReport(NamedTuple):
+    """A report that may still be answered.
+
+    Attributes:
+        sent_at: seconds.
+        held_units: that it reported, by budget id.
+    """
+
+    sent_at: float
+    held_units: dict[int, int]
 
 
 @dataclass(eq=False, slots=True)
 class LocalBudget:
-    """One budget as this router has it."""
+    """One budget as this router has it.
+
+    Attributes:
+        budget: by our configuration.
+        agreed_total: the smallest total that any member reports, as far as we know.
+        guaranteed_units: that we always may use.
+        guaranteed_from: when what an earlier process of our name had in use has ended.
+        leased_units: by the last grant.
+        lease_expires_at: seconds.
+        lease_origin: of the last grant.
+        lapsed_units: of a lease that expired, as long as the present granter may not know of it.
+        grant_serial: of the last grant of the present granter's term; 0: none.
+        confirmed_held_units: held units by our last report that was answered.
+        owes_report: the present granter has to hear of this budget in any case.
+        is_left_behind: units that we hold belong to a group that we left, and are counted there.
+        in_flight: units taken and not released.
+        release_times: when each unit ends that is in use besides, a heap.
+        arrivals: requests since the last report.
+        arrivals_per_s: of late.
+        mean_hold_s: for which a unit is in use, of late.
+        waiting: requests refused since the last report.
+        waiting_weight: priority weights of those, together.
+        recent_releases: times at which units came free.
+    """
 
     budget: Budget
-    agreed_total: int  # units of the smallest whole that any router told, where we know; our base is of it
+    agreed_total: int
     guaranteed_units: int
-    guaranteed_from: float = -math.inf  # what an earlier process of our name took is over by then
-    leased_units: int = 0  # of our part
+    guaranteed_from: float = -math.inf
+    leased_units: int = 0
     lease_expires_at: float = -math.inf
-    lease_origin: tuple[int, int, int] = (
-        -1,
-        0,
-        0,
-    )  # whose part it is: a divider, its start and which right of it
-    lapsed_units: int = 0  # of a part that ran out last, if that divider has not heard so
+    lease_origin: LeaseOrigin | None = None
+    lapsed_units: int = 0
     grant_serial: int = 0
-    confirmed_held_units: int = 0  # held, by our last report that was answered
-    owes_report: bool = True  # a report to the present divider, whatever there is to say
-    is_left_behind: bool = False  # what we had of the group that we were in is in use yet, and counted there
-    in_flight: int = 0  # taken and not given back
-    release_times: list[float] = field(default_factory=list)  # when each of the others is over, a heap
-    arrivals: float = 0.0  # commands that came for it since the last report, and ...
-    arrivals_per_s: float = 0.0  # ... a second, of late
-    mean_hold_s: float = DEFAULT_HOLD_S  # seconds for which a unit is in use, of late
-    waiting: set[str] = field(default_factory=set)  # refused since the last report
-    waiting_weight: float = 0.0  # of those, together
-    recent_releases: deque[float] = field(default_factory=lambda: deque(maxlen=256))
+    confirmed_held_units: int = 0
+    owes_report: bool = True
+    is_left_behind: bool = False
+    in_flight: int = 0
+    release_times: list[float] = field(default_factory=list)
+    arrivals: float = 0.0
+    arrivals_per_s: float = 0.0
+    mean_hold_s: float = DEFAULT_HOLD_S
+    waiting: set[str] = field(default_factory=set)
+    waiting_weight: float = 0.0
+    recent_releases: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_RELEASES))
 
     def used_units(self, now: float) -> int:
+        """Units in use."""
         while self.release_times and self.release_times[0] <= now:
             heapq.heappop(self.release_times)
         return self.in_flight + len(self.release_times)
 
     def valid_lease_units(self, now: float) -> int:
+        """Units of the lease; none once it has expired."""
         return self.leased_units if now < self.lease_expires_at else 0
 
     def max_units(self, now: float) -> int:
         """Units that may be in use."""
-        return (self.guaranteed_units if now >= self.guaranteed_from else 0) + self.valid_lease_units(now)
+        guaranteed = self.guaranteed_units if now >= self.guaranteed_from else 0
+        return guaranteed + self.valid_lease_units(now)
 
     def has_room(self, now: float, units: int = 1) -> bool:
+        """Whether so many more units may be taken."""
         return self.used_units(now) + units <= self.max_units(now)
 
     def held_units(self, now: float) -> int:
-        """Beyond the base: what may be used, or still is."""
+        """Units beyond the guaranteed ones that may be used or still are."""
         return max(self.valid_lease_units(now), self.used_units(now) - self.guaranteed_units, 0)
 
-    def estimate_demand(self, now: float, since: float, share: int) -> int:
-        """What would be in use if all that comes found room: how much comes times how long it stays. Where
-        that is not counted, what is in use and what waits."""
+    def estimate_demand(self, now: float, interval_s: float, engine_count: int) -> int:
+        """Units that would be in use if all requests that arrive found room.
+
+        That is the arrival rate times the time that a unit is in use or, where arrivals are not counted, what
+        is in use and waits. Begins the next count of arrivals.
+
+        Args:
+            now: seconds.
+            interval_s: since the last report.
+            engine_count: engines over which a request that waits for several is counted.
+        """
         used = self.used_units(now)
         if not self.arrivals and not self.arrivals_per_s:
-            return used + math.ceil(len(self.waiting) / share)
-        memory = math.exp(-since / ARRIVAL_RATE_WINDOW_S)
-        self.arrivals_per_s = self.arrivals_per_s * memory + self.arrivals / max(since, 1e-3) * (1.0 - memory)
-        self.arrivals_per_s, self.arrivals = (self.arrivals_per_s if self.arrivals_per_s > 1e-2 else 0.0), 0.0
-        return max(
-            math.ceil(self.arrivals_per_s * (self.budget.window_s or self.mean_hold_s) - 0.05),
-            used + bool(self.waiting),
-        )
+            return used + math.ceil(len(self.waiting) / engine_count)
+        memory = math.exp(-interval_s / ARRIVAL_RATE_WINDOW_S)
+        latest_per_s = self.arrivals / max(interval_s, MIN_INTERVAL_S)
+        rate_per_s = self.arrivals_per_s * memory + latest_per_s * (1.0 - memory)
+        self.arrivals_per_s = rate_per_s if rate_per_s > MIN_ARRIVALS_PER_S else 0.0
+        self.arrivals = 0.0
+        hold_s = self.budget.window_s or self.mean_hold_s
+        steady = math.ceil(self.arrivals_per_s * hold_s - DEMAND_TOLERANCE_UNITS)
+        return max(steady, used + bool(self.waiting))
 
     def record_hold(self, seconds: float) -> None:
+        """Counts the time for which a unit was in use."""
         self.mean_hold_s += HOLD_SMOOTHING * (seconds - self.mean_hold_s)
 
     def releases_per_s(self, now: float) -> float:
-        """Units a second that have come free lately; of a rate no less than what it gives."""
+        """Units that have come free lately; of a rate no fewer than it gives."""
         while self.recent_releases and self.recent_releases[0] < now - RELEASE_RATE_WINDOW_S:
             self.recent_releases.popleft()
-        least = self.max_units(now) / self.budget.window_s if self.budget.window_s else 0.0
+        window_s = self.budget.window_s
+        least = self.max_units(now) / window_s if window_s else 0.0
         return max(len(self.recent_releases) / RELEASE_RATE_WINDOW_S, least)
 
+    def forget_waiting(self) -> None:
+        """Begins the next count of requests that wait."""
+        self.waiting.clear()
+        self.waiting_weight = 0.0
+
+    def has_news(self, held: int, used: int) -> bool:
+        """Whether the granter has to hear of this budget."""
+        return bool(
+            held
+            or used
+            or self.waiting
+            or self.confirmed_held_units
+            or self.owes_report
+            or self.arrivals
+            or self.arrivals_per_s
+        )
+
 
 class LocalBudgets:
-    """me: our number of `count`, by the settings. Where routers don't know each other (kept None) each has an
-    even part for good. began: when our process did; what one before it had out is over a while after that.
-    shares: even shares in what is kept, if more than count."""
+    """All budgets as this router has them.
+
+    Args:
+        router_index: ours among `router_count`, by the settings.
+        router_count: by the settings.
+        guaranteed_ratio: the part of each total of which each router always has an even share; None: routers
+            do not know each other, and each has an even share of the total for good.
+        lease_s: how long a grant lasts.
+        started_at: of our process; what one before it had in use ends a while after that.
+        share_count: of the even shares, if there are more than routers here.
+    """
 
     BUDGET_TYPE: type[LocalBudget] = LocalBudget
 
     def __init__(
-        self, me: int, count: int, kept: float | None, lease: float, began: float, shares: int = 0
+        self,
+        router_index: int,
+        router_count: int,
+        guaranteed_ratio: float | None,
+        lease_s: float,
+        started_at: float,
+        share_count: int | None = None,
     ) -> None:
-        self.router_index, self.router_count, self.guaranteed_ratio, self.lease_s, self.started_at = (
-            me,
-            count,
-            kept,
-            lease,
-            began,
-        )
-        self.share_count, self.joined_at = shares or count, began  # joined: the group that we are in
-        self.budgets: dict[int, LocalBudget] = {}
+        self.router_index = router_index
+        self.router_count = router_count
+        self.guaranteed_ratio = guaranteed_ratio
+        self.lease_s = lease_s
+        self.started_at = started_at
+        self.share_count = share_count or router_count
+        self.joined_at = started_at  # the group that we are in
+        self.budgets: dict[int, LocalBudget] = {}  # by budget id
         self.last_token = 0
-        self.open_reports: dict[
-            int, tuple[float, dict[int, int]]
-        ] = {}  # when each was told, and held by budget
-        self.granter, self.granter_term = (
-            (-1, 0),
-            0,
-        )  # the divider that we tell, its start, and which right of it
-        self.is_closed, self.reported_at = False, began
-        self.config_version = self.config_digest = 0
-
-    def set_budgets(self, wholes: list[Budget], now: float) -> None:
-        """The budgets there are from now on. Of one that is there already the whole changes: a base shrinks
-        at once, and grows when the divider says that all know the larger whole."""
-        there = {whole.budget_id: whole for whole in wholes}
-        for number in [n for n, p in self.budgets.items() if n not in there and not p.used_units(now)]:
-            del self.budgets[number]
-        for number, whole in there.items():
-            pocket = self.budgets.get(number)
-            if pocket is None:
-                base = self._guaranteed_units(whole, whole.units)
-                self.budgets[number] = self.BUDGET_TYPE(
-                    whole, whole.units, base, self.started_at + whole.orphan_timeout_s * (1 + DRIFT)
-                )
-            elif pocket.budget != whole:
-                pocket.budget, pocket.agreed_total = whole, min(pocket.agreed_total, whole.units)
-                pocket.guaranteed_units = self._guaranteed_units(
-                    whole, whole.units if self.guaranteed_ratio is None else pocket.agreed_total
-                )
-
-    def _guaranteed_units(self, whole: Budget, units: int) -> int:
-        agreed = replace(whole, units=units)
-        return (
-            agreed.even_share(self.router_index, self.router_count)
-            if self.guaranteed_ratio is None
-            else agreed.guaranteed_units(self.guaranteed_ratio, self.share_count)
-        )
-
-    # What commands take.
-
-    def acquire(self, pocket: LocalBudget, now: float, units: int = 1) -> float:
-        """So many units, where there is room; of a level one. Until when what took it may begin: with its
-        lease ends the right to a part, also for one that stands still in between."""
-        own = pocket.guaranteed_units if now >= pocket.guaranteed_from else 0
-        begin_by = math.inf if pocket.used_units(now) < own else pocket.lease_expires_at
-        if pocket.budget.window_s:
+        self.open_reports: dict[int, OpenReport] = {}  # by token
+        self.granter = NO_GRANTER
+        self.granter_term = 0  # 0: not known yet
+        self.is_closed = False
+        self.reported_at = started_at
+        self.config_version = 0
+        self.config_digest = 0
+
+    def set_budgets(self, budgets: list[Budget], now: float) -> None:
+        """Takes over the budgets that there are from now on.
+
+        Where a total changes, guaranteed units shrink at once, and grow when the granter says that all
+        members know the larger total.
+        """
+        by_id = {budget.budget_id: budget for budget in budgets}
+        gone = [n for n, local in self.budgets.items() if n not in by_id and not local.used_units(now)]
+        for budget_id in gone:
+            del self.budgets[budget_id]
+        for budget_id, budget in by_id.items():
+            local = self.budgets.get(budget_id)
+            if local is None:
+                guaranteed = self._guaranteed_units(budget, budget.units)
+                guaranteed_from = self.started_at + budget.orphan_timeout_s * (1 + DRIFT)
+                self.budgets[budget_id] = self.BUDGET_TYPE(budget, budget.units, guaranteed, guaranteed_from)
+            elif local.budget != budget:
+                local.budget = budget
+                local.agreed_total = min(local.agreed_total, budget.units)
+                total = budget.units if self.guaranteed_ratio is None else local.agreed_total
+                local.guaranteed_units = self._guaranteed_units(budget, total)
+
+    def _guaranteed_units(self, budget: Budget, total: int) -> int:
+        agreed = replace(budget, units=total)
+        if self.guaranteed_ratio is None:
+            return agreed.even_share(self.router_index, self.router_count)
+        return agreed.guaranteed_units(self.guaranteed_ratio, self.share_count)
+
+    # What requests take.
+
+    def acquire(self, local: LocalBudget, now: float, units: int = 1) -> float:
+        """Takes units for which there is room; one of a concurrency budget.
+
+        Returns:
+            The time by which the request has to begin: a unit of a lease may not be used after it, even if
+            the process stands still in between.
+        """
+        guaranteed = local.guaranteed_units if now >= local.guaranteed_from else 0
+        begin_by = math.inf if local.used_units(now) < guaranteed else local.lease_expires_at
+        window_s = local.budget.window_s
+        if window_s:
             for _ in range(units):
-                heapq.heappush(pocket.release_times, now + pocket.budget.window_s * (1 + DRIFT))
-                pocket.recent_releases.append(now + pocket.budget.window_s)
+                heapq.heappush(local.release_times, now + window_s * (1 + DRIFT))
+                local.recent_releases.append(now + window_s)
         else:
-            pocket.in_flight += 1
+            local.in_flight += 1
         return begin_by
 
-    def release(self, pocket: LocalBudget, now: float, doubt: bool) -> None:
-        """Of a level: its command is over. doubt: it may run on at its engine, which ends it within DOUBT."""
-        pocket.in_flight -= 1
-        pocket.recent_releases.append(now)
+    def release(self, local: LocalBudget, now: float, doubt: bool) -> None:
+        """Gives back a unit of a concurrency budget.
+
+        Args:
+            local: the budget.
+            now: seconds.
+            doubt: the request may run on at its engine, which ends it within ABANDONED_ATTEMPT_TIMEOUT_S.
+        """
+        local.in_flight -= 1
+        local.recent_releases.append(now)
         if doubt:
-            heapq.heappush(pocket.release_times, now + ABANDONED_ATTEMPT_TIMEOUT_S)
+            heapq.heappush(local.release_times, now + ABANDONED_ATTEMPT_TIMEOUT_S)
 
     def overdue(self, now: float) -> list[tuple[LocalBudget, int]]:
-        """Levels whose lease ran out so long ago that what is out beyond the base has to be called off, and
-        how many of those."""
+        """Concurrency budgets with units in flight long after their lease, and how many to cancel."""
+        if self.guaranteed_ratio is None:
+            return []
         found = []
-        for pocket in self.budgets.values() if self.guaranteed_ratio is not None else ():
-            beyond = pocket.in_flight - pocket.guaranteed_units
-            ends = pocket.lease_expires_at + (pocket.budget.settle_s - ABANDONED_ATTEMPT_TIMEOUT_S) * (
-                1 - 2 * DRIFT
-            )
-            if beyond > 0 and not pocket.budget.window_s and now >= ends:
-                found.append((pocket, beyond))
+        for local in self.budgets.values():
+            excess = local.in_flight - local.guaranteed_units
+            grace_s = (local.budget.settle_s - ABANDONED_ATTEMPT_TIMEOUT_S) * (1 - 2 * DRIFT)
+            if excess > 0 and not local.budget.window_s and now >= local.lease_expires_at + grace_s:
+                found.append((local, excess))
         return found
 
-    # What is told to the divider, and what it answers.
+    # Reports to the granter and its answers.
 
     def make_reports(
-        self, to: int, to_start: int, start: int, now: float, share: int = 1, leaving: bool = False
+        self,
+        granter: int,
+        granter_incarnation: int,
+        incarnation: int,
+        now: float,
+        engine_count: int = 1,
+        leaving: bool = False,
     ) -> list[BudgetReport]:
-        """All that we have, use or want. share: budgets over which one that waits for several is counted.
-        leaving: nothing more is wanted."""
-        if (to, to_start) != self.granter:
-            self.follow_granter(to, to_start, 0)
-        entries = []
-        for number, pocket in self.budgets.items():
-            pocket.is_left_behind = pocket.is_left_behind and pocket.held_units(now) > 0
-            if pocket.is_left_behind:
-                pocket.waiting.clear()
-                pocket.waiting_weight, pocket.arrivals = 0.0, 0.0
-                continue
-            if now >= pocket.lease_expires_at and pocket.leased_units:
-                # A late answer can't bring it back, a grant can. Who gave it hears so now, and gives it away.
-                pocket.lapsed_units = (
-                    pocket.leased_units if pocket.lease_origin != (*self.granter, self.granter_term) else 0
-                )
-                pocket.leased_units = 0
-            used, waits, held = pocket.used_units(now), len(pocket.waiting), pocket.held_units(now)
-            if (
-                held
-                or used
-                or waits
-                or pocket.confirmed_held_units
-                or pocket.owes_report
-                or pocket.arrivals
-                or pocket.arrivals_per_s
-            ):
-                worth = pocket.waiting_weight / waits if waits else 1.0
-                want = 0 if leaving else pocket.estimate_demand(now, now - self.reported_at, share)
-                # Whoever divided before counted a part that ran out for so long at least.
-                counted = now < pocket.lease_expires_at + pocket.budget.settle_s * (1 - 2 * DRIFT)
-                had = max(held, pocket.lapsed_units if counted and not pocket.leased_units else 0)
-                whole, base = pocket.budget.units, pocket.guaranteed_units
-                entries.append(
-                    BudgetUsage(number, pocket.grant_serial, held, used, want, worth, whole, base, had)
-                )
-            pocket.waiting.clear()
-            pocket.waiting_weight = 0.0
-        self.reported_at, told = now, []
-        oldest = max(LocalBudgets.age_ms(self, (), now), 1)
-        empty = BudgetReport(
-            start,
-            to_start,
-            self.granter_term,
-            0xFFFF << 24,
-            self.config_version,
-            self.config_digest,
-            leaving,
-            oldest,
-            (),
-        )
-        for some in split_usages(entries, len(encode_report(0, empty))) if entries else [()]:
-            age = self.age_ms(some, now)
+        """Reports all that we hold, use or want.
+
+        Args:
+            granter: the member that grants.
+            granter_incarnation: of that member.
+            incarnation: ours.
+            now: seconds.
+            engine_count: engines over which a request that waits for several is counted.
+            leaving: nothing more is wanted.
+        """
+        if (granter, granter_incarnation) != self.granter:
+            self.follow_granter(granter, granter_incarnation, 0)
+        usages = []
+        for budget_id, local in self.budgets.items():
+            local.is_left_behind = local.is_left_behind and local.held_units(now) > 0
+            if local.is_left_behind:
+                local.arrivals = 0.0
+            else:
+                usage = self._make_usage(budget_id, local, now, engine_count, leaving)
+                if usage is not None:
+                    usages.append(usage)
+            local.forget_waiting()
+        self.reported_at = now
+        # The widest head that any of these reports can have.
+        oldest_ms = max(LocalBudgets.age_ms(self, (), now), 1)
+        empty = self._report(incarnation, LAST_TOKEN, leaving, oldest_ms, ())
+        parts = split_usages(usages, len(encode_report(0, empty))) if usages else [()]
+        reports = []
+        for part in parts:
+            age_ms = self.age_ms(part, now)
             self.last_token += 1
-            token = (start & 0xFFFF) << 24 | self.last_token & 0xFFFFFF
-            self.open_reports[token] = now, {entry.budget_id: entry.held_units for entry in some}
-            told.append(
-                BudgetReport(
-                    start,
-                    to_start,
-                    self.granter_term,
-                    token,
-                    self.config_version,
-                    self.config_digest,
-                    leaving,
-                    age,
-                    some,
-                )
-            )
+            token = (incarnation & 0xFFFF) << 24 | self.last_token & 0xFFFFFF
+            self.open_reports[token] = OpenReport(now, {usage.budget_id: usage.held_units for usage in part})
+            reports.append(self._report(incarnation, token, leaving, age_ms, part))
         while len(self.open_reports) > MAX_OPEN_REPORTS:
             del self.open_reports[next(iter(self.open_reports))]
-        return told
+        return reports
+
+    def _report(
+        self, incarnation: int, token: int, leaving: bool, age_ms: int, usages: tuple[BudgetUsage, ...]
+    ) -> BudgetReport:
+        return BudgetReport(
+            incarnation=incarnation,
+            leader_incarnation=self.granter.incarnation,
+            leader_term=self.granter_term,
+            token=token,
+            config_version=self.config_version,
+            config_digest=self.config_digest,
+            is_leaving=leaving,
+            age_ms=age_ms,
+            usages=usages,
+        )
+
+    def _make_usage(
+        self, budget_id: int, local: LocalBudget, now: float, engine_count: int, leaving: bool
+    ) -> BudgetUsage | None:
+        """None where there is nothing to report."""
+        if now >= local.lease_expires_at and local.leased_units:
+            # A late answer can't bring the lease back, a new grant can. Its own granter learns so from this
+            # report and grants the units to others.
+            is_of_present = local.lease_origin == (self.granter, self.granter_term)
+            local.lapsed_units = 0 if is_of_present else local.leased_units
+            local.leased_units = 0
+        used = local.used_units(now)
+        held = local.held_units(now)
+        if not local.has_news(held, used):
+            return None
+        weight = local.waiting_weight / len(local.waiting) if local.waiting else 1.0
+        wanted = 0 if leaving else local.estimate_demand(now, now - self.reported_at, engine_count)
+        # An earlier granter counted an expired lease for that long at least.
+        is_counted = now < local.lease_expires_at + local.budget.settle_s * (1 - 2 * DRIFT)
+        lapsed = local.lapsed_units if is_counted and not local.leased_units else 0
+        return BudgetUsage(
+            budget_id=budget_id,
+            grant_serial=local.grant_serial,
+            held_units=held,
+            used_units=used,
+            wanted_units=wanted,
+            priority_weight=weight,
+            total_units=local.budget.units,
+            guaranteed_units=local.guaranteed_units,
+            held_or_lapsed_units=max(held, lapsed),
+        )
 
     def age_ms(self, entries: tuple[BudgetUsage, ...], now: float) -> int:
-        """Milliseconds since we began or joined, as whoever divides is told."""
+        """Time since we began or joined, as a report of these usages says it."""
         return max(int(1000.0 * (now - self.joined_at)), 0)
 
-    def follow_granter(self, to: int, to_start: int, reign: int) -> None:
-        """We tell another divider from now on, in this time that it has the right; 0: we don't know which."""
-        self.granter, self.granter_term = (to, to_start), reign
+    def follow_granter(self, granter: int, incarnation: int, term: int) -> None:
+        """Reports to another granter, or in another of its terms, from now on; term 0: not known yet."""
+        self.granter = GranterRef(granter, incarnation)
+        self.granter_term = term
         self._reset_grants()
 
     def _reset_grants(self) -> None:
-        """Another divider, or another right of the same: its numbers are its own, and what an older one still
-        says counts no more. What we hold we go on holding."""
-        for pocket in self.budgets.values():
-            pocket.grant_serial, pocket.owes_report = 0, True
+        """Forgets serials, which are a granter's own within a term, and reports that are not answered.
+
+        What we hold we go on holding.
+        """
+        for local in self.budgets.values():
+            local.grant_serial = 0
+            local.owes_report = True
         self.open_reports.clear()
 
     def handle_answer(self, by: int, answer: BudgetAnswer, now: float) -> bool:
-        """Whether it was an answer to us, of the divider that we tell now and in its present right."""
-        if (
-            (by, answer.leader_incarnation) != self.granter
-            or answer.token not in self.open_reports
-            or answer.leader_term < self.granter_term
-        ):
+        """Returns whether it was an answer to us, of the present granter in its present term."""
+        if (by, answer.leader_incarnation) != self.granter:
+            return False
+        if answer.token not in self.open_reports or answer.leader_term < self.granter_term:
             return False
-        told_at, said = self.open_reports[answer.token]
+        sent_at, held_units = self.open_reports[answer.token]
         if answer.leader_term > self.granter_term:
             self.granter_term = answer.leader_term
             self._reset_grants()
             return True
-        until = told_at + self.lease_s * (1 - DRIFT)
+        expires_at = sent_at + self.lease_s * (1 - DRIFT)
         for grant in answer.grants:
-            pocket = self.budgets.get(grant.budget_id)
-            if pocket is None or grant.serial < pocket.grant_serial:
-                continue  # late
-            if grant.serial == pocket.grant_serial:
-                pocket.lease_expires_at = max(pocket.lease_expires_at, until)
+            local = self.budgets.get(grant.budget_id)
+            if local is None or grant.serial < local.grant_serial:
+                continue  # of a budget that has gone, or an older grant
+            if grant.serial == local.grant_serial:
+                local.lease_expires_at = max(local.lease_expires_at, expires_at)
             else:
-                units = 0 if self.is_closed else grant.leased_units
-                pocket.grant_serial, pocket.leased_units, pocket.lease_expires_at = grant.serial, units, until
-                pocket.lease_origin, pocket.lapsed_units = (*self.granter, self.granter_term), 0
-            pocket.confirmed_held_units, pocket.owes_report = said.get(grant.budget_id, 0), False
-            pocket.agreed_total = min(grant.agreed_total, pocket.budget.units)
-            pocket.guaranteed_units = self._guaranteed_units(pocket.budget, pocket.agreed_total)
+                local.grant_serial = grant.serial
+                local.leased_units = 0 if self.is_closed else grant.leased_units
+                local.lease_expires_at = expires_at
+                local.lease_origin = LeaseOrigin(self.granter, self.granter_term)
+                local.lapsed_units = 0
+            local.confirmed_held_units = held_units.get(grant.budget_id, 0)
+            local.owes_report = False
+            local.agreed_total = min(grant.agreed_total, local.budget.units)
+            local.guaranteed_units = self._guaranteed_units(local.budget, local.agreed_total)
         return True
 
-    def move_to_group(self, me: int, now: float) -> None:
-        """To that place of another group, which knows nothing of what we have of ours: our parts end now, and
-        it hears of a budget when all that we had out beyond our base is over. Our bases go with us."""
-        self.router_index, self.joined_at = me, now
-        for pocket in self.budgets.values():
-            pocket.leased_units = pocket.lapsed_units = pocket.confirmed_held_units = 0
-            pocket.is_left_behind = True
-        self.follow_granter(-1, 0, 0)
+    def move_to_group(self, router_index: int, now: float) -> None:
+        """Joins another group, which knows nothing of what we hold.
+
+        Our leases end now, and the new granter hears of a budget when all that we had in use beyond our
+        guaranteed units has ended. Guaranteed units move with us.
+        """
+        self.router_index = router_index
+        self.joined_at = now
+        for local in self.budgets.values():
+            local.leased_units = 0
+            local.lapsed_units = 0
+            local.confirmed_held_units = 0
+            local.is_left_behind = True
+        self.follow_granter(NO_GRANTER.member, NO_GRANTER.incarnation, 0)
 
     def close(self) -> None:
-        """Another process has our name, or we stop: our parts end now, and none is taken again."""
+        """Ends our leases for good, where another process has our name or we stop."""
         self.is_closed = True
-        for pocket in self.budgets.values():
-            pocket.leased_units, pocket.lease_expires_at = 0, -math.inf
+        for local in self.budgets.values():
+            local.leased_units = 0
+            local.lease_expires_at = -math.inf
--- a/marbleworks/budgets/report.py
+++ b/marbleworks/budgets/report.py
@@ -1,6 +1,6 @@
-"""`budgets show`: what routers have of each budget, and the books of whichever divides; by `health`.
+"""Prints `budgets show`: what routers have of each budget and what the granter has allocated.
 
-It owns one connection at a time, and must never change anything at a router.
+It asks each router's `health` and changes nothing there.
 """
 
 from __future__ import annotations
@@ -15,7 +15,11 @@
 
 
 def render(addresses: list[str]) -> Iterator[str]:
-    """Lines for each router asked, the books last; raises Unasked where none answers."""
+    """Lines for each router, those of the ledger last.
+
+    Raises:
+        HealthQueryError: no router answers.
+    """
     views: list[dict[str, Any]] = []
     for address in addresses:
         try:
@@ -31,9 +35,9 @@
         )
         yield from aligned(ROUTER_COLUMNS, view["rows"])
         yield ""
-    books = [view for view in views if view["divides"] == "yes"]
-    for view in books:
+    granters = [view for view in views if view["divides"] == "yes"]
+    for view in granters:
         yield f"the books of router {view['me']}:"
         yield from aligned(LEDGER_COLUMNS, view["books"])
-    if not books:
+    if not granters:
         yield f"none of these divides; router {views[0]['divider']} does, or nobody"
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -14,14 +14,9 @@
 from dataclasses import dataclass, replace
 from types import MappingProxyType
 
-from marbleworks.budgets.allocation_ledger import (
-    AllocationLedger,
-    AllocationSummary,
-    BudgetAllocation,
-    BudgetSource,
-    MemberAccount,
-    MemberPolicy,
-)
+from marbleworks.budgets.allocation import AllocationSummary, BudgetAllocation, MemberAccount
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.allocation_policy import BudgetSource, MemberPolicy
 from marbleworks.budgets.budget_catalog import MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import FORMAT, BudgetAnswer, BudgetReport, BudgetUsage
 from marbleworks.budgets.codec import decode as decode_budgets
@@ -117,7 +112,7 @@
         self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
     ) -> None:
         """Another leader, the same cell: what it was given, its routers may have."""
-        account.report_token = -1
+        account.report_token = None
 
 
 class BudgetLeaseGranter:
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -77,12 +77,14 @@
 
     def _budgets(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport) -> None:
         from marbleworks.budgets.enforcement import BudgetedConnectionLimit
+        from marbleworks.budgets.options import BudgetOptions
         from marbleworks.budgets.service import BudgetService
 
         fleet, plan = deployment.fleet, self._plan(deployment)
         group = peers if self.steward is not None else None
+        options = BudgetOptions.from_section(self.book["budgets"])
         treasurer = self.treasurer = BudgetService(
-            self.book["budgets"], plan, desk, group, fleet.router_index, fleet.router_count
+            options, plan, desk, group, fleet.router_index, fleet.router_count
         )
         desk.scheduler.shared_budgets = holder = treasurer.enforcer
         make = desk.make_engine_client
@@ -92,7 +94,7 @@
             place.share = BudgetedConnectionLimit(place.share, holder, name)
             return cast("EnginePort", place)
 
-        if self.book["budgets"]["lines-per-core"]:
+        if options.max_connections_per_core:
             desk.make_engine_client = counted
         self.replan = lambda: desk.post(holder.set_catalog, self._plan(deployment))
         if self.steward is not None:
@@ -101,13 +103,17 @@
 
     def _plan(self, deployment: Settings) -> BudgetCatalog:
         from marbleworks.budgets.budget_catalog import BudgetCatalog
+        from marbleworks.budgets.options import BudgetOptions
 
-        terms = self.book["budgets"]
+        options = BudgetOptions.from_section(self.book["budgets"])
         plan = BudgetCatalog(
-            terms, deployment.class_index, deployment.tenant_index, deployment.rules.tenant_rates_per_s
+            options, deployment.class_index, deployment.tenant_index, deployment.rules.tenant_rates_per_s
         )
         for name in plan.unmatched_names:
-            LOG.warning("budget of nobody", name=name, what=str(terms["budget"][name]))
+            scoped = options.scoped_budgets[name]
+            LOG.warning(
+                "budget scope unknown", name=name, request_class=scoped.request_class, tenant=scoped.tenant
+            )
         return plan
 
     def reload(self) -> None:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -12,8 +12,9 @@
 from hypothesis import strategies as st
 
 from marbleworks.budgets import allocation_ledger as ledger_module
-from marbleworks.budgets import local_budget as purse_module
-from marbleworks.budgets.allocation_ledger import AllocationLedger, BudgetAllocation
+from marbleworks.budgets import local_budget as local_budget_module
+from marbleworks.budgets.allocation import BudgetAllocation
+from marbleworks.budgets.allocation_ledger import AllocationLedger
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget, BudgetCatalog
 from marbleworks.budgets.codec import (
     TYPICAL_HEAD_BYTES,
@@ -29,6 +30,7 @@
 from marbleworks.budgets.enforcement import BudgetedConnectionLimit, BudgetEnforcer
 from marbleworks.budgets.fair_division import Demand, divide
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
+from marbleworks.budgets.options import BudgetOptions
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
 from marbleworks.membership.codec import MOST, DatagramDecodeError
@@ -86,20 +88,20 @@
 def test_the_longest_head_of_a_report_leaves_its_entries_less_room(entry: BudgetUsage) -> None:
     """Every number of the head as wide as it is read: 87 bytes, where ordinary ones take 72 at most."""
     most = (1 << 40) - 1
-    purse = LocalBudgets(0, 2, 0.25, 1.0, -10.0)
-    purse.set_budgets(
+    router = LocalBudgets(0, 2, 0.25, 1.0, -10.0)
+    router.set_budgets(
         [Budget(f"w{n}", 1 << 24 if entry is WIDEST else 200, 0.0, 1.0) for n in range(40)], 0.0
     )
-    purse.follow_granter(0, most, most)
-    purse.config_version = purse.config_digest = most
-    for one in purse.budgets.values():
+    router.follow_granter(0, most, most)
+    router.config_version = router.config_digest = most
+    for one in router.budgets.values():
         one.grant_serial, one.leased_units, one.lease_expires_at, one.in_flight = (
             entry.grant_serial,
             entry.held_units,
             math.inf,
             entry.used_units,
         )
-    told = purse.make_reports(0, most, most, most / 1000.0, 1, True)
+    told = router.make_reports(0, most, most, most / 1000.0, 1, True)
     assert sum(len(report.usages) for report in told) == 40
     assert max(report.age_ms for report in told) >= 1 << 32
     assert all(len(encode_report(7, report)) <= MOST for report in told)
@@ -188,68 +190,68 @@
     units: int = 8, kept: float = 0.25, span: float = 0.0
 ) -> tuple[AllocationLedger, list[LocalBudgets], Budget]:
     whole = Budget("w", units, span, span or 1.0 + ABANDONED_ATTEMPT_TIMEOUT_S)
-    purses = [LocalBudgets(n, 2, kept, 1.0, -10.0) for n in range(2)]
-    for purse in purses:
-        purse.set_budgets([whole], 0.0)
+    routers = [LocalBudgets(n, 2, kept, 1.0, -10.0) for n in range(2)]
+    for router in routers:
+        router.set_budgets([whole], 0.0)
     ledger = AllocationLedger(0, 2, 1, 1, kept, 1.0, 0.0)
     ledger.set_budgets([whole])
-    return ledger, purses, whole
+    return ledger, routers, whole
 
 
-def pocket(purse: LocalBudgets) -> LocalBudget:
-    return next(iter(purse.budgets.values()))
+def only_budget(router: LocalBudgets) -> LocalBudget:
+    return next(iter(router.budgets.values()))
 
 
-def tell(ledger: AllocationLedger, purses: list[LocalBudgets], now: float, who: Any = (0, 1)) -> None:
+def tell(ledger: AllocationLedger, routers: list[LocalBudgets], now: float, who: Any = (0, 1)) -> None:
     for n in who:
-        for report in purses[n].make_reports(0, 1, 1, now):
+        for report in routers[n].make_reports(0, 1, 1, now):
             answer = ledger.handle_report(n, report, now)
             if answer is not None:
-                purses[n].handle_answer(0, answer, now)
+                routers[n].handle_answer(0, answer, now)
 
 
 def test_all_of_a_whole_can_be_used_and_not_one_unit_more() -> None:
-    ledger, purses, _ = pair()
+    ledger, routers, _ = pair()
     for n in range(1, 12):
-        pocket(purses[0]).waiting.update(map(str, range(9)))
-        tell(ledger, purses, 0.2 * n)
-        while pocket(purses[0]).has_room(0.2 * n):
-            purses[0].acquire(pocket(purses[0]), 0.2 * n)
-    used = [pocket(p).used_units(2.2) for p in purses]
-    assert sum(pocket(p).max_units(2.2) for p in purses) == 8 and used[0] >= 6
+        only_budget(routers[0]).waiting.update(map(str, range(9)))
+        tell(ledger, routers, 0.2 * n)
+        while only_budget(routers[0]).has_room(0.2 * n):
+            routers[0].acquire(only_budget(routers[0]), 0.2 * n)
+    used = [only_budget(p).used_units(2.2) for p in routers]
+    assert sum(only_budget(p).max_units(2.2) for p in routers) == 8 and used[0] >= 6
     assert ledger.free_units(next(iter(ledger.allocations.values())), 2.2) == 0
 
 
 def test_a_part_ends_with_its_lease_and_its_commands_go_on_until_they_are_called_off() -> None:
-    ledger, purses, whole = pair()
+    ledger, routers, whole = pair()
     for n in range(1, 6):
-        pocket(purses[1]).waiting.update(map(str, range(9)))
-        tell(ledger, purses, 0.2 * n)
-        while pocket(purses[1]).has_room(0.2 * n):
-            purses[1].acquire(pocket(purses[1]), 0.2 * n)
-    mine = pocket(purses[1])
+        only_budget(routers[1]).waiting.update(map(str, range(9)))
+        tell(ledger, routers, 0.2 * n)
+        while only_budget(routers[1]).has_room(0.2 * n):
+            routers[1].acquire(only_budget(routers[1]), 0.2 * n)
+    mine = only_budget(routers[1])
     out = mine.used_units(1.0)
-    assert out > 1 and purses[1].overdue(1.0) == []
+    assert out > 1 and routers[1].overdue(1.0) == []
     assert (
         mine.max_units(2.1) == mine.guaranteed_units == 1
         and mine.used_units(2.1) == out
         and not mine.has_room(2.1)
     )
-    assert purses[1].overdue(2.5) == []
+    assert routers[1].overdue(2.5) == []
     late = 2.0 + whole.settle_s
-    assert purses[1].overdue(late) == [(mine, out - 1)]
-    tell(ledger, purses, late, who=[0])  # what it held is free by then
+    assert routers[1].overdue(late) == [(mine, out - 1)]
+    tell(ledger, routers, late, who=[0])  # what it held is free by then
     for n in range(1, 8):
-        pocket(purses[0]).waiting.update(map(str, range(9)))
-        tell(ledger, purses, late + 0.2 * n, who=[0])
-    assert pocket(purses[0]).max_units(late + 1.4) == 7
+        only_budget(routers[0]).waiting.update(map(str, range(9)))
+        tell(ledger, routers, late + 0.2 * n, who=[0])
+    assert only_budget(routers[0]).max_units(late + 1.4) == 7
 
 
 def test_a_unit_whose_command_may_run_on_is_not_free_for_a_while() -> None:
-    _, purses, _ = pair()
-    mine = pocket(purses[0])
-    assert purses[0].acquire(mine, 0.0) == math.inf  # of its base
-    purses[0].release(mine, 0.5, True)
+    _, routers, _ = pair()
+    mine = only_budget(routers[0])
+    assert routers[0].acquire(mine, 0.0) == math.inf  # of its base
+    routers[0].release(mine, 0.5, True)
     assert (
         mine.used_units(0.5) == mine.used_units(0.5 + ABANDONED_ATTEMPT_TIMEOUT_S - 0.01) == 1
         and mine.used_units(0.5 + ABANDONED_ATTEMPT_TIMEOUT_S + 0.01) == 0
@@ -257,44 +259,44 @@
 
 
 def test_a_rate_is_no_more_than_its_burst_in_any_window() -> None:
-    purse = LocalBudgets(0, 1, None, 1.0, -10.0)
-    purse.set_budgets([Budget("r", 5, 1.0, 1.0)], 0.0)
-    mine, times, now = pocket(purse), list[float](), 0.0
+    router = LocalBudgets(0, 1, None, 1.0, -10.0)
+    router.set_budgets([Budget("r", 5, 1.0, 1.0)], 0.0)
+    mine, times, now = only_budget(router), list[float](), 0.0
     while now < 20.0:
         if mine.has_room(now):
-            purse.acquire(mine, now)
+            router.acquire(mine, now)
             times.append(now)
         now += 0.01
     assert len(times) > 90
     assert all(sum(t <= other < t + 1.0 for other in times) <= 5 for t in times)
 
 
-def wanted(ledger: AllocationLedger, purses: list[LocalBudgets], now: float) -> None:
-    for purse in purses:
-        pocket(purse).waiting.update(map(str, range(20)))
-    tell(ledger, purses, now)
+def wanted(ledger: AllocationLedger, routers: list[LocalBudgets], now: float) -> None:
+    for router in routers:
+        only_budget(router).waiting.update(map(str, range(20)))
+    tell(ledger, routers, now)
 
 
 def test_a_smaller_whole_holds_once_one_tells_it_and_a_larger_once_all_do() -> None:
-    ledger, purses, whole = pair(16)
+    ledger, routers, whole = pair(16)
     for n in range(1, 5):
-        wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).max_units(0.8) for p in purses) == 16
-    purses[1].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 0.8)  # its file was changed first
+        wanted(ledger, routers, 0.2 * n)
+    assert sum(only_budget(p).max_units(0.8) for p in routers) == 16
+    routers[1].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 0.8)  # its file was changed first
     for n in range(5, 10):
-        wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).max_units(1.8) for p in purses) == 8
-    purses[0].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 1.8)
+        wanted(ledger, routers, 0.2 * n)
+    assert sum(only_budget(p).max_units(1.8) for p in routers) == 8
+    routers[0].set_budgets([Budget("w", 8, 0.0, whole.settle_s)], 1.8)
     ledger.set_budgets([Budget("w", 8, 0.0, whole.settle_s)])
-    purses[0].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 1.9)  # and up again, at one of them
+    routers[0].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 1.9)  # and up again, at one of them
     ledger.set_budgets([Budget("w", 24, 0.0, whole.settle_s)])
     for n in range(10, 14):
-        wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).max_units(2.6) for p in purses) == 8
-    purses[1].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 2.6)
+        wanted(ledger, routers, 0.2 * n)
+    assert sum(only_budget(p).max_units(2.6) for p in routers) == 8
+    routers[1].set_budgets([Budget("w", 24, 0.0, whole.settle_s)], 2.6)
     for n in range(14, 19):
-        wanted(ledger, purses, 0.2 * n)
-    assert sum(pocket(p).max_units(3.6) for p in purses) == 24
+        wanted(ledger, routers, 0.2 * n)
+    assert sum(only_budget(p).max_units(3.6) for p in routers) == 24
 
 
 def test_files_that_disagree_are_found() -> None:
@@ -306,15 +308,15 @@
 
 
 def test_forged_entries_and_numbers_cost_nothing() -> None:
-    ledger, purses, _ = pair()
-    wanted(ledger, purses, 0.1)
-    wanted(ledger, purses, 0.2)
-    before = dict(next(iter(ledger.snapshots(0.3).values())))
+    ledger, routers, _ = pair()
+    wanted(ledger, routers, 0.1)
+    wanted(ledger, routers, 0.2)
+    before = next(iter(ledger.snapshots(0.3).values()))
     huge = BudgetUsage(3, 1, 1 << 30, 1 << 30, 1 << 30, 1.0, 1 << 30, 1 << 30, 0)
     ledger.handle_report(1, BudgetReport(1, 1, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
     ledger.handle_report(9, BudgetReport(1, 1, 1, 99, 1, 1, False, 0, ()), 0.3)
     ledger.handle_report(1, BudgetReport(1, 77, 1, 99, 1, 1, False, 0, (huge,)), 0.3)
-    assert dict(next(iter(ledger.snapshots(0.3).values()))) == before and len(ledger.allocations) == 1
+    assert next(iter(ledger.snapshots(0.3).values())) == before and len(ledger.allocations) == 1
 
 
 def test_budgets_of_engines_that_have_gone_are_forgotten() -> None:
@@ -405,7 +407,7 @@
 
 
 def no_doubt(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(purse_module, "ABANDONED_ATTEMPT_TIMEOUT_S", 0.0)
+    patch.setattr(local_budget_module, "ABANDONED_ATTEMPT_TIMEOUT_S", 0.0)
 
 
 def any_reign(patch: pytest.MonkeyPatch) -> None:
@@ -444,7 +446,7 @@
     text = """(budgets (version 4) (budget "month-end" (profile "report") (out 40))
         (budget "acme" (tenant "acme") (rate 5)))"""
     terms = sections_of(text)["budgets"]
-    plan = BudgetCatalog(terms, {"look": 0, "report": 1}, {"acme": 0}, [12.0])
+    plan = BudgetCatalog(BudgetOptions.from_section(terms), {"look": 0, "report": 1}, {"acme": 0}, [12.0])
     assert [(n.budget.name, n.budget.units, n.budget.window_s) for n in plan.scoped_budgets] == [
         ("named month-end", 40, 0.0),
         ("named acme", 5, 1.0),
@@ -467,13 +469,17 @@
             sections_of(bad)
         assert err.value.line == 1 and err.value.column > 1
     assert BudgetCatalog(
-        sections_of('(budgets (budget "x" (profile "no") (out 4)))')["budgets"], {}, {}
+        BudgetOptions.from_section(sections_of('(budgets (budget "x" (profile "no") (out 4)))')["budgets"]),
+        {},
+        {},
     ).unmatched_names == ["x"]
 
 
 def test_a_rate_below_one_in_its_window_is_counted_over_a_longer_one() -> None:
     plan = BudgetCatalog(
-        sections_of('(budgets (budget "x" (tenant "a") (rate 0.3)))')["budgets"], {}, {"a": 0}
+        BudgetOptions.from_section(sections_of('(budgets (budget "x" (tenant "a") (rate 0.3)))')["budgets"]),
+        {},
+        {"a": 0},
     )
     whole = plan.scoped_budgets[0].budget
     assert whole.units == 1 and whole.units / whole.window_s <= 0.3
@@ -482,32 +488,32 @@
 # What the decisions ask.
 
 
-class Desk:
-    """In place of the desk: what the decisions ask of a platform, written down."""
+class StandInDispatcher:
+    """In place of the dispatcher: what the scheduler ask of a platform, written down."""
 
-    current: "Desk"
+    current: "StandInDispatcher"
 
     def __init__(self, terms: str, engines: int = 2, **rules: Any) -> None:
         deployment = Settings(
             SETTINGS | {"orgs": [{"name": "acme", "quota_per_s": 3.0}], "instances": 1, "me": 0}
         )
-        Desk.current = self
+        StandInDispatcher.current = self
         self.clock, self.open_requests, self.engine_clients = 1000.0, dict[str, Any](), dict[int, Any]()
         self.sent: list[tuple[str, int]] = []
         self.over: list[tuple[str, float]] = []
         self.scheduler = Scheduler(self, 1, deployment.request_classes, deployment.rules, deployment.fleet)  # type: ignore[arg-type]
         plan = BudgetCatalog(
-            sections_of(terms)["budgets"],
+            BudgetOptions.from_section(sections_of(terms)["budgets"]),
             deployment.class_index,
             deployment.tenant_index,
             deployment.rules.tenant_rates_per_s,
         )
-        self.purse = LocalBudgets(0, 1, None, 1.0, -10.0)
-        self.holder = BudgetEnforcer(self, plan, self.purse, lambda: None)  # type: ignore[arg-type]
-        self.scheduler.shared_budgets = self.holder
+        self.local_budgets = LocalBudgets(0, 1, None, 1.0, -10.0)
+        self.enforcer = BudgetEnforcer(self, plan, self.local_budgets, lambda: None)  # type: ignore[arg-type]
+        self.scheduler.shared_budgets = self.enforcer
         entries = [EngineEntry(n, f"s-{n}", 0, 0, 0, EngineStatus.UP, 0.0) for n in range(engines)]
         self.scheduler.update_engines(entries, True)
-        self.holder.listed()
+        self.enforcer.listed()
 
     def now(self) -> float:
         return self.clock
@@ -531,76 +537,81 @@
 @pytest.fixture
 def still(monkeypatch: pytest.MonkeyPatch) -> None:
     """Time passes only where a test says so."""
-    monkeypatch.setattr("marbleworks.budgets.enforcement.clock", lambda: Desk.current.clock)
+    monkeypatch.setattr("marbleworks.budgets.enforcement.clock", lambda: StandInDispatcher.current.clock)
 
 
 def test_no_engine_is_sent_more_than_its_budget_and_the_rest_waits(still: None) -> None:
     cores = Settings(SETTINGS).fleet.cores_by_kind[0]
-    desk = Desk(f"(budgets (out-per-core {2 / cores}))")
-    cmds = [desk.take(f"{n:x}") for n in range(6)]
+    dispatcher = StandInDispatcher(f"(budgets (out-per-core {2 / cores}))")
+    cmds = [dispatcher.take(f"{n:x}") for n in range(6)]
     assert (
-        sorted(be for _, be in desk.sent) == [0, 0, 1, 1]
-        and len(desk.scheduler.pending) == 2
-        and not desk.over
+        sorted(be for _, be in dispatcher.sent) == [0, 0, 1, 1]
+        and len(dispatcher.scheduler.pending) == 2
+        and not dispatcher.over
     )
-    first = next(cmd for cmd in cmds if cmd.ref == desk.sent[0][0])
+    first = next(cmd for cmd in cmds if cmd.ref == dispatcher.sent[0][0])
     first.on_answer(0, None, None)
-    assert len(desk.sent) == 5 and desk.sent[4][1] == desk.sent[0][1]
+    assert len(dispatcher.sent) == 5 and dispatcher.sent[4][1] == dispatcher.sent[0][1]
 
 
 def test_what_finds_no_room_in_time_is_given_up_at_once_with_the_time(still: None) -> None:
-    desk = Desk('(budgets (budget "looks" (tenant "acme") (rate 4)))')
+    dispatcher = StandInDispatcher('(budgets (budget "looks" (tenant "acme") (rate 4)))')
     for n in range(12):
-        desk.take(f"{n:x}")
-    assert len(desk.sent) == 4
-    shed = [wait for _, wait in desk.over]
+        dispatcher.take(f"{n:x}")
+    assert len(dispatcher.sent) == 4
+    shed = [wait for _, wait in dispatcher.over]
     assert shed and all(
-        0.0 < wait <= desk.scheduler.rules.max_retry_after_s or desk.scheduler.rules.max_retry_after_s == 0
+        0.0 < wait <= dispatcher.scheduler.rules.max_retry_after_s
+        or dispatcher.scheduler.rules.max_retry_after_s == 0
         for wait in shed
     )
-    assert len(desk.sent) + len(desk.over) + len(desk.scheduler.pending) == 12
-    assert desk.holder.refused_count == len(desk.over)
+    assert len(dispatcher.sent) + len(dispatcher.over) + len(dispatcher.scheduler.pending) == 12
+    assert dispatcher.enforcer.refused_count == len(dispatcher.over)
 
 
 def test_a_tenants_share_is_what_its_budget_says(still: None) -> None:
-    desk = Desk("(budgets (window 1 s))")
-    cmds = [desk.take(f"{n:x}") for n in range(5)]
+    dispatcher = StandInDispatcher("(budgets (window 1 s))")
+    cmds = [dispatcher.take(f"{n:x}") for n in range(5)]
     worth = [cmd.benefit for cmd in cmds]
-    usual = desk.scheduler.request_classes[0].priority_weight
-    assert worth[:3] == [usual] * 3 and worth[3:] == [usual * desk.scheduler.rules.over_quota_weight] * 2
+    usual = dispatcher.scheduler.request_classes[0].priority_weight
+    assert (
+        worth[:3] == [usual] * 3 and worth[3:] == [usual * dispatcher.scheduler.rules.over_quota_weight] * 2
+    )
 
 
 def test_further_sends_come_from_the_fleets_budget(still: None) -> None:
-    desk = Desk("(budgets (further 2) (tenants off))", engines=4)
-    cmds = [desk.take(f"{n:x}") for n in range(6)]
+    dispatcher = StandInDispatcher("(budgets (further 2) (tenants off))", engines=4)
+    cmds = [dispatcher.take(f"{n:x}") for n in range(6)]
     for cmd in cmds:
         cmd.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     again = [cmd for cmd in cmds if cmd.sends == 2]
-    assert len(again) == 2 and len(desk.sent) == 8
-    desk.clock += 1.1
-    late = desk.take("f")
+    assert len(again) == 2 and len(dispatcher.sent) == 8
+    dispatcher.clock += 1.1
+    late = dispatcher.take("f")
     late.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
     assert late.sends == 2
 
 
 def test_what_a_fresh_engine_bears_is_divided_and_no_lottery(still: None) -> None:
-    desk = Desk("(budgets (cold on) (tenants off))", engines=0)
-    desk.scheduler.began = 0.0
-    desk.scheduler.update_engines([EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, desk.clock - 0.1)], True)
-    desk.holder.listed()
-    assert desk.holder.cold(0) == 1.0  # alone it has all of it
+    dispatcher = StandInDispatcher("(budgets (cold on) (tenants off))", engines=0)
+    dispatcher.scheduler.began = 0.0
+    dispatcher.scheduler.update_engines(
+        [EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, dispatcher.clock - 0.1)], True
+    )
+    dispatcher.enforcer.listed()
+    assert dispatcher.enforcer.cold(0) == 1.0  # alone it has all of it
     for n in range(200):
-        desk.take(f"{n:x}")
-    rules, engine = desk.scheduler.rules, desk.scheduler.engines[0]
+        dispatcher.take(f"{n:x}")
+    rules, engine = dispatcher.scheduler.rules, dispatcher.scheduler.engines[0]
     most = rules.slow_start_floor * engine.cores * rules.overload_multiple * rules.overload_window_s
-    assert 0 < len(desk.sent) * desk.scheduler.mean_work(0) <= most
+    assert 0 < len(dispatcher.sent) * dispatcher.scheduler.mean_work(0) <= most
 
 
 def test_connections_to_an_engine_are_counted_with_its_descriptors(still: None) -> None:
     cores = Settings(SETTINGS).fleet.cores_by_kind[0]
-    desk = Desk(f"(budgets (lines-per-core {2 / cores}) (tenants off))", engines=1)
+    dispatcher = StandInDispatcher(f"(budgets (lines-per-core {2 / cores}) (tenants off))", engines=1)
     share = BoundedSemaphore(8)
-    counted = BudgetedConnectionLimit(share, desk.holder, "s-0")
+    counted = BudgetedConnectionLimit(share, dispatcher.enforcer, "s-0")
     assert counted.acquire(blocking=False) and counted.acquire(blocking=False)
     assert not counted.acquire(blocking=False) and share.counter == 6  # nothing is kept of one that failed
     counted.release()
@@ -608,11 +619,14 @@
 
 
 def test_random_ends_leave_no_unit_behind(still: None) -> None:
-    desk, chance = Desk('(budgets (out-per-core 1) (budget "all" (tenant "acme") (out 9)))'), random.Random(3)
+    dispatcher, chance = (
+        StandInDispatcher('(budgets (out-per-core 1) (budget "all" (tenant "acme") (out 9)))'),
+        random.Random(3),
+    )
     cmds: list[Any] = []
     for n in range(400):
-        desk.clock += chance.random() * 0.05
-        cmds.append(desk.take(f"{n:x}", left=chance.choice([0.2, 2.0])))
+        dispatcher.clock += chance.random() * 0.05
+        cmds.append(dispatcher.take(f"{n:x}", left=chance.choice([0.2, 2.0])))
         for cmd in [c for c in cmds if c.out and chance.random() < 0.3]:
             send = cmd.out[0]
             how = chance.choice(list(AttemptOutcome))
@@ -620,13 +634,13 @@
                 cmd.on_answer(send.no, None, None)
             else:
                 cmd.on_attempt_end(send.no, how, False, None)
-        desk.scheduler.on_timer()
-        now = desk.clock
-        assert all(p.used_units(now) <= p.max_units(now) for p in desk.purse.budgets.values())
+        dispatcher.scheduler.on_timer()
+        now = dispatcher.clock
+        assert all(p.used_units(now) <= p.max_units(now) for p in dispatcher.local_budgets.budgets.values())
     for cmd in cmds:
         for send in list(cmd.out):
             cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
         cmd.on_client_disconnect()
-    desk.clock += 10.0
-    assert all(p.used_units(desk.clock) == 0 for p in desk.purse.budgets.values())
-    assert not desk.holder.acquired and not any(desk.holder.waiting_by_budget.values())
+    dispatcher.clock += 10.0
+    assert all(p.used_units(dispatcher.clock) == 0 for p in dispatcher.local_budgets.budgets.values())
+    assert not dispatcher.enforcer.acquired and not any(dispatcher.enforcer.waiting_by_budget.values())
--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -7,7 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.budgets.allocation_ledger import AllocationLedger, MemberPolicy
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.allocation_policy import MemberPolicy
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetGrant, BudgetReport, BudgetUsage, encode_report
 from marbleworks.budgets.local_budget import LocalBudgets
@@ -361,7 +362,9 @@
         (0, BudgetAnswer(1, 1, 77, grants)),
     ):
         assert not lessee.heard(by, answer, world.clock(0))
-    assert not lessee.heard(0, Welcome(1, 1, 12345, 9), world.clock(0)) and lease(world, 0).leased_units == units
+    assert (
+        not lessee.heard(0, Welcome(1, 1, 12345, 9), world.clock(0)) and lease(world, 0).leased_units == units
+    )
 
 
 CELLS_BEYOND = levels.CELLS
