--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -7,7 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.budgets.allocation_ledger import AllocationLedger, MemberPolicy
+from marbleworks.budgets.allocation_ledger import AllocationLedger
+from marbleworks.budgets.allocation_policy import MemberPolicy
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetGrant, BudgetReport, BudgetUsage, encode_report
 from marbleworks.budgets.local_budget import LocalBudgets
