--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -233,7 +233,7 @@
     def answered(self, by: int, answer: Answer) -> None:
         if self.purse.answered(by, answer, clock()):
             for engine in self.desk.engine_clients.values() if self.lines else ():
-                engine.post(engine.try_again)
+                engine.post(engine.serve_waiters)
             if self.gateway.pending:
                 self.gateway.review()
 
@@ -243,7 +243,7 @@
             sends = [key for key, (levels, _) in self.taken.items() if pocket in levels][-beyond:]
             for ref, _ in sends:
                 command = self.desk.open_requests.get(ref)
-                if command is not None and command.handle is not None and not command.over:
+                if command is not None and command.handle is not None and not command.completed:
                     self.called_off += 1
                     LOG.warning("called off for want of a part", ref=ref, budget=pocket.whole.name)
                     self.gateway.give_up(command.handle)
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -77,17 +77,17 @@
     def take(
         self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
     ) -> None:
-        index = self.deployment.class_index[new.profile]
+        index = self.deployment.class_index[new.class_name]
         profile, now = self.deployment.request_classes[index], clock()
         work = told[0] * self.gateway.estimate_bias[index][0] or self.gateway.mean_work(index)
-        alone, waited, left = work / profile.threads, now - new.came, new.deadline - now
+        alone, waited, left = work / profile.threads, now - new.received_at, new.deadline - now
         self.held[ref] = new, group, key, told, tenant
         self.alone[ref] = alone
         name = self.names[tenant] if tenant >= 0 else ""
         address = new.client.stream.peer.rpartition(":")[0]
         self._bound()
         target = min(
-            profile.latency_target_s + profile.latency_target_growth * alone, new.deadline - new.came
+            profile.latency_target_s + profile.latency_target_growth * alone, new.deadline - new.received_at
         )
         latest = CLOSE_CALL_RATIO * target - waited  # whoever comes to the decisions later is given up there
         self.door.arrive(
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -34,7 +34,7 @@
 from marbleworks.lab.stage import settings, until
 from marbleworks.lab.standins import HOST, configuration, dns_answer
 from marbleworks.membership.codec import State
-from marbleworks.net.discovery import MOST_ANSWER
+from marbleworks.net.engine_protocol import MAX_DNS_RESPONSE_BYTES
 
 MOST_PROCESSES, MOST_ROUTERS = 6, 200  # at once
 LONGEST = 280  # seconds that a process lives
@@ -93,7 +93,7 @@
 def most_listed() -> int:
     """Engines of which an answer of the list still has room, by the protocol."""
     count = 1
-    while answer_bytes(count + 1) <= MOST_ANSWER:
+    while answer_bytes(count + 1) <= MAX_DNS_RESPONSE_BYTES:
         count += 1
     return count
 
@@ -495,7 +495,7 @@
 
         # Taken, or at the third question two answers are behind it.
         until(lambda: has() == engines or max(server.asked.values(), default=0) > 2)
-        lines = hollows.processes[0].log.read_text().count("directory answer unreadable")
+        lines = hollows.processes[0].log.read_text().count("name server response unreadable")
         return answer_bytes(engines), has(), lines
 
 
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -166,9 +166,9 @@
             "sent": self.wire.sent,
             "heard": self.wire.heard,
             "cut": self.wire.cut,
-            "dropped": self.peers.dropped,
+            "dropped": self.peers.dropped_counts,
             "removed": self.removed,
-            "list": [self.directory.last, len(self.directory.index)],
+            "list": [self.directory.revision, len(self.directory.engine_ids)],
         }
 
     def kill(self) -> dict[str, Any]:
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -36,7 +36,8 @@
 from marbleworks.lab.standins import HOST, RpcClient, configuration
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
-from marbleworks.net.discovery import SERVICE, EngineDiscovery
+from marbleworks.net.discovery import EngineDiscovery, OpenQuery
+from marbleworks.net.engine_protocol import DNS_SERVICE_NAME
 from marbleworks.scheduling.scheduler import RequestState, Scheduler
 from marbleworks.settings import Settings
 
@@ -270,11 +271,11 @@
     def post(self, what: Any, listing: list[Any], whole: bool) -> None:
         self.count = len(listing)
 
-    def listed(self) -> None: ...
+    def update_engines(self) -> None: ...
 
 
 def lists(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    question = dns.message.make_query(SERVICE, dns.rdatatype.SRV)
+    question = dns.message.make_query(DNS_SERVICE_NAME, dns.rdatatype.SRV)
     wires = [list_answer(question.to_wire(), 7, count) for count in engines]
     told: Any = Heard()
     known = {"rev": 0, "notices": []}
@@ -282,9 +283,9 @@
     directory = EngineDiscovery(told, Settings(deployment()), known, nameserver)
 
     def read(i: int) -> float:
-        directory.last, directory.asked[question.id] = 0, (clock(), question)
-        took = yards(lambda: directory.heard(wires[i]))
-        if told.count != engines[i] or directory.last != 7:
+        directory.revision, directory.open_queries[question.id] = 0, OpenQuery(clock(), question)
+        took = yards(lambda: directory.on_response(wires[i]))
+        if told.count != engines[i] or directory.revision != 7:
             raise RuntimeError("the answer was not read: what was measured is not its reading")
         return took
 
--- a/marbleworks/membership/service.py
+++ b/marbleworks/membership/service.py
@@ -36,7 +36,7 @@
 
     def __init__(self, terms: dict[str, Any], peers: DatagramTransport, seed: int, divided: Divided) -> None:
         now = time.monotonic()
-        self.me, self.count = peers.me, len(peers.addresses)
+        self.me, self.count = peers.own_index, len(peers.peer_addresses)
         self.group = group_of(f"{terms['group']} {self.count}")
         self.fellow = MembershipNode(self.me, self.count, seed, now, terms)
         self.members, self.rights = self.fellow.members, self.fellow.rights
--- a/marbleworks/model.py
+++ b/marbleworks/model.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
 class Idempotency(Enum):
@@ -137,6 +138,13 @@
         return self.status is EngineStatus.GONE
 
 
+class ResourceUsage(NamedTuple):
+    """What a request takes: declared by its client before it runs, measured by its engine after."""
+
+    work_s: float  # on one thread
+    memory_mb: float
+
+
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """What an engine last said of itself; None where it does not say."""
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -192,9 +192,9 @@
 
     def forget(self, command: OpenRequest) -> None:
         """The desk has heard that it was given up. Its number may be another's by now."""
-        asked = self.calls.get(command.call)
+        asked = self.calls.get(command.call_id)
         if asked is not None and asked.command is command:
-            del self.calls[command.call]
+            del self.calls[command.call_id]
 
     def _write(self, message: list[Any], until: float) -> None:
         """A client that does not read holds up no answer but its own."""
@@ -334,7 +334,7 @@
         if asked is not None and not asked.given_up:
             asked.given_up = True
             if asked.command is not None:
-                asked.command.left = True
+                asked.command.client_gone = True
                 self.desk.post(self.desk.on_client_disconnect, asked.command)
 
     def _call(self, call: int, method: str, fields: dict[Any, Any], body: list[Any]) -> None:
@@ -371,7 +371,7 @@
         group = table_group(body[0].decode("utf-8", "replace"))
         shelf = self.front.shelf if fields.get("spool") == "1" else None
         tray = shelf.tray(tenant, method, body[0]) if shelf is not None else None
-        command = OpenRequest(ref, self, call, method, body[0], now, deadline, tray=tray)
+        command = OpenRequest(ref, self, call, method, body[0], now, deadline, reservation=tray)
         self.calls[call] = PendingCall(ref, deadline, command)
         self.desk.post_new_work(
             place,
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -1,242 +1,304 @@
-"""The desk: the actor of the decision module, which alone calls the Gateway and its handles.
+"""The actor of the decisions: it alone calls the scheduler and the requests' handles there.
 
-It owns what a command needs on its way: who asked, the statement, the memory granted. It is the Port, passes
-on what the gateway asks for, and must never decide anything, block, or give a command a second final answer.
+It holds what a request needs on its way: its client, its statement, the memory granted to it. It is the
+scheduler's port and does what the scheduler asks; it decides nothing, blocks nowhere, and gives a request one
+final answer.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from marbleworks.model import AttemptOutcome, EngineEntry, LoadReport
+from marbleworks.model import AttemptOutcome, LoadReport
 from marbleworks.net.actor import LOG, Actor, clock
-from marbleworks.net.messages import AttemptCall, AttemptResult, EnginePort, OpenRequest
+from marbleworks.net.addresses import SocketAddress
+from marbleworks.net.messages import AttemptCall, AttemptResult, EngineListing, EnginePort, OpenRequest
 from marbleworks.ports import RequestAdmission
 from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
-EngineClientFactory = Callable[
-    ["Dispatcher", str, tuple[str, int]], EnginePort
-]  # an engine's actor, by its name and address
+# Makes an engine's client, by the engine's name and address.
+EngineClientFactory = Callable[["Dispatcher", str, SocketAddress], EnginePort]
 
 
 class Dispatcher(Actor):
+    """Joins the client sessions, the engine clients and the scheduler.
+
+    send_load_update: sends a datagram with an engine's load to the other routers.
+    """
+
     def __init__(
-        self, deployment: Settings, seed: int, make_place: EngineClientFactory, tell: Callable[[bytes], None]
+        self,
+        settings: Settings,
+        seed: int,
+        make_engine_client: EngineClientFactory,
+        send_load_update: Callable[[bytes], None],
     ) -> None:
-        self.settings, self.make_engine_client, self.tell = deployment, make_place, tell
-        self.open_requests: dict[str, OpenRequest] = {}
-        self.engine_clients: dict[int, EnginePort] = {}
-        self.stop_by: float | None = None
+        self.settings = settings
+        self.make_engine_client = make_engine_client
+        self.send_load_update = send_load_update
+        self.open_requests: dict[str, OpenRequest] = {}  # by the client's id for it
+        self.engine_clients: dict[int, EnginePort] = {}  # by engine id
+        self.shutdown_deadline: float | None = None  # Unix time; None while the router is to go on
         self.admission: RequestAdmission | None = None
-        self.scheduler = Scheduler(self, seed, deployment.request_classes, deployment.rules, deployment.fleet)
+        self.scheduler = Scheduler(self, seed, settings.request_classes, settings.rules, settings.fleet)
         super().__init__()
 
-    # What the others tell.
+    # What the others report.
 
     def submit(
-        self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
+        self, ref: str, request: OpenRequest, group: int, key: str, declared: tuple[float, float], tenant: int
     ) -> None:
-        if new.left:  # its client was ahead of it
-            _close(new)
+        """Takes a new request: to the admission where there is one, else to the scheduler.
+
+        group: the table group of its statement, 0: none. key: requests of one key run in order, "": any.
+        declared: the work in seconds and the
+        memory in MB that its client expects it to take. tenant: an index.
+        """
+        if request.client_gone:  # its leaving was read before this mail
+            _release(request)
             return
-        if (
-            ref in self.open_requests
-        ):  # a client's id is new with every command, or the engine would mix them up
-            new.client.post(new.client.fail, new.call, "the id is in use")
-            _close(new)
+        if ref in self.open_requests:  # ids are new with every request, or engines would mix them up
+            request.client.post(request.client.fail, request.call_id, "the id is in use")
+            _release(request)
             return
-        self.open_requests[ref] = new
+        self.open_requests[ref] = request
         if self.admission is None:
-            self.admit(ref, new, group, key, told, tenant)
-        else:
-            try:
-                self.admission.take(ref, new, group, key, told, tenant)
-            except Exception:
-                if self.open_requests.get(ref) is new and new.handle is None and not new.over:
-                    del self.open_requests[ref]  # a mistake at the door costs this command alone
-                    new.client.post(new.client.fail, new.call, "failed")
-                    _close(new)
-                raise
+            self.admit(ref, request, group, key, declared, tenant)
+            return
+        try:
+            self.admission.take(ref, request, group, key, declared, tenant)
+        except Exception:
+            is_still_ours = self.open_requests.get(ref) is request and request.handle is None
+            if is_still_ours and not request.completed:
+                self._drop_failed(ref, request)  # a mistake in the admission costs this request alone
+            raise
 
     def admit(
         self,
         ref: str,
-        new: OpenRequest,
+        request: OpenRequest,
         group: int,
         key: str,
-        told: tuple[float, float],
+        declared: tuple[float, float],
         tenant: int,
         wait: float | None = None,
     ) -> None:
-        """Hands a command to the decisions. wait: the seconds after which it may come back, where the door
-        says that there is no room for it now."""
-        profile = self.settings.class_index[new.profile]
-        deadline = new.deadline if self.stop_by is None else min(new.deadline, self.stop_by)
-        left = deadline - clock()
+        """Hands a request to the scheduler.
+
+        wait: the seconds after which it may be retried, where the admission has no room for it now.
+        """
+        class_index = self.settings.class_index[request.class_name]
+        deadline = request.deadline
+        if self.shutdown_deadline is not None:
+            deadline = min(deadline, self.shutdown_deadline)
+        time_left_s = deadline - clock()
         try:
-            if wait is None and new.tray is not None:
-                wait = new.tray.wait
-            new.handle = self.scheduler.submit(ref, profile, group, key, told, tenant, new.came, left, wait)
+            if wait is None and request.reservation is not None:
+                wait = request.reservation.wait
+            request.handle = self.scheduler.submit(
+                ref, class_index, group, key, declared, tenant, request.received_at, time_left_s, wait
+            )
         finally:
-            if new.handle is None:  # a mistake in the module costs this command alone
-                del self.open_requests[ref]
-                new.client.post(new.client.fail, new.call, "failed")
-                _close(new)
-        self._forget(ref)
-
-    def on_client_disconnect(self, command: OpenRequest) -> None:
-        """Its client has closed or cancelled. Goes before new commands, so the command itself may still be
-        in the mailbox; another of the same id may be open."""
-        command.client.post(command.client.forget, command)
-        if self.open_requests.get(command.ref) is not command or command.over:
+            if request.handle is None:  # a mistake in the scheduler costs this request alone
+                self._drop_failed(ref, request)
+        self._forget_if_settled(ref)
+
+    def on_client_disconnect(self, request: OpenRequest) -> None:
+        """Its client has closed or cancelled.
+
+        This comes before new requests, so the request itself may still be in the mailbox, and another of the
+        same id may be open.
+        """
+        request.client.post(request.client.forget, request)
+        if self.open_requests.get(request.ref) is not request or request.completed:
             return
-        if self.admission is not None and self.admission.left(command.ref):
-            command.over = True
-            del self.open_requests[command.ref]
-            _close(command)
-        elif command.handle is not None:
-            command.over = True
-            command.handle.on_client_disconnect()
-            self._forget(command.ref)
-
-    def on_answer(self, ref: str, send_no: int, good: AttemptResult) -> None:
-        command = self.open_requests[ref]
-        if not command.over:
-            command.over = True
-            command.client.post(command.client.answer, command.call, bytes(good.body), good.told)
-        elif command.tray is not None:
-            command.tray.unwanted(good.told)
-        if command.handle is not None:
-            command.handle.on_answer(send_no, good.need, good.report)
+        if self.admission is not None and self.admission.left(request.ref):
+            request.completed = True
+            del self.open_requests[request.ref]
+            _release(request)
+        elif request.handle is not None:
+            request.completed = True
+            request.handle.on_client_disconnect()
+            self._forget_if_settled(request.ref)
+
+    def on_answer(self, ref: str, attempt_no: int, result: AttemptResult) -> None:
+        """An attempt has brought a result: the first answers the request, others are discarded."""
+        request = self.open_requests[ref]
+        if not request.completed:
+            request.completed = True
+            client = request.client
+            client.post(client.answer, request.call_id, bytes(result.body), result.metadata)
+        elif request.reservation is not None:
+            request.reservation.unwanted(result.metadata)
+        if request.handle is not None:
+            request.handle.on_answer(attempt_no, result.usage, result.load_report)
         if self.admission is not None:
-            self.admission.answered(ref, good.need)
-        self._forget(ref)
-
-    def on_attempt_end(self, ref: str, send_no: int, how: AttemptOutcome, report: LoadReport | None) -> None:
-        command = self.open_requests[ref]
-        if command.handle is not None:
-            command.handle.on_attempt_end(send_no, how, command.over, report)
-        self._forget(ref)
-
-    def on_result_not_stored(self, ref: str, send_no: int, wait: float) -> None:
-        """The result ran and has no place: that ends the command, since the next one would have none
-        either."""
-        command = self.open_requests[ref]
-        if command.handle is not None:
-            if not command.over:
-                self.scheduler.give_up(command.handle, wait)
-            command.handle.on_attempt_end(send_no, AttemptOutcome.CANCELLED, True, None)
-        self._forget(ref)
-
-    def on_result_reading(self, ref: str, send_no: int) -> None:
-        command = self.open_requests.get(ref)
-        if command is not None and command.handle is not None:
-            command.handle.on_result_reading(send_no)
-
-    def on_attempt_alive(self, ref: str, send_no: int) -> None:
-        command = self.open_requests.get(ref)
-        if command is not None and command.handle is not None:
-            command.handle.on_progress(send_no, None)
-
-    def update_engines(self, engines: list[tuple[EngineEntry, tuple[str, int]]], whole: bool) -> None:
-        left = {entry.engine_id: address for entry, address in engines if not entry.is_gone}
-        gone = {entry.engine_id for entry, _ in engines} | (self.engine_clients.keys() if whole else set())
-        for be in [
-            be for be in gone & self.engine_clients.keys() if left.get(be) != self.engine_clients[be].address
-        ]:
-            engine = self.engine_clients.pop(be)  # lives on for as long as a send there does
-            engine.post(engine.retire)
-        for entry, address in engines:
-            if entry.engine_id in left:
-                if entry.engine_id not in self.engine_clients:
-                    self.engine_clients[entry.engine_id] = self.make_engine_client(self, entry.name, address)
-                engine = self.engine_clients[entry.engine_id]
-                engine.post(engine.listed, entry.is_up, entry.started_at)
-        self.scheduler.update_engines([entry for entry, _ in engines], whole)
+            self.admission.answered(ref, result.usage)
+        self._forget_if_settled(ref)
+
+    def on_attempt_end(
+        self, ref: str, attempt_no: int, outcome: AttemptOutcome, load_report: LoadReport | None
+    ) -> None:
+        """An attempt has ended without a result."""
+        request = self.open_requests[ref]
+        if request.handle is not None:
+            request.handle.on_attempt_end(attempt_no, outcome, request.completed, load_report)
+        self._forget_if_settled(ref)
+
+    def on_result_not_stored(self, ref: str, attempt_no: int, retry_after_s: float) -> None:
+        """An attempt ran and its result found no room.
+
+        That ends the request, since the result of another attempt would find none either.
+        """
+        request = self.open_requests[ref]
+        if request.handle is not None:
+            if not request.completed:
+                self.scheduler.give_up(request.handle, retry_after_s)
+            request.handle.on_attempt_end(attempt_no, AttemptOutcome.CANCELLED, True, None)
+        self._forget_if_settled(ref)
+
+    def on_result_reading(self, ref: str, attempt_no: int) -> None:
+        """The pages of an attempt's result are being read."""
+        request = self.open_requests.get(ref)
+        if request is not None and request.handle is not None:
+            request.handle.on_result_reading(attempt_no)
+
+    def on_attempt_alive(self, ref: str, attempt_no: int) -> None:
+        """The engine has answered a poll: the attempt has not ended."""
+        request = self.open_requests.get(ref)
+        if request is not None and request.handle is not None:
+            request.handle.on_progress(attempt_no, None)
+
+    def update_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
+        """The list of engines has changed; is_complete: engines that it does not name have gone."""
+        self._retire_engines(listings, is_complete)
+        for entry, address in listings:
+            if entry.is_gone:
+                continue
+            if entry.engine_id not in self.engine_clients:
+                self.engine_clients[entry.engine_id] = self.make_engine_client(self, entry.name, address)
+            engine_client = self.engine_clients[entry.engine_id]
+            engine_client.post(engine_client.update_entry, entry.is_up, entry.started_at)
+        self.scheduler.update_engines([entry for entry, _ in listings], is_complete)
         if self.scheduler.shared_budgets is not None:
             self.scheduler.shared_budgets.listed()
         if self.admission is not None:
             self.admission.listed()
 
-    def short_of_descriptors(self, engine: EnginePort) -> None:
+    def on_descriptor_shortage(self, engine_client: EnginePort) -> None:
+        """An engine's client has no descriptor and can get none: every other is asked for one."""
         for other in self.engine_clients.values():
-            if other is not engine:
-                other.post(other.spare, engine)
+            if other is not engine_client:
+                other.post(other.hand_over_descriptor, engine_client)
 
-    def stop(self, by: float) -> None:
-        """Everything gets its final answer by then; what still comes is taken for no longer."""
-        self.stop_by = by
-        self.wake_at = min(self.wake_at or by, by)
+    def stop(self, deadline: float) -> None:
+        """Gives every request its final answer by the deadline, also those that are still to come."""
+        self.shutdown_deadline = deadline
+        self.wake_at = min(self.wake_at or deadline, deadline)
 
     def on_timer(self) -> None:
-        if self.stop_by is not None and clock() >= self.stop_by:
+        """Lets the scheduler do what is due, or ends everything at the shutdown deadline."""
+        if self.shutdown_deadline is not None and clock() >= self.shutdown_deadline:
             if self.admission is not None:
                 self.admission.stop()
-            for command in list(self.open_requests.values()):
-                if not command.over and command.handle is not None:
-                    self.scheduler.give_up(command.handle)
+            for request in list(self.open_requests.values()):
+                if not request.completed and request.handle is not None:
+                    self.scheduler.give_up(request.handle)
         else:
             self.scheduler.on_timer()
-            if self.stop_by is not None:
-                self.wake_at = min(self.wake_at or self.stop_by, self.stop_by)
-
-    def _forget(self, ref: str) -> None:
-        command = self.open_requests.get(ref)
-        if command is not None and command.handle is not None and command.handle.settled:
+            if self.shutdown_deadline is not None:
+                self.wake_at = min(self.wake_at or self.shutdown_deadline, self.shutdown_deadline)
+
+    def _retire_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
+        """Parts from the clients of engines that have gone or moved; each lives on until its last attempt."""
+        addresses = {entry.engine_id: address for entry, address in listings if not entry.is_gone}
+        named = {entry.engine_id for entry, _ in listings}
+        affected = named | (self.engine_clients.keys() if is_complete else set())
+        for engine_id in affected & self.engine_clients.keys():
+            if addresses.get(engine_id) != self.engine_clients[engine_id].address:
+                engine_client = self.engine_clients.pop(engine_id)
+                engine_client.post(engine_client.retire)
+
+    def _drop_failed(self, ref: str, request: OpenRequest) -> None:
+        del self.open_requests[ref]
+        request.client.post(request.client.fail, request.call_id, "failed")
+        _release(request)
+
+    def _forget_if_settled(self, ref: str) -> None:
+        request = self.open_requests.get(ref)
+        if request is not None and request.handle is not None and request.handle.settled:
             del self.open_requests[ref]
-            _close(command)
+            _release(request)
             if self.admission is not None:
                 self.admission.over(ref, False)
 
-    # What the gateway asks for.
+    # What the scheduler asks: marbleworks.ports.SchedulerPort.
 
     def now(self) -> float:
+        """The time that the scheduler goes by."""
         return clock()
 
     def send(self, ref: str, be: int, until: float, begin_by: float) -> None:
-        command, engine = self.open_requests[ref], self.engine_clients[be]
-        send = AttemptCall(
-            ref, len(command.engines), command.profile, command.statement, command.memory, until
+        """Starts the next attempt of a request, at an engine."""
+        request = self.open_requests[ref]
+        engine_client = self.engine_clients[be]
+        attempt = AttemptCall(
+            ref,
+            attempt_no=len(request.attempt_engines),
+            class_name=request.class_name,
+            statement=request.statement,
+            memory_mb=request.memory_mb,
+            deadline=until,
+            reservation=request.reservation,
+            begin_by=begin_by,
+            is_wanted=request.is_wanted,
         )
-        send.tray, send.begin_by, send.wanted = command.tray, begin_by, command.wanted
-        command.engines.append(engine)
-        engine.post(engine.send, send)
+        request.attempt_engines.append(engine_client)
+        engine_client.post(engine_client.start_attempt, attempt)
 
     def cancel(self, ref: str, send_no: int) -> None:
-        engine = self.open_requests[ref].engines[send_no]
-        engine.post(engine.cancel, ref, send_no)
+        """Cancels an attempt."""
+        engine_client = self.open_requests[ref].attempt_engines[send_no]
+        engine_client.post(engine_client.cancel_attempt, ref, send_no)
 
     def set_terms(self, ref: str, priority: int, memory: float) -> None:
-        self.open_requests[ref].memory = round(memory)  # there is no field for a priority
+        """Grants memory to the attempts to come; the protocol has no field for a priority."""
+        self.open_requests[ref].memory_mb = round(memory)
 
     def shed(self, ref: str, come_back: float) -> None:
-        command = self.open_requests[ref]
-        command.over = True
-        command.client.post(command.client.shed, command.call, come_back)
+        """Rejects a request; its client may retry after so many seconds, 0: none are named."""
+        request = self.open_requests[ref]
+        request.completed = True
+        request.client.post(request.client.shed, request.call_id, come_back)
         if self.admission is not None:
             self.post(self.admission.over, ref, True)
-        self.post(self._forget, ref)  # the module closes it after this
+        self.post(self._forget_if_settled, ref)  # the scheduler settles it after this call
 
     def fail(self, ref: str) -> None:
-        command = self.open_requests[ref]
-        command.over = True
-        command.client.post(command.client.fail, command.call, "failed")
-        self.post(self._forget, ref)
+        """Answers a request with an error."""
+        request = self.open_requests[ref]
+        request.completed = True
+        request.client.post(request.client.fail, request.call_id, "failed")
+        self.post(self._forget_if_settled, ref)  # as above
 
     def probe(self, be: int) -> None:
-        """There is no call that asks an engine for its load: it comes with answers."""
+        """Does nothing: the protocol has no call that asks for an engine's load, which comes with results."""
 
     def tell_peers(self, data: bytes) -> None:
-        self.tell(data)
+        """Sends a load update to the other routers."""
+        self.send_load_update(data)
 
     def wake(self, at: float) -> None:
+        """Has `on_timer` called at this time at the latest."""
         self.wake_at = min(self.wake_at or at, at)
 
     def log(self, text: str) -> None:
-        LOG.info("decided", what=text)
+        """Logs a decision."""
+        LOG.info("scheduler decision", what=text)
 
 
-def _close(command: OpenRequest) -> None:
-    if command.tray is not None:
-        command.tray.close()
+def _release(request: OpenRequest) -> None:
+    """Gives back the room that was reserved for its result."""
+    if request.reservation is not None:
+        request.reservation.close()
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -1,49 +1,43 @@
-"""An actor for each engine: its connections, the calls made on them, and the life of each send.
+"""An actor for each engine, which carries the attempts at it from the first byte to their end.
 
-It does what the desk asks and reports how it ended, with what that proves of it. It must never choose an
-engine, send a command again, or promise that something did not run when it may have.
+It does what the dispatcher asks and reports how each attempt ended, with what that proves. It chooses no
+engine, starts no request again that may have run, and reports "never ran" only where that is certain.
 """
 
 from __future__ import annotations
 
-import math
-import re
-import zlib
-from collections import deque
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
-from typing import TYPE_CHECKING, Any
-
-import gevent
-import httptools
-from gevent.event import AsyncResult
-from gevent.lock import BoundedSemaphore
+from http import HTTPStatus
+from typing import TYPE_CHECKING
 
 from marbleworks.model import AttemptOutcome, LoadReport
+from marbleworks.net import engine_protocol as protocol
 from marbleworks.net.actor import LOG, Actor, clock, spawn
-from marbleworks.net.messages import AttemptCall, AttemptResult
-from marbleworks.net.stream import Ended, Reason, Stream, connect
+from marbleworks.net.addresses import SocketAddress
+from marbleworks.net.connection_pool import ConnectionPool, DescriptorQuota
+from marbleworks.net.engine_connection import EngineConnection, HttpResponse
+from marbleworks.net.messages import (
+    AttemptCall,
+    AttemptEnd,
+    AttemptFailure,
+    AttemptResult,
+    EnginePort,
+    ResultNotStored,
+)
+from marbleworks.net.stream import Ended, Reason
 from marbleworks.ports import ResultNotStoredError, ResultWriter
 from marbleworks.settings import Settings
 
 if TYPE_CHECKING:
     from marbleworks.net.dispatcher import Dispatcher
 
-MOST_RESULT = 48_000  # bytes of a whole result, by the protocol
-MOST_PAGE = 6_000  # and of a page
-MOST_ANSWER = 1 << 14  # bytes of one HTTP answer with its head ...
-CHUNK = 5  # ... and more for each byte of its page, which may be a chunk by itself
-LATE = 0.05  # seconds that a time limit is longer on sockets, by the protocol ...
-NEWS_WITHIN = 0.25 + LATE  # ... and in which news is told, if only that there is none
-FORGOTTEN = 2.0  # seconds after which a query that nobody asks for ends, by the protocol
-TRIES = 6  # at one answer, each on another connection, while spoilt ones come at once
-COUNT = re.compile(r"[1-9][0-9]{0,4}")
-MOMENT = 0.001  # seconds, the least that an engine may be given
-CONTROL = re.compile(rb"[\x00-\x08\x0b-\x1f\x7f]")
+MAX_CONNECTION_TRIES = 6  # for one response, each on another connection, while spoilt ones come at once
+READING_NOTICE_INTERVAL_S = protocol.POLL_TIMEOUT_S  # between notices that a stored result is being read
 
 
 class AttemptCancelledError(Exception):
-    """Thrown into the greenlet of a send that is not to go on."""
+    """Thrown into the greenlet of an attempt that is to stop."""
 
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.value)
@@ -51,481 +45,346 @@
 
 
 class AttemptWithheldError(Exception):
-    """A send whose first byte must not leave after all."""
-
-    def __init__(self, how: AttemptOutcome) -> None:
-        super().__init__(how.value)
-        self.how = how
-
-
-class Answer:
-    """One HTTP answer."""
-
-    def __init__(self) -> None:
-        self.status, self.fields, self.body = 0, dict[str, str](), bytearray()
-        self.surplus = False  # more came than was its own, or its length is wrong: which, can't be told
-
-    @property
-    def never_ran(self) -> bool:
-        return self.fields.get("x-no-effect") == "1"
-
-    @property
-    def sheets(self) -> int:
-        """The number of pages, 0 where none can be read."""
-        text = self.fields.get("x-sheets", "")
-        return int(text) if COUNT.fullmatch(text) else 0
-
-    def sound(self, page: int) -> bool:
-        """Whether it can be what was asked for: news, or whole rows of three columns of text."""
-        if self.status != 200:
-            return self.status == 500 or (page == 0 and self.status in (202, 503, 504))
-        if not (0 < self.sheets <= MOST_RESULT if page == 0 else self.fields.get("x-sheet") == str(page)):
-            return False
-        if self.surplus or len(self.body) > MOST_PAGE or CONTROL.search(self.body):
-            return False
-        try:
-            rows = self.body.decode().split("\n")
-        except UnicodeDecodeError:
-            return False
-        only = page == 0 and self.sheets == 1  # a result may be empty, a page of several may not
-        return not rows.pop() and all(row.count("\t") == 2 for row in rows) and (only or bool(rows))
-
-
-class Connection:
-    """A connection to an engine, for one call at a time; its parser calls the methods here."""
-
-    def __init__(self, stream: Stream) -> None:
-        self.stream = stream
-        self.parser: Any = httptools.HttpResponseParser(self)
-        self.answer, self.whole, self.keep, self.idle_since = Answer(), True, True, 0.0
-        self.ref = ""  # of the command that the last call was for ...
-        self.heard = ("", 0)  # ... of the last that had a result here, and what marks that
-
-    def on_message_begin(self) -> None:
-        if self.whole:
-            self.answer.surplus = True  # a second one, that nobody asked for
-        else:
-            self.answer = Answer()  # what went before it was provisional
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.whole:
-            # Space about a value is no part of it (RFC 9112, 5.1), and the parser leaves what is behind it.
-            self.answer.fields[name.decode("latin-1").lower()] = value.decode("latin-1").strip(" \t")
-
-    def on_body(self, body: bytes) -> None:
-        if not self.whole:
-            self.answer.body += body
-
-    def on_message_complete(self) -> None:
-        status = self.parser.get_status_code()
-        if not self.whole and status >= 200:
-            self.whole, self.keep = True, self.parser.should_keep_alive()
-            self.answer.status = status
-
-    def again(self) -> bool:
-        """Whether the answer is that to an earlier command, once more. Guards against a second copy of a good
-        answer that comes after the next call is out, which nothing else tells from that call's own."""
-        answer, (ref, mark) = self.answer, self.heard
-        if answer.status != 200:
-            return False
-        self.heard = self.ref, zlib.crc32(repr(answer.fields).encode(), zlib.crc32(answer.body))
-        return ref not in ("", self.ref) and mark == self.heard[1]
-
-    def ask(self, request: bytes, until: float) -> None:
-        self.answer, self.whole = Answer(), False
-        self.stream.write(request, until)
-
-    def hear(self, until: float) -> Answer:
-        """The answer to what was just asked."""
-        read = 0
-        while not self.whole:
-            self.stream.fill(until)
-            with self.stream.unread() as view:
-                read += len(view)
-                try:
-                    self.parser.feed_data(view)
-                except httptools.HttpParserError:
-                    if not self.whole:
-                        raise Ended(Reason.MALFORMED) from None
-                    self.answer.surplus = True
-                self.stream.read(len(view))
-            if read > MOST_ANSWER + CHUNK * min(len(self.answer.body), MOST_PAGE):
-                raise Ended(Reason.TOO_LONG)
-        self.answer.surplus |= bool(self.stream.more())
-        self.keep &= not self.answer.surplus
-        return self.answer
-
-    def end(self, why: Reason) -> None:
-        self.stream.end(why)
-        self.parser = None  # each refers to the other, and would stay until garbage is looked for
+    """The first byte of an attempt must not be sent after all."""
+
+    def __init__(self, outcome: AttemptOutcome) -> None:
+        super().__init__(outcome.value)
+        self.outcome = outcome
 
 
 def engine_client_factory(
-    deployment: Settings, share: BoundedSemaphore
-) -> Callable[[Dispatcher, str, tuple[str, int]], EngineClient]:
-    """What makes an actor for an engine. share: descriptors that all of them may hold together."""
-    return lambda desk, name, address: EngineClient(desk, name, address, deployment, share)
+    settings: Settings, descriptor_quota: DescriptorQuota
+) -> Callable[[Dispatcher, str, SocketAddress], EngineClient]:
+    """Returns what makes the client of an engine, by its name and address.
+
+    descriptor_quota: descriptors that the connections of all engines may hold together.
+    """
+    return lambda dispatcher, name, address: EngineClient(
+        dispatcher, name, address, settings, descriptor_quota
+    )
 
 
 class EngineClient(Actor):
+    """The client of one engine process after another under one name and address."""
+
     def __init__(
         self,
-        desk: Dispatcher,
+        dispatcher: Dispatcher,
         name: str,
-        address: tuple[str, int],
-        deployment: Settings,
-        share: BoundedSemaphore,
+        address: SocketAddress,
+        settings: Settings,
+        descriptor_quota: DescriptorQuota,
     ) -> None:
         super().__init__()
-        self.desk, self.name, self.address, self.share = desk, name, address, share
-        self.deployment, self.up, self.started = deployment, True, 0.0
-        self.connect_time = deployment.rules.connect_timeout_s
-        self.retired = False  # gone from the list: ends with its last send
-        self.idle: list[Connection] = []  # the last used is last
-        self.connections = 0  # those there are, idle or not
-        self.owed: EngineClient | None = None  # the one that gets the descriptor of the next that is free
-        self.waiting: deque[AsyncResult[Connection | None]] = deque()
-        self.sends: dict[tuple[str, int], AttemptCall] = {}
-
-    # What the desk asks.
-
-    def send(self, send: AttemptCall) -> None:
-        self.sends[send.ref, send.no] = send
-        send.greenlet = spawn(self._carry, send)
-
-    def cancel(self, ref: str, no: int) -> None:
-        send = self.sends.get((ref, no))
-        if send is not None and not send.called_off:
-            send.called_off = True
-            spawn(self._call_off, send)
-
-    def listed(self, up: bool, started: float) -> None:
-        """Of its process: nothing goes out once it drains, and a new one has nothing of the old."""
-        for send in list(self.sends.values()):
-            if not send.posted if not up else 0.0 < send.posted < started:
-                self._stop(send, Reason.REPLACED)
-        if started > self.started or not up:
-            self._close_idle(Reason.REPLACED)
-        self.up, self.started = up, started
+        self.dispatcher = dispatcher
+        self.name = name
+        self.address = address
+        self.settings = settings
+        self.pool = ConnectionPool(self, name, address, settings, descriptor_quota)
+        self.requests = protocol.RequestEncoder(address)
+        self.is_up = True
+        self.started_at = 0.0  # Unix time of the engine's process, 0: long ago
+        self.is_retired = False  # gone from the list: ends with its last attempt
+        self.attempts: dict[tuple[str, int], AttemptCall] = {}  # by request and attempt number
+
+    # What the dispatcher asks.
+
+    def start_attempt(self, attempt: AttemptCall) -> None:
+        """Carries an attempt in a greenlet of its own; its end is posted to the dispatcher."""
+        self.attempts[attempt.ref, attempt.attempt_no] = attempt
+        attempt.greenlet = spawn(self._run_attempt, attempt)
+
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        """Gives an attempt up, at its engine too if it has been sent."""
+        attempt = self.attempts.get((ref, attempt_no))
+        if attempt is not None and not attempt.cancelled:
+            attempt.cancelled = True
+            spawn(self._cancel, attempt)
+
+    def update_entry(self, is_up: bool, started_at: float) -> None:
+        """Follows the engine's process: nothing is sent once it drains, a new one has nothing of the old."""
+        for attempt in list(self.attempts.values()):
+            if is_up:
+                is_lost = attempt.sent_at is not None and attempt.sent_at < started_at
+            else:
+                is_lost = attempt.sent_at is None
+            if is_lost:
+                self._stop(attempt, Reason.REPLACED)
+        if started_at > self.started_at or not is_up:
+            self.pool.close_idle(Reason.REPLACED)
+        self.is_up = is_up
+        self.started_at = started_at
 
     def retire(self) -> None:
-        self.retired = True
-        self.listed(False, self.started)
-        self._rest()
-
-    def _rest(self) -> None:
-        if self.retired and not self.sends:
-            self._close_idle(Reason.REPLACED)
-            self.post(self.finish)
+        """The engine has left the list; this ends with its last attempt."""
+        self.is_retired = True
+        self.update_entry(False, self.started_at)
+        self._finish_if_retired()
 
-    def spare(self, other: EngineClient) -> None:
-        """Descriptors are short, and the other engine has none: one of ours goes, now or when it is free."""
-        if self.idle:
-            self._end(self.idle.pop(0), Reason.NO_ROOM)
-            other.post(other.try_again)
-        elif self.connections:
-            self.owed = other
+    def hand_over_descriptor(self, recipient: EnginePort) -> None:
+        """Gives a descriptor up to another engine's client, which has none."""
+        self.pool.hand_over_descriptor(recipient)
 
-    def try_again(self) -> None:
-        while self.waiting and self.share.acquire(blocking=False):
-            self.waiting.popleft().set(None)
+    def serve_waiters(self) -> None:
+        """Descriptors may be free: whoever waits for one is served."""
+        self.pool.serve_waiters()
 
     def on_timer(self) -> None:
-        """Ends well before the engine would what has not been used for long."""
-        old = clock() - self.deployment.idle_timeout_s / 2
-        while self.idle and self.idle[0].idle_since <= old:
-            self._end(self.idle.pop(0), Reason.IDLE)
-        self.wake_at = self.idle[0].idle_since + self.deployment.idle_timeout_s / 2 if self.idle else None
+        """Closes the connections that were idle for too long."""
+        self.wake_at = self.pool.close_expired()
+
+    # What the pool asks.
 
-    # The life of a send.
+    def on_descriptor_shortage(self) -> None:
+        """Asks the dispatcher for a descriptor of another engine."""
+        self.dispatcher.post(self.dispatcher.on_descriptor_shortage, self)
 
-    def _carry(self, send: AttemptCall) -> None:
-        how, report, result, not_kept = AttemptOutcome.UNSENT, None, None, None
-        send.begun = True
+    # The life of an attempt.
+
+    def _run_attempt(self, attempt: AttemptCall) -> None:
+        end: AttemptEnd = AttemptFailure(AttemptOutcome.UNSENT)
+        attempt.has_begun = True
         try:
-            if send.stopped is not None:
-                raise AttemptCancelledError(send.stopped)
-            result = self._result(send)
-            how, report = result if isinstance(result, tuple) else (AttemptOutcome.ERROR, None)
-        except AttemptCancelledError as off:
-            if off.reason is Reason.REPLACED:
-                how = AttemptOutcome.CONNECTION_LOST if send.posted else AttemptOutcome.WITHHELD
-            else:
-                how = AttemptOutcome.CANCELLED if send.posted else AttemptOutcome.UNSENT
+            if attempt.stop_reason is not None:
+                raise AttemptCancelledError(attempt.stop_reason)
+            end = self._perform(attempt)
+        except AttemptCancelledError as err:
+            end = AttemptFailure(_outcome_of_stop(attempt, err.reason))
         except AttemptWithheldError as err:
-            how = err.how
+            end = AttemptFailure(err.outcome)
         except ResultNotStoredError as err:
-            not_kept = err.retry_after_s
+            end = ResultNotStored(err.retry_after_s)
         except Ended as err:
-            if send.posted:
-                how = (
-                    AttemptOutcome.TIMED_OUT
-                    if err.reason is Reason.SILENT
-                    else AttemptOutcome.CONNECTION_LOST
-                )
-                spawn(self._give_up, send)
-            elif clock() >= min(send.begin_by, send.until):
-                how = AttemptOutcome.WITHHELD if clock() < send.until else AttemptOutcome.UNSENT
-            elif err.reason is not Reason.NO_ROOM:
-                how = (
-                    AttemptOutcome.CONNECTION_REFUSED
-                    if err.reason is Reason.REFUSED
-                    else AttemptOutcome.CONNECT_TIMEOUT
-                )
+            end = AttemptFailure(_outcome_of_lost_connection(attempt, err.reason))
+            if attempt.sent_at is not None:
+                spawn(self._cancel_at_engine, attempt)
         except Exception:
-            how = AttemptOutcome.ERROR if send.posted else AttemptOutcome.UNSENT
+            if attempt.sent_at is not None:
+                end = AttemptFailure(AttemptOutcome.ERROR)
             raise
         finally:
-            self.sends.pop((send.ref, send.no), None)
-            self._rest()
-            if isinstance(result, AttemptResult):
-                self.desk.post(self.desk.on_answer, send.ref, send.no, result)
-            elif not_kept is not None:
-                self.desk.post(self.desk.on_result_not_stored, send.ref, send.no, not_kept)
-            else:
-                how = AttemptOutcome.CANCELLED if send.called_off and send.posted else how
-                self.desk.post(self.desk.on_attempt_end, send.ref, send.no, how, report)
-
-    def _result(self, send: AttemptCall) -> AttemptResult | tuple[AttemptOutcome, LoadReport | None]:
-        answer = self._post(send)
-        while answer.status == 202:
-            self.desk.post(self.desk.on_attempt_alive, send.ref, send.no)
-            answer = self._get(send, 0)
-        report = self._report(answer)
-        if answer.never_ran and answer.status in (503, 504):
-            return (AttemptOutcome.REJECTED if answer.status == 503 else AttemptOutcome.UNSENT), report
-        if answer.status != 200:
-            return AttemptOutcome.ERROR, report
-        good = AttemptResult(answer.body, _need(answer), report)
-        if send.tray is not None:
-            return self._kept(send, good, answer.sheets, send.tray.sheet())
-        for number in range(1, answer.sheets):
-            page = self._get(send, number)
-            if page.status != 200:
-                return AttemptOutcome.ERROR, report
-            good.body += page.body
-            if len(good.body) > MOST_RESULT:
-                return AttemptOutcome.ERROR, report
-        return good
-
-    def _kept(
-        self, send: AttemptCall, good: AttemptResult, pages: int, sheet: ResultWriter
-    ) -> AttemptResult | tuple[AttemptOutcome, LoadReport | None]:
-        """Reads a result of any size into its sheet, and frees the engine as soon as it has said all."""
-        told_at = 0.0
+            self.attempts.pop((attempt.ref, attempt.attempt_no), None)
+            self._finish_if_retired()
+            self._report_end(attempt, end)
+
+    def _report_end(self, attempt: AttemptCall, end: AttemptEnd) -> None:
+        dispatcher = self.dispatcher
+        ref = attempt.ref
+        attempt_no = attempt.attempt_no
+        if isinstance(end, AttemptResult):
+            dispatcher.post(dispatcher.on_answer, ref, attempt_no, end)
+        elif isinstance(end, ResultNotStored):
+            dispatcher.post(dispatcher.on_result_not_stored, ref, attempt_no, end.retry_after_s)
+        else:
+            was_cancelled = attempt.cancelled and attempt.sent_at is not None
+            outcome = AttemptOutcome.CANCELLED if was_cancelled else end.outcome
+            dispatcher.post(dispatcher.on_attempt_end, ref, attempt_no, outcome, end.load_report)
+
+    def _perform(self, attempt: AttemptCall) -> AttemptResult | AttemptFailure:
+        """Starts the request at the engine, polls until it has ended, and reads its result."""
+        response = self._start_request(attempt)
+        while response.status == HTTPStatus.ACCEPTED:
+            self.dispatcher.post(self.dispatcher.on_attempt_alive, attempt.ref, attempt.attempt_no)
+            response = self._fetch(attempt, 0)
+        load_report = self._load_report(response)
+        if protocol.proves_never_ran(response.fields):
+            if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+                return AttemptFailure(AttemptOutcome.REJECTED, load_report)
+            if response.status == HTTPStatus.GATEWAY_TIMEOUT:
+                return AttemptFailure(AttemptOutcome.UNSENT, load_report)
+        if response.status != HTTPStatus.OK:
+            return AttemptFailure(AttemptOutcome.ERROR, load_report)
+        pages = protocol.page_count(response.fields) or 0
+        result = AttemptResult(response.body, protocol.resource_usage(response.fields), load_report)
+        if attempt.reservation is not None:
+            return self._store_result(attempt, result, pages, attempt.reservation.sheet())
+        return self._read_pages(attempt, result, pages)
+
+    def _read_pages(
+        self, attempt: AttemptCall, result: AttemptResult, pages: int
+    ) -> AttemptResult | AttemptFailure:
+        """Reads the pages after the first into memory."""
+        for number in range(1, pages):
+            page = self._fetch(attempt, number)
+            if page.status != HTTPStatus.OK:
+                return AttemptFailure(AttemptOutcome.ERROR, result.load_report)
+            result.body += page.body
+            if len(result.body) > protocol.MAX_RESULT_BYTES:
+                return AttemptFailure(AttemptOutcome.ERROR, result.load_report)
+        return result
+
+    def _store_result(
+        self, attempt: AttemptCall, result: AttemptResult, pages: int, writer: ResultWriter
+    ) -> AttemptResult | AttemptFailure:
+        """Reads a result of any size into the store, and frees the engine once its last page is read.
+
+        Raises ResultNotStoredError.
+        """
+        notified_at = 0.0
         try:
-            sheet.add(good.body, send.until)
+            writer.add(result.body, attempt.deadline)
             for number in range(1, pages):
-                if clock() > told_at + NEWS_WITHIN:
-                    told_at = clock()
-                    self.desk.post(self.desk.on_result_reading, send.ref, send.no)
-                page = self._get(send, number)
-                if page.status != 200:
-                    return AttemptOutcome.ERROR, good.report
-                sheet.add(page.body, send.until)
-            self.desk.post(self.desk.on_result_reading, send.ref, send.no)
-            spawn(self._give_up, send)
-            first, good.told = sheet.finish(send.until)
+                if clock() > notified_at + READING_NOTICE_INTERVAL_S:
+                    notified_at = clock()
+                    self._notify_reading(attempt)
+                page = self._fetch(attempt, number)
+                if page.status != HTTPStatus.OK:
+                    return AttemptFailure(AttemptOutcome.ERROR, result.load_report)
+                writer.add(page.body, attempt.deadline)
+            self._notify_reading(attempt)
+            spawn(self._cancel_at_engine, attempt)
+            first_page, result.metadata = writer.finish(attempt.deadline)
         except ResultNotStoredError:
-            spawn(self._give_up, send)
+            spawn(self._cancel_at_engine, attempt)
             raise
         finally:
-            sheet.drop()  # unless it is whole
-        good.body = bytearray(first)
-        return good
+            writer.drop()  # has no effect once it is finished
+        result.body = bytearray(first_page)
+        return result
+
+    def _notify_reading(self, attempt: AttemptCall) -> None:
+        self.dispatcher.post(self.dispatcher.on_result_reading, attempt.ref, attempt.attempt_no)
+
+    def _cancel(self, attempt: AttemptCall) -> None:
+        """Cancels the request at the engine, then ends whatever still waits for a response to it."""
+        if attempt.sent_at is not None:
+            self._cancel_at_engine(attempt)
+            attempt.greenlet.join(self.pool.connect_timeout_s)
+        self._stop(attempt, Reason.CALLED_OFF)
+
+    def _stop(self, attempt: AttemptCall, reason: Reason) -> None:
+        if attempt.has_begun:
+            attempt.greenlet.kill(AttemptCancelledError(reason), block=False)
+        else:  # killed before its first step, a greenlet would never report to the dispatcher
+            attempt.stop_reason = reason
+
+    def _finish_if_retired(self) -> None:
+        if self.is_retired and not self.attempts:
+            self.pool.close_idle(Reason.REPLACED)
+            self.post(self.finish)
+
+    # Requests and responses.
 
-    def _post(self, send: AttemptCall) -> Answer:
-        tries, withheld = TRIES, None
+    def _start_request(self, attempt: AttemptCall) -> HttpResponse:
+        """Sends the request; on another connection where one ended before it was written whole."""
+        tries_left = MAX_CONNECTION_TRIES
+        withheld: AttemptOutcome | None = None
         while True:
-            conn = self._connection(send.ref, min(send.until, send.begin_by), self.connect_time)
+            connection = self.pool.acquire(
+                attempt.ref, min(attempt.deadline, attempt.begin_by), self.pool.connect_timeout_s
+            )
             try:
-                with self._used(conn):
-                    withheld = self._withheld(send)  # from here to the first byte, nothing else runs
+                with self._in_use(connection):
+                    withheld = self._reason_to_withhold(
+                        attempt
+                    )  # from here to the first byte nothing else runs
                     if withheld is None:
-                        conn.ask(self._start(send), send.until)
-                        send.posted = clock()
-                        return self._heard(conn, 0, send.until, NEWS_WITHIN)
+                        connection.send_request(self._encode_start(attempt), attempt.deadline)
+                        attempt.sent_at = clock()
+                        return self._read_sound(connection, 0, attempt.deadline, protocol.POLL_TIMEOUT_S)
             except Ended as err:
-                if not send.posted and (err.reason is Reason.SILENT or tries <= 0):
+                if attempt.sent_at is None and (err.reason is Reason.SILENT or tries_left <= 0):
                     raise
             if withheld is not None:
                 raise AttemptWithheldError(withheld)
-            if send.posted:  # a command belongs to no connection: its news may come on another
-                return self._get(send, 0)
-            tries -= 1  # else the connection had ended, and the call never came whole
+            if attempt.sent_at is not None:  # a request belongs to no connection: it is polled for on another
+                return self._fetch(attempt, 0)
+            tries_left -= 1  # else the connection had ended, and the request never arrived whole
 
-    def _withheld(self, send: AttemptCall) -> AttemptOutcome | None:
-        """Asked right before the first byte: whether the send must not begin after all. Guards against what
-        came while it waited for mail, a greenlet, a descriptor, a connection or another try."""
+    def _reason_to_withhold(self, attempt: AttemptCall) -> AttemptOutcome | None:
+        """Right before the first byte: whether what allowed the attempt still holds. None: it does.
+
+        Guards against what happened while it waited for mail, a greenlet, a descriptor, a connection or
+        another try.
+        """
         now = clock()
-        if send.called_off or not send.wanted() or now >= send.until - MOMENT:
-            return AttemptOutcome.UNSENT  # nobody has a use for another try
-        return None if self.up and now < send.begin_by else AttemptOutcome.WITHHELD
-
-    def _start(self, send: AttemptCall) -> bytes:
-        fields = f"X-Hop-Id: {send.ref}\r\nX-Sort: {send.profile}\r\n"
-        fields += f"X-Budget: {int((send.until - clock()) * 1000)}\r\n"
-        if send.memory:
-            fields += f"X-Allot: {send.memory}\r\n"
-        return self._request("POST", "/o", fields, send.statement)
-
-    def _get(self, send: AttemptCall, page: int) -> Answer:
-        """Asks; again on another connection where the answer is spoilt, cut off or late, until the query must
-        have ended for want of questions."""
-        request, since, tries = self._request("GET", f"/o/{send.ref}/{page}"), clock(), TRIES
-        patience = LATE if page else NEWS_WITHIN  # a page is there, news is waited for
+        is_late = now >= attempt.deadline - protocol.MIN_TIME_BUDGET_S
+        if attempt.cancelled or not attempt.is_wanted() or is_late:
+            return AttemptOutcome.UNSENT  # nobody has a use for another attempt
+        if not self.is_up or now >= attempt.begin_by:
+            return AttemptOutcome.WITHHELD
+        return None
+
+    def _encode_start(self, attempt: AttemptCall) -> bytes:
+        return self.requests.start(
+            attempt.ref, attempt.class_name, attempt.deadline - clock(), attempt.memory_mb, attempt.statement
+        )
+
+    def _fetch(self, attempt: AttemptCall, page: int) -> HttpResponse:
+        """Polls for the first page, or fetches another.
+
+        Again on another connection where the response is spoilt, cut off or late, until the engine must have
+        ended the request since nobody polled for it. Raises Ended.
+        """
+        request = self.requests.fetch(attempt.ref, page)
+        started_at = clock()
+        tries_left = MAX_CONNECTION_TRIES
+        timeout_s = protocol.LATENESS_ALLOWANCE_S if page else protocol.POLL_TIMEOUT_S  # a page is there
         while True:
             try:
-                return self._call(send.ref, request, send.until, page, patience)
+                connection = self.pool.acquire(attempt.ref, attempt.deadline)
+                with self._in_use(connection):
+                    connection.send_request(request, attempt.deadline)
+                    return self._read_sound(connection, page, attempt.deadline, timeout_s)
             except Ended as err:
                 if err.reason is Reason.SILENT:  # it comes late, perhaps
-                    patience = min(2.0 * patience, NEWS_WITHIN)
+                    timeout_s = min(2.0 * timeout_s, protocol.POLL_TIMEOUT_S)
                 else:
-                    tries -= 1
-                over = clock() >= min(since + FORGOTTEN, send.until)
-                if over or tries <= 0 or err.reason is Reason.REFUSED:
+                    tries_left -= 1
+                is_over = clock() >= min(started_at + protocol.UNPOLLED_LIFETIME_S, attempt.deadline)
+                if is_over or tries_left <= 0 or err.reason is Reason.REFUSED:
                     raise
 
-    def _call(
-        self, ref: str, request: bytes, until: float, page: int | None = None, patience: float = NEWS_WITHIN
-    ) -> Answer:
-        conn = self._connection(ref, until)
-        with self._used(conn):
-            conn.ask(request, until)
-            return self._heard(conn, page, until, patience)
-
-    def _heard(self, conn: Connection, page: int | None, until: float, patience: float) -> Answer:
-        """A sound answer, or the end of the connection."""
-        answer = conn.hear(min(until, clock() + patience))
-        if conn.again() or (page is not None and not answer.sound(page)):
+    def _cancel_at_engine(self, attempt: AttemptCall) -> None:
+        with suppress(Ended):  # the engine is silent or gone: nothing more can be done for the request there
+            deadline = clock() + self.pool.connect_timeout_s
+            connection = self.pool.acquire(attempt.ref, deadline)
+            with self._in_use(connection):
+                connection.send_request(self.requests.cancel(attempt.ref), deadline)
+                self._read_sound(connection, None, deadline, protocol.POLL_TIMEOUT_S)
+
+    def _read_sound(
+        self, connection: EngineConnection, page: int | None, deadline: float, timeout_s: float
+    ) -> HttpResponse:
+        """Reads a sound response for a page; None: any that is no repeat. Raises Ended."""
+        response = connection.read_response(min(deadline, clock() + timeout_s))
+        if connection.is_repeat() or (page is not None and not response.is_sound(page)):
             raise Ended(Reason.MALFORMED)
-        return answer
+        return response
 
     @contextmanager
-    def _used(self, conn: Connection) -> Iterator[None]:
-        """Keeps the connection for the next call, or ends it."""
+    def _in_use(self, connection: EngineConnection) -> Iterator[None]:
+        """Gives the connection back to the pool at the end, or closes it where that is an error."""
         try:
             yield
         except BaseException as err:
-            self._end(conn, err.reason if isinstance(err, Ended | AttemptCancelledError) else Reason.FAULT)
-            raise
-        conn.idle_since = clock()
-        if self.owed is not None:
-            other, self.owed = self.owed, None
-            conn.end(Reason.NO_ROOM)
-            self.connections -= 1
-            other.post(other.try_again)
-            if self.waiting and not self.connections:
-                self.desk.post(self.desk.short_of_descriptors, self)
-        elif conn.keep and (self.up or self.sends):
-            self._hand_on(conn)
-        else:
-            self._end(conn, Reason.IDLE)
-
-    def _give_up(self, send: AttemptCall) -> None:
-        with suppress(Ended):  # the engine is silent or gone: nothing more can be done for the command there
-            self._call(send.ref, self._request("DELETE", f"/o/{send.ref}"), clock() + self.connect_time)
-
-    def _call_off(self, send: AttemptCall) -> None:
-        """Gives the command up at the engine, then ends whatever still waits for news of it."""
-        if send.posted:
-            self._give_up(send)
-            send.greenlet.join(self.connect_time)
-        self._stop(send, Reason.CALLED_OFF)
-
-    def _stop(self, send: AttemptCall, why: Reason) -> None:
-        if send.begun:
-            send.greenlet.kill(AttemptCancelledError(why), block=False)
-        else:  # killed before its first step, a greenlet would never tell the desk
-            send.stopped = why
-
-    # Connections and calls.
-
-    def _connection(self, ref: str, until: float, patience: float = math.inf) -> Connection:
-        """A connection of ours that is free, else a new one. Patience is for a descriptor. None that has been
-        closed meanwhile, or has more to say on what was asked before, is used again."""
-        while True:
-            if self.idle:
-                conn = self.idle.pop()
-                conn.keep = clock() - conn.idle_since < self.deployment.idle_timeout_s / 2
-            elif self.share.acquire(blocking=False):
-                break
-            else:
-                handed = self._wait_for_connection(min(patience, until - clock()))
-                if handed is None:
-                    break
-                conn = handed
-            if conn.keep and conn.stream.more() is None:
-                conn.ref = ref
-                return conn
-            self._end(conn, Reason.CLOSED)
-        self.connections += 1
-        try:
-            wait = min(self.connect_time, until - clock())
-            if wait <= 0:
-                raise Ended(Reason.SILENT)
-            stream = connect(self.address, "engine", self.name, MOST_ANSWER, wait, self.share.release)
-        except BaseException:
-            self.connections -= 1
-            self._hand_on(None)
-            raise
-        conn = Connection(stream)
-        conn.ref = ref
-        return conn
-
-    def _wait_for_connection(self, patience: float) -> Connection | None:
-        """Descriptors are used up: waits for a connection of ours, or for a descriptor, which is None."""
-        if not self.connections:
-            self.desk.post(self.desk.short_of_descriptors, self)
-        handed: AsyncResult[Connection | None] = AsyncResult()
-        self.waiting.append(handed)
-        try:
-            return handed.get(timeout=max(patience, 0.0))
-        except BaseException as err:
-            if handed in self.waiting:
-                self.waiting.remove(handed)
-            elif handed.ready():
-                self._hand_on(handed.value)
-            if isinstance(err, gevent.Timeout):
-                raise Ended(Reason.NO_ROOM) from None
+            reason = err.reason if isinstance(err, Ended | AttemptCancelledError) else Reason.FAULT
+            self.pool.discard(connection, reason)
             raise
+        self.pool.release(connection, may_keep=self.is_up or bool(self.attempts))
 
-    def _hand_on(self, conn: Connection | None) -> None:
-        """To whoever waits longest for a connection, or for a descriptor where it is None."""
-        if self.waiting:
-            self.waiting.popleft().set(conn)
-        elif conn is None:
-            self.share.release()
-        else:
-            self.idle.append(conn)
-            self.wake_at = self.wake_at or conn.idle_since + self.deployment.idle_timeout_s / 2
-
-    def _request(self, verb: str, path: str, fields: str = "", body: bytes = b"") -> bytes:
-        length = f"Content-Length: {len(body)}\r\n" if verb == "POST" else ""
-        host, port = self.address
-        return f"{verb} {path} HTTP/1.1\r\nHost: {host}:{port}\r\n{fields}{length}\r\n".encode() + body
-
-    def _report(self, answer: Answer) -> LoadReport | None:
-        pairs = (pair.split(":", 1) for pair in answer.fields.get("x-report", "").split(";") if ":" in pair)
+    def _load_report(self, response: HttpResponse) -> LoadReport | None:
         try:
-            return self.deployment.load_report({name.strip(): value for name, value in pairs})
+            return self.settings.load_report(protocol.load_report_columns(response.fields))
         except ValueError:
-            LOG.warning("unreadable report", engine=self.name)
+            LOG.warning("engine load report unreadable", engine=self.name)
             return None
 
-    def _close_idle(self, why: Reason) -> None:
-        while self.idle:
-            self._end(self.idle.pop(), why)
 
-    def _end(self, conn: Connection, why: Reason) -> None:
-        conn.end(why)
-        self.connections -= 1
-        self.try_again()
+def _outcome_of_stop(attempt: AttemptCall, reason: Reason) -> AttemptOutcome:
+    if reason is Reason.REPLACED:
+        return AttemptOutcome.WITHHELD if attempt.sent_at is None else AttemptOutcome.CONNECTION_LOST
+    return AttemptOutcome.UNSENT if attempt.sent_at is None else AttemptOutcome.CANCELLED
 
 
-def _need(answer: Answer) -> tuple[float, float] | None:
-    try:
-        work, memory = float(answer.fields["x-toil"]) / 1000.0, float(answer.fields["x-room"])
-    except (KeyError, ValueError):
-        return None
-    return (work, memory) if 0 <= work < math.inf and 0 <= memory < math.inf else None
+def _outcome_of_lost_connection(attempt: AttemptCall, reason: Reason) -> AttemptOutcome:
+    if attempt.sent_at is not None:
+        return AttemptOutcome.TIMED_OUT if reason is Reason.SILENT else AttemptOutcome.CONNECTION_LOST
+    now = clock()
+    if now >= min(attempt.begin_by, attempt.deadline):
+        return AttemptOutcome.WITHHELD if now < attempt.deadline else AttemptOutcome.UNSENT
+    if reason is Reason.NO_ROOM:
+        return AttemptOutcome.UNSENT
+    if reason is Reason.REFUSED:
+        return AttemptOutcome.CONNECTION_REFUSED
+    return AttemptOutcome.CONNECT_TIMEOUT
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -1,7 +1,9 @@
-"""What the desk, the engines' actors and the clients' actors hand each other. It knows none of them.
+"""What the dispatcher, the engine clients and the client sessions hand each other.
 
-It owns no state of its own and never does anything: the shapes of a command on its way, of one send and of a
-good end, and what the desk may ask of whoever stands on either side of it.
+These are the shapes of an open request, of one attempt and of how it ended, and the ports that the dispatcher
+reaches its neighbours by. Nothing here imports a neighbour or does anything.
+
+Times are Unix seconds of `marbleworks.net.actor.clock`.
 """
 
 from __future__ import annotations
@@ -9,100 +11,138 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 import gevent
 
-from marbleworks.model import LoadReport
+from marbleworks.model import AttemptOutcome, EngineEntry, LoadReport, ResourceUsage
+from marbleworks.net.addresses import SocketAddress
 from marbleworks.net.stream import Reason, Stream
 from marbleworks.ports import ResultReservation
 from marbleworks.scheduling.scheduler import RequestState
 
 
 class ClientPort(Protocol):
-    """A client's connection, as the desk answers it. Each is posted."""
+    """A client's connection, as the dispatcher answers it. Every call but `post` is posted."""
 
     stream: Stream
 
-    def post(self, what: Callable[..., None], *args: Any) -> None: ...
+    def post(self, what: Callable[..., None], *args: Any) -> None:
+        """Has the connection's actor make a call."""
 
-    def answer(self, call: int, result: bytes, told: dict[str, str]) -> None: ...
+    def answer(self, call: int, result: bytes, told: dict[str, str]) -> None:
+        """Answers a call with a result and its metadata."""
 
-    def shed(self, call: int, come_back: float) -> None: ...
+    def shed(self, call: int, come_back: float) -> None:
+        """Rejects a call; its client may retry after so many seconds, 0: none are named."""
 
-    def fail(self, call: int, why: str) -> None: ...
+    def fail(self, call: int, why: str) -> None:
+        """Answers a call with an error."""
 
-    def forget(self, command: OpenRequest) -> None: ...
+    def forget(self, command: OpenRequest) -> None:
+        """The dispatcher knows that the client gave the request up."""
 
 
 class EnginePort(Protocol):
-    """An engine's connections, as the desk uses them. Each is posted."""
+    """An engine's client, as the dispatcher uses it. Every call but `post` is posted."""
+
+    address: SocketAddress
+
+    def post(self, what: Callable[..., None], *args: Any) -> None:
+        """Has the engine client's actor make a call."""
+
+    def start_attempt(self, attempt: AttemptCall) -> None:
+        """Carries an attempt; its end is posted to the dispatcher."""
 
-    address: tuple[str, int]
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        """Gives an attempt up, at its engine too if it has been sent."""
 
-    def post(self, what: Callable[..., None], *args: Any) -> None: ...
+    def update_entry(self, is_up: bool, started_at: float) -> None:
+        """The list names the engine again: whether it takes requests, and when its process started."""
 
-    def send(self, send: AttemptCall) -> None: ...
+    def retire(self) -> None:
+        """The engine has left the list; the client ends with its last attempt."""
 
-    def cancel(self, ref: str, no: int) -> None: ...
+    def hand_over_descriptor(self, recipient: EnginePort) -> None:
+        """Gives a descriptor up to another engine's client, now or as soon as one is free."""
 
-    def listed(self, up: bool, started: float) -> None: ...
+    def serve_waiters(self) -> None:
+        """Descriptors may be free: whoever waits for one is served."""
 
-    def retire(self) -> None: ...
 
-    def spare(self, other: Any) -> None: ...
+class EngineListing(NamedTuple):
+    """One engine of a list, and where it is reached."""
 
-    def try_again(self) -> None: ...
+    entry: EngineEntry
+    address: SocketAddress
 
 
 @dataclass(eq=False)
 class OpenRequest:
-    """A command on its way; over once it has its final answer or its client has left."""
+    """A request on its way, from its arrival until its final answer and the end of its last attempt."""
 
     ref: str
     client: ClientPort
-    call: int  # the client's number for it
-    profile: str
+    call_id: int  # the client's number for it
+    class_name: str
     statement: bytes
-    came: float
+    received_at: float
     deadline: float
-    handle: RequestState | None = None
-    memory: int = 0
-    engines: list[EnginePort] = field(default_factory=list)  # of each send
-    over: bool = False
-    left: bool = False  # a latch that its client alone closes, before any mail of it is read
-    tray: ResultReservation | None = None  # room for its result, where that is to be kept
-
-    def wanted(self) -> bool:
+    handle: RequestState | None = None  # the scheduler's; None until it is submitted there
+    memory_mb: int = 0  # granted for attempts to come; 0 leaves it to the engine
+    attempt_engines: list[EnginePort] = field(default_factory=list)  # by attempt number
+    completed: bool = False  # it has its final answer, or its client has gone
+    client_gone: bool = False  # set by its client alone, before any mail about it is read
+    reservation: ResultReservation | None = None  # room for its result, where that is to be stored
+
+    def is_wanted(self) -> bool:
         """Whether anyone still waits for it, also where the end of the connection is not read yet."""
-        return not (self.over or self.left or self.client.stream.gone())
+        return not (self.completed or self.client_gone or self.client.stream.gone())
 
 
 @dataclass(eq=False)
 class AttemptCall:
-    """One send and what it needs; the greenlet is the one that carries it."""
+    """One attempt of a request at one engine, and how far it is."""
 
     ref: str
-    no: int
-    profile: str
+    attempt_no: int
+    class_name: str
     statement: bytes
-    memory: int
-    until: float
-    tray: ResultReservation | None = None  # where its result goes page by page; None: it is given on whole
-    begin_by: float = math.inf  # the latest moment for its first byte, by the decisions
-    wanted: Callable[[], bool] = lambda: True  # asked right before that byte
-    posted: float = 0.0  # when the call was whole on its connection; 0: not yet
-    called_off: bool = False
-    begun: bool = False
-    stopped: Reason | None = None  # before it had begun
+    memory_mb: int
+    deadline: float
+    reservation: ResultReservation | None = None  # None: its result is passed on whole
+    begin_by: float = math.inf  # the latest time for its first byte, by the scheduler
+    is_wanted: Callable[[], bool] = lambda: True  # asked right before that byte
+    sent_at: float | None = None  # when its request was written whole
+    cancelled: bool = False
+    has_begun: bool = False  # its greenlet runs
+    stop_reason: Reason | None = None  # set where it is stopped before it has begun
     greenlet: gevent.Greenlet[..., None] = field(init=False)
 
 
 @dataclass
 class AttemptResult:
-    """A good end: the whole result, the work and memory it took where told, and the engine's load."""
+    """A successful attempt: the whole result, or the first page of a stored one."""
 
     body: bytearray
-    need: tuple[float, float] | None
-    report: LoadReport | None
-    told: dict[str, str] = field(default_factory=dict)  # of a result that is kept
+    usage: ResourceUsage | None  # what it took, where the engine says so
+    load_report: LoadReport | None
+    metadata: dict[str, str] = field(default_factory=dict)  # of a stored result, for its client
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptFailure:
+    """An attempt that ended without a result, and what its end proves."""
+
+    outcome: AttemptOutcome
+    load_report: LoadReport | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class ResultNotStored:
+    """An attempt that ran, and whose result found no room."""
+
+    retry_after_s: float  # infinite where no time can be named
+
+
+AttemptEnd = AttemptResult | AttemptFailure | ResultNotStored
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -85,7 +85,7 @@
     """At SIGHUP: of the file, only the address of the name server may change while a router runs."""
     try:
         station = RouterConfig.read(path)
-        directory.post(directory.move, station.nameserver)
+        directory.post(directory.set_nameserver, station.nameserver)
         LOG.info("reloaded", nameserver=":".join(map(str, station.nameserver)))
     except SettingsError as err:
         LOG.warning("not reloaded", error=str(err))
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -88,9 +88,9 @@
         make = desk.make_engine_client
 
         def counted(desk: Dispatcher, name: str, address: tuple[str, int]) -> EnginePort:
-            place: Any = make(desk, name, address)
-            place.share = Counted(place.share, holder, name)
-            return cast("EnginePort", place)
+            client: Any = make(desk, name, address)
+            client.pool.descriptor_quota = Counted(client.pool.descriptor_quota, holder, name)
+            return cast("EnginePort", client)
 
         if self.book["budgets"]["lines-per-core"]:
             desk.make_engine_client = counted
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -23,7 +23,8 @@
 from marbleworks.lab.target import Allowance, Use, Variant, cell_size, worked
 from marbleworks.membership.leader_election import DRIFT
 from marbleworks.membership.options import PEERS
-from marbleworks.net.discovery import ASK_EVERY, MOST_ANSWER, TOLD_AFTER
+from marbleworks.net.discovery import QUERY_INTERVAL_S
+from marbleworks.net.engine_protocol import LISTING_PROPAGATION_S, MAX_DNS_RESPONSE_BYTES
 from marbleworks.scheduling.scheduler import MAX_HOME_SETS
 
 ROOT = Path(__file__).parents[2]
@@ -340,7 +341,11 @@
 def test_the_figures_of_the_code_are_the_codes() -> None:
     told = {s.name: s.default for s in BUDGETS.settings}
     assert (told["lease"], told["settle"]) == (target.LEASE, target.SETTLE)
-    assert (target.ASKS, target.ANSWER, target.TOLD) == (1 / ASK_EVERY, MOST_ANSWER, TOLD_AFTER)
+    assert (target.ASKS, target.ANSWER, target.TOLD) == (
+        1 / QUERY_INTERVAL_S,
+        MAX_DNS_RESPONSE_BYTES,
+        LISTING_PROPAGATION_S,
+    )
     assert target.HOMES == MAX_HOME_SETS
     peers = {s.name: s.default for s in PEERS.settings}
     assert (peers["term"], DRIFT) == (target.TERM, target.DRIFT)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -15,7 +15,8 @@
 
 from marbleworks.lab.standins import HOST
 from marbleworks.model import EngineStatus
-from marbleworks.net.discovery import MOST_ANSWER, SERVICE, EngineDiscovery
+from marbleworks.net.discovery import EngineDiscovery
+from marbleworks.net.engine_protocol import DNS_SERVICE_NAME, MAX_DNS_RESPONSE_BYTES
 from tests.net.test_event_orders import name_server
 from tests.net.test_router import bounded, until
 from tests.support.stand_ins import DEPLOYMENT, Listener
@@ -64,7 +65,7 @@
 
     def answered(self) -> None:
         """Waits until the question has been answered."""
-        until(lambda: dns.message.from_wire(self.question).id not in self.directory.asked)
+        until(lambda: dns.message.from_wire(self.question).id not in self.directory.open_queries)
 
     def send(self, data: bytes) -> None:
         self.server.sendto(data, self.sender)
@@ -86,7 +87,7 @@
 
 def records(name: str, port: int, text: str, priority: int = 0) -> list[dns.rrset.RRset]:
     target = f"{name}.hall-a.hosts."
-    srv = record(SERVICE, "SRV", f"{priority} 40 {port} {target}")
+    srv = record(DNS_SERVICE_NAME, "SRV", f"{priority} 40 {port} {target}")
     return [srv, record(target, "A", HOST), record(target, "TXT", text)]
 
 
@@ -94,7 +95,7 @@
     said = dns.message.make_response(dns.message.from_wire(question))
     said.answer += [engine[0] for engine in engines]
     said.additional += [one for engine in engines for one in engine[1:]]
-    said.authority.append(record(SERVICE, "SOA", f"a. b. {serial} 1 1 1 1"))
+    said.authority.append(record(DNS_SERVICE_NAME, "SOA", f"a. b. {serial} 1 1 1 1"))
     return said
 
 
@@ -140,8 +141,8 @@
 
 
 def among_others(said: dns.message.Message) -> bytes:
-    said.answer.append(record(SERVICE, "TXT", '"hosts=2"'))
-    said.authority.insert(0, record(SERVICE, "NS", "ns.mesh.local."))
+    said.answer.append(record(DNS_SERVICE_NAME, "TXT", '"hosts=2"'))
+    said.authority.insert(0, record(DNS_SERVICE_NAME, "NS", "ns.mesh.local."))
     said.additional.insert(0, record("ns.mesh.local.", "A", "127.0.0.9"))
     said.additional.insert(1, record("s-a.hall-a.hosts.", "AAAA", "::1"))
     said.use_edns(0, 0, 8000, options=[dns.edns.GenericOption(10, b"12345678")])
@@ -177,14 +178,14 @@
 def test_a_list_of_as_many_bytes_as_an_answer_holds_is_read_to_its_last() -> None:
     listing, fact = Listing(known([])), '"kind=std" "cell=2" "started=0"'
     engines = [records(f"s-{n:03}", 1000 + n, fact) for n in range(70)]
-    while (left := MOST_ANSWER - len(reply(listing.question, 2, *engines).to_wire(65535))) > 600:
+    while (left := MAX_DNS_RESPONSE_BYTES - len(reply(listing.question, 2, *engines).to_wire(65535))) > 600:
         engines.append(records(f"s-{len(engines):03}", 1000 + len(engines), fact))
     assert left > 0
     sizes = [200] * (left // 200) + [left % 200]  # of strings of no meaning, each with its length before it
     filled = " ".join([fact, *(f'"{"x" * (size - 1)}"' for size in sizes if size)])
     engines[-1] = records(f"s-{len(engines) - 1:03}", 999 + len(engines), filled)
     data = reply(listing.question, 2, *engines).to_wire(65535)
-    assert len(data) == MOST_ANSWER == 8000
+    assert len(data) == MAX_DNS_RESPONSE_BYTES == 8000
     listing.send(data)
     assert listing.told(2) == [row(n, f"s-{n:03}", 1000 + n) for n in range(len(engines))]
 
@@ -218,7 +219,7 @@
     "a question": lambda said: signed(said, dns.flags.QR),
     "failed": lambda said: signed(said, 2),
     "to another name": lambda said: to_another(said, "_rpc._tcp.other.local", "SRV"),
-    "to another type": lambda said: to_another(said, SERVICE, "TXT"),
+    "to another type": lambda said: to_another(said, DNS_SERVICE_NAME, "TXT"),
     "under another number": lambda said: struct.pack("!H", said.id ^ 1) + said.to_wire()[2:],
     "no serial": lambda said: without(said, "SOA"),
     "no addresses": lambda said: without(said, "A"),
@@ -321,7 +322,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(dns.message, "from_wire", from_wire)
             listing.send(said)
-            until(lambda: int.from_bytes(said[:2]) not in listing.directory.asked)
+            until(lambda: int.from_bytes(said[:2]) not in listing.directory.open_queries)
 
     tell(2, A, B)
     tell(2, A, B)
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -19,14 +19,16 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-import marbleworks.net.engine_client as engines
+import marbleworks.net.connection_pool as connection_pool
 from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer, configuration, dns_answer
 from marbleworks.model import AttemptOutcome
 from marbleworks.net.actor import clock
 from marbleworks.net.client_listener import ClientSession
 from marbleworks.net.discovery import EngineDiscovery
 from marbleworks.net.engine_client import EngineClient
+from marbleworks.net.engine_connection import EngineConnection
 from marbleworks.net.messages import AttemptCall
+from marbleworks.net.stream import Ended, Reason
 from tests.net.test_router import GOOD, Outcomes, Router, bounded, closed_port, command, row, until
 from tests.support.stand_ins import DEPLOYMENT, SETTINGS, Listener
 
@@ -88,16 +90,16 @@
 def test_a_client_that_left_while_its_send_waited_is_not_sent_on(leaves: str) -> None:
     """Found by reading: what had been decided began all the same once a connection was free."""
     held = Held()
-    held.engine.share.acquire()  # so the send waits for a descriptor
+    held.engine.pool.descriptor_quota.acquire()  # so the send waits for a descriptor
     client = held.router.client()
     client.ask("look")
-    until(lambda: held.engine.waiting)
+    until(lambda: held.engine.pool.waiters)
     still = held.still()  # the desk does not hear that it left
     leave(client, leaves)
     until(lambda: all(a.given_up for c in held.router.front.clients for a in c.calls.values()))
-    held.engine.share.release()
-    held.engine.try_again()
-    until(lambda: not held.engine.sends)
+    held.engine.pool.descriptor_quota.release()
+    held.engine.serve_waiters()
+    until(lambda: not held.engine.attempts)
     still.set()
     until(lambda: not held.desk.open_requests)
     assert not held.starts()
@@ -168,7 +170,7 @@
     """One send whose connection comes up just after something else has happened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, meanwhile: Callable[[Crossing], None]) -> None:
-        self.sql, self.outcomes, connect = SqlEngine(good), Outcomes(), engines.connect
+        self.sql, self.outcomes, connect = SqlEngine(good), Outcomes(), connection_pool.connect
         self.engine = EngineClient(self.outcomes, "s-0", self.sql.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
         self.send = AttemptCall("0" * 16, 0, "load", b"", 0, clock() + 3)
 
@@ -177,20 +179,20 @@
             meanwhile(self)
             return stream
 
-        monkeypatch.setattr(engines, "connect", late)
-        self.engine.post(self.engine.send, self.send)
+        monkeypatch.setattr(connection_pool, "connect", late)
+        self.engine.post(self.engine.start_attempt, self.send)
         until(lambda: self.outcomes.ends)
 
 
 @pytest.mark.parametrize(
     ("meanwhile", "end"),
     [
-        (lambda at: at.engine.listed(False, 0.0), AttemptOutcome.WITHHELD),  # it drains
+        (lambda at: at.engine.update_entry(False, 0.0), AttemptOutcome.WITHHELD),  # it drains
         (lambda at: at.engine.retire(), AttemptOutcome.WITHHELD),  # its address may be another's by now
         (lambda at: setattr(at.send, "begin_by", 0.0), AttemptOutcome.WITHHELD),  # what allowed it is over
-        (lambda at: setattr(at.send, "until", clock()), AttemptOutcome.UNSENT),
-        (lambda at: setattr(at.send, "wanted", lambda: False), AttemptOutcome.UNSENT),
-        (lambda at: at.engine.cancel(at.send.ref, 0), AttemptOutcome.UNSENT),
+        (lambda at: setattr(at.send, "deadline", clock()), AttemptOutcome.UNSENT),
+        (lambda at: setattr(at.send, "is_wanted", lambda: False), AttemptOutcome.UNSENT),
+        (lambda at: at.engine.cancel_attempt(at.send.ref, 0), AttemptOutcome.UNSENT),
     ],
 )
 def test_what_happens_while_a_connection_comes_up_keeps_the_send_back(
@@ -201,11 +203,11 @@
 
 
 def test_a_try_on_a_second_connection_is_asked_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    def breaks(line: engines.Connection, request: bytes, until: float) -> None:
+    def breaks(line: EngineConnection, request: bytes, until: float) -> None:
         sends[0].begin_by = 0.0
-        raise engines.Ended(engines.Reason.RESET)
+        raise Ended(Reason.RESET)
 
-    monkeypatch.setattr(engines.Connection, "ask", breaks)
+    monkeypatch.setattr(EngineConnection, "send_request", breaks)
     sends = list[AttemptCall]()
     at = Crossing(monkeypatch, lambda at: sends.append(at.send))
     assert at.outcomes.ends == [AttemptOutcome.WITHHELD] and not at.sql.calls
@@ -266,7 +268,7 @@
     question, sender = old.recvfrom(4096)
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", lambda *args, **kwargs: exec("raise OSError(24, 'no descriptor')"))
-        directory.post(directory.move, new.getsockname())
+        directory.post(directory.set_nameserver, new.getsockname())
         old.sendto(dns_answer(question, 9, {}), sender)
         question, sender = new.recvfrom(4096)
     old.sendto(dns_answer(question, 9, {}), sender)
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -225,7 +225,7 @@
 
 def test_a_pooled_connection_that_the_engine_closed_is_not_used_for_a_start() -> None:
     engine, router, client = answered_once()
-    line = router.desk.engine_clients[0].idle[0]
+    line = router.desk.engine_clients[0].pool.idle[0]
     line.stream.sock.shutdown(socket.SHUT_RD)
     client.ask("load")
     assert client.hear()[3] and engine.connections == 2
@@ -344,7 +344,7 @@
     try:
         sql, router, client = answered_once()
         engine = router.desk.engine_clients[0]
-        kept = [weakref.ref(thing) for thing in (engine, engine.idle[0], *router.front.clients)]
+        kept = [weakref.ref(thing) for thing in (engine, engine.pool.idle[0], *router.front.clients)]
         router.desk.post(router.desk.update_engines, [], True)
         until(lambda: not router.desk.engine_clients and not router.desk.scheduler.engines)
         client.ask("look", wait="300")
@@ -457,7 +457,7 @@
     def on_attempt_end(self, ref: str, no: int, how: AttemptOutcome, report: object) -> None:
         self.ends.append(how)
 
-    def short_of_descriptors(self, engine: EngineClient) -> None:
+    def on_descriptor_shortage(self, engine: EngineClient) -> None:
         pass
 
     def on_attempt_alive(self, ref: str, no: int) -> None:
@@ -468,9 +468,9 @@
     sql, desk, share = SqlEngine(lambda call, fields, body: GOOD), Outcomes(), BoundedSemaphore(1)
     share.acquire()  # so the send waits for a descriptor
     engine = EngineClient(desk, "s-0", sql.address, DEPLOYMENT, share)  # type: ignore[arg-type]
-    engine.post(engine.send, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
+    engine.post(engine.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
     gevent.sleep(0.02)
-    engine.post(engine.listed, False, 0.0)
+    engine.post(engine.update_entry, False, 0.0)
     until(lambda: desk.ends)
     assert desk.ends[0].never_ran and not sql.calls
 
@@ -479,11 +479,11 @@
 def test_a_send_stopped_before_its_first_step_still_has_an_end(tell: str) -> None:
     sql, desk = SqlEngine(lambda call, fields, body: GOOD), Outcomes()
     engine = EngineClient(desk, "s-0", sql.address, DEPLOYMENT, BoundedSemaphore(1))  # type: ignore[arg-type]
-    engine.post(engine.send, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
+    engine.post(engine.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
     if tell == "drain":
-        engine.post(engine.listed, False, 0.0)
+        engine.post(engine.update_entry, False, 0.0)
     else:
-        engine.post(engine.cancel, "0" * 16, 0)
+        engine.post(engine.cancel_attempt, "0" * 16, 0)
     until(lambda: desk.ends)
     gevent.sleep(0.02)
     assert len(desk.ends) == 1 and (desk.ends[0].never_ran or sql.calls)
@@ -492,9 +492,9 @@
 def test_a_draining_engine_is_asked_for_news_on_the_connection_there_is() -> None:
     sql, desk = SqlEngine(lambda call, fields, body: gevent.sleep(0.02) or answer(202)), Outcomes()
     engine = EngineClient(desk, "s-0", sql.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
-    engine.post(engine.send, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 0.5))
+    engine.post(engine.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 0.5))
     until(lambda: sql.calls)
-    engine.post(engine.listed, False, 0.0)
+    engine.post(engine.update_entry, False, 0.0)
     until(lambda: desk.ends)
     assert len(sql.asked("GET")) > 5 and sql.connections <= 2  # a second one gives it up
 
@@ -502,9 +502,9 @@
 def test_a_new_process_has_nothing_of_the_old_one() -> None:
     sql, desk = SqlEngine(lambda call, fields, body: None), Outcomes()
     engine = EngineClient(desk, "s-0", sql.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
-    engine.post(engine.send, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 9))
+    engine.post(engine.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 9))
     until(lambda: sql.calls)
-    engine.post(engine.listed, True, time.time() + 1)
+    engine.post(engine.update_entry, True, time.time() + 1)
     until(lambda: desk.ends)
     assert desk.ends == [AttemptOutcome.CONNECTION_LOST]
 
@@ -530,7 +530,7 @@
     assert len(desk.lists) == 1 and time.monotonic() - began < 1.0  # asked sooner where nothing good came
     name_server, old = socket.socket(type=socket.SOCK_DGRAM), name_server
     name_server.bind((HOST, 0))
-    directory.post(directory.move, name_server.getsockname())
+    directory.post(directory.set_nameserver, name_server.getsockname())
     question, sender = name_server.recvfrom(4096)
     old.sendto(dns_answer(question, 8, {}), sender)
     name_server.sendto(dns_answer(question, 2, engines), sender)
@@ -563,7 +563,7 @@
     until(lambda: heard and heard[-1][2] == b"after")
     assert heard[0] == ("news", 1, b"\xddnews")  # five bytes are news, whatever they begin with
     assert heard[1:] == [("own", 1, own)] * 4 + [("news", 1, b"after")]
-    assert peers.dropped == {"no peer's": 2, "not registered": 1, "own of a peer over its pace": 5}
+    assert peers.dropped_counts == {"no peer's": 2, "not registered": 1, "own of a peer over its pace": 5}
     tell(b"y" * 257)
     for _ in range(6):
         tell(own, 1)
--- a/tests/net/test_wire_forms.py
+++ b/tests/net/test_wire_forms.py
@@ -11,7 +11,8 @@
 
 from marbleworks.lab.standins import RpcClient, SqlEngine, answer
 from marbleworks.net.actor import clock
-from marbleworks.net.engine_client import MOST_ANSWER, Connection
+from marbleworks.net.engine_connection import EngineConnection
+from marbleworks.net.engine_protocol import MAX_RESPONSE_BYTES
 from marbleworks.net.messages import AttemptResult
 from marbleworks.net.stream import Ended, Reason, connect
 from tests.net.test_router import Router, bounded, row
@@ -173,8 +174,8 @@
     client.ask("load")
     assert client.hear() == [1, 1, None, [row("a") + full + row("é"), {}]]
     [good] = goods
-    assert good.need == (0.04, 8.0) and good.report is not None
-    assert (good.report.waiting_for_memory, good.report.memory_granted) == (7.0, 0.2)
+    assert good.usage == (0.04, 8.0) and good.load_report is not None
+    assert (good.load_report.waiting_for_memory, good.load_report.memory_granted) == (7.0, 0.2)
     assert [call[:4] for call, _, _ in engine.calls] == ["POST", *["GET "] * 4]  # nothing was asked for twice
 
 
@@ -190,10 +191,10 @@
 @pytest.mark.parametrize("form", [http, chunked(1)])
 def test_an_answer_that_does_not_end_is_read_only_so_far(form: Form) -> None:
     engine = SqlEngine(lambda call, fields, body: formed(form, answer(200, b"x" * 100_000)))
-    stream = connect(engine.address, "engine", "s-0", MOST_ANSWER, 1.0, lambda: None)
-    connection = Connection(stream)
-    connection.ask(b"GET /o/0/1 HTTP/1.1\r\n\r\n", clock() + 5)
+    stream = connect(engine.address, "engine", "s-0", MAX_RESPONSE_BYTES, 1.0, lambda: None)
+    connection = EngineConnection(stream)
+    connection.send_request(b"GET /o/0/1 HTTP/1.1\r\n\r\n", clock() + 5)
     with pytest.raises(Ended, match="too-long"):
-        connection.hear(clock() + 5)
-    assert len(connection.answer.body) <= 4 * MOST_ANSWER
-    connection.end(Reason.TOO_LONG)
+        connection.read_response(clock() + 5)
+    assert len(connection.response.body) <= 4 * MAX_RESPONSE_BYTES
+    connection.close(Reason.TOO_LONG)
