--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -326,7 +326,7 @@
             return
         if self.connection_budgets:
             for engine in self.dispatcher.engine_clients.values():
-                engine.post(engine.try_again)
+                engine.post(engine.serve_waiters)
         if self.scheduler.pending:
             self.scheduler.review()
 
@@ -336,7 +336,7 @@
             attempts = [key for key, acquired in self.acquired.items() if local in acquired.budgets]
             for ref, _ in attempts[-excess:]:
                 request = self.dispatcher.open_requests.get(ref)
-                if request is not None and request.handle is not None and not request.over:
+                if request is not None and request.handle is not None and not request.completed:
                     self.cancelled_count += 1
                     LOG.warning("request cancelled over budget", ref=ref, budget=local.budget.name)
                     self.scheduler.give_up(request.handle)
--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -116,9 +116,9 @@
 
     def forget(self, request: OpenRequest) -> None:
         """Drops an abandoned call, now that the dispatcher knows; its number may be in use again."""
-        call = self.calls.get(request.call)
+        call = self.calls.get(request.call_id)
         if call is not None and call.request is request:
-            del self.calls[request.call]
+            del self.calls[request.call_id]
 
     def _deliver_page(self, response: Response, timeout_s: float, delivered: Event) -> None:
         call = self.calls.get(response.call_id)
@@ -297,7 +297,7 @@
             return
         call.abandoned = True
         if call.request is not None:
-            call.request.left = True
+            call.request.client_gone = True
             self.dispatcher.post(self.dispatcher.on_client_disconnect, call.request)
 
     def _handle_request(self, request: Request) -> None:
@@ -338,7 +338,7 @@
             query.statement,
             now,
             deadline,
-            tray=reservation,
+            reservation=reservation,
         )
         self.calls[request.call_id] = PendingCall(deadline, open_request)
         self._submit(query, open_request, group)
--- a/marbleworks/net/protocol.py
+++ b/marbleworks/net/protocol.py
@@ -1,8 +1,8 @@
 """Names, limits and forms that the operators' protocol fixes, and conversions between them and typed values.
 
-No other module in `net/` spells a word of the protocol: MessagePack-RPC methods, fields and errors of
-clients, the HTTP headers, paths and states of engines, the keys of a router's configuration file. Apart from
-reading that file it does no I/O.
+No other module in `net/` spells a word of the protocol, but for `engine_protocol`, which has the side of
+engines and of their list: here are MessagePack-RPC methods, fields and errors of clients, and the keys of a
+router's configuration file. Apart from reading that file it does no I/O.
 
 Durations are seconds in typed values, whatever the unit of the field; sizes are bytes or megabytes as named.
 """
@@ -17,7 +17,6 @@
 from pathlib import Path
 from typing import Any
 
-from marbleworks.model import EngineStatus
 from marbleworks.settings import Settings, SettingsError
 
 # Clients: limits.
@@ -48,58 +47,6 @@
 FIELD_RETRY_AFTER = "after"  # of an error; milliseconds
 SPOOL_RESULT = "1"  # the value of FIELD_SPOOL in a query whose result is to be stored
 
-# Engines: limits.
-
-MAX_RESULT_BYTES = 48_000  # of a whole result that is not stored
-MAX_PAGE_BYTES = 6_000
-MAX_HTTP_RESPONSE_BYTES = 1 << 14  # with its head ...
-MAX_BYTES_PER_PAGE_BYTE = 5  # ... and for each byte of its page, which may be a chunk by itself
-SOCKET_LATENCY_S = 0.05  # by which a time limit is longer on sockets
-STATUS_TIMEOUT_S = 0.25 + SOCKET_LATENCY_S  # in which an engine reports, if only that it has no result yet
-ABANDONED_QUERY_TIMEOUT_S = 2.0  # after which a query that nobody asks for ends
-
-# Engines: HTTP.
-
-PATH_QUERIES = "/o"
-HEADER_REQUEST_ID = "X-Hop-Id"
-HEADER_CLASS = "X-Sort"
-HEADER_TIME_BUDGET = "X-Budget"  # milliseconds
-HEADER_MEMORY_GRANT = "X-Allot"  # megabytes
-HEADER_LOAD_REPORT = "x-report"
-HEADER_NO_EFFECT = "x-no-effect"
-HEADER_PAGE = "x-sheet"
-HEADER_PAGE_COUNT = "x-sheets"
-HEADER_WORK = "x-toil"  # milliseconds
-HEADER_MEMORY = "x-room"  # megabytes
-NO_EFFECT = "1"  # the value of HEADER_NO_EFFECT where the query never ran
-
-# Name service.
-
-ENGINE_SERVICE_NAME = "_rpc._tcp.mesh.local."
-MAX_DNS_ANSWER_BYTES = 8000
-DNS_ANSWER_TIMEOUT_S = 7.0  # after which an answer is of no more use
-ENGINE_EVENT_NOTICE_S = 1.5  # after an event, when it counts as announced
-ENGINE_STATUS_BY_PHASE = {
-    "Ready": EngineStatus.UP,
-    "Terminating": EngineStatus.DRAINING,
-    "Gone": EngineStatus.GONE,
-}
-LISTING_NOTICES = "notices"
-LISTING_POOL = "pool"
-LISTING_MEMBERS = "members"
-LISTING_COMPLETE = "complete"
-LISTING_REVISION = "rev"
-MEMBER_ID = "id"
-MEMBER_ADDRESS = "host_port"
-MEMBER_ZONE = "locality"
-MEMBER_MACHINE_KIND = "flavor"
-MEMBER_PHASE = "phase"
-MEMBER_STARTED = "up_since_ms"
-MEMBER_CELL = "cell"
-TXT_MACHINE_KIND = "kind"
-TXT_STARTED = "started"  # milliseconds
-TXT_CELL = "cell"
-
 _MAX_TOKEN_CHARS = 64
 _REQUEST_ID = re.compile(r"[0-9a-f]{16}")
 _PAGE_NUMBER = re.compile(r"[1-9]\d{0,8}", re.ASCII)
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -158,7 +158,7 @@
     """Handles SIGHUP; of the configuration only the name server's address changes while a router runs."""
     try:
         config = RouterConfig.read(path)
-        discovery.post(discovery.move, config.nameserver)
+        discovery.post(discovery.set_nameserver, config.nameserver)
         LOG.info("configuration reloaded", nameserver=_format_address(config.nameserver))
     except SettingsError as err:
         LOG.warning("configuration not reloaded", error=str(err))
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -91,9 +91,9 @@
         make = desk.make_engine_client
 
         def counted(desk: Dispatcher, name: str, address: tuple[str, int]) -> EnginePort:
-            place: Any = make(desk, name, address)
-            place.share = BudgetedConnectionLimit(place.share, holder, name)
-            return cast("EnginePort", place)
+            client: Any = make(desk, name, address)
+            client.pool.descriptor_quota = BudgetedConnectionLimit(client.pool.descriptor_quota, holder, name)
+            return cast("EnginePort", client)
 
         if options.max_connections_per_core:
             desk.make_engine_client = counted
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -11,7 +11,7 @@
 from gevent.lock import BoundedSemaphore
 from typer.testing import CliRunner
 
-from marbleworks.__main__ import app
+from marbleworks.cli import app
 from marbleworks.fair_queue.peer_usage import PeerUsage, name_hash
 from marbleworks.fair_queue.service import FairQueueService
 from marbleworks.fair_queue.trace_report import explained
