--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -18,7 +18,7 @@
 from marbleworks.net.actor import TURN_S, Actor, clock, spawn
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.messages import OpenRequest
-from marbleworks.net.protocol import InvalidCallError, PageCall, QueryCall
+from marbleworks.net.protocol import InvalidCallError, PageCall
 from marbleworks.net.rpc import (
     CancelNotification,
     MalformedMessageError,
@@ -341,11 +341,8 @@
             tray=reservation,
         )
         self.calls[request.call_id] = PendingCall(deadline, open_request)
-        self._submit(query, open_request, group)
-
-    def _submit(self, query: QueryCall, open_request: OpenRequest, group: int) -> None:
         # New work is ordered by when its client began to wait; for a retry that was before this call.
-        place = open_request.deadline - self.settings.client_timeouts_s[query.class_index]
+        place = deadline - self.settings.client_timeouts_s[query.class_index]
         self.dispatcher.post_new_work(
             place,
             self.dispatcher.submit,
--- a/marbleworks/net/protocol.py
+++ b/marbleworks/net/protocol.py
@@ -142,7 +142,7 @@
     return CallError(ErrorName.REJECTED, fields)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen, which would be several times as costly for each query
 class QueryCall:
     """A query as its client sent it.
 
--- a/marbleworks/net/rpc.py
+++ b/marbleworks/net/rpc.py
@@ -1,7 +1,8 @@
 """MessagePack-RPC: framing and typed messages, without I/O.
 
 A `MessageDecoder` splits received bytes into messages; a `Response` encodes one answer. What the methods
-mean, and whether a call number is in use, is decided by the caller.
+mean, and whether a call number is in use, is decided by the caller. Messages are not frozen: that would make
+them several times as costly to create, and there are two for each request of a client.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     """The received bytes are not a MessagePack-RPC message that a client may send."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Request:
     """A call; `params` of the wire are the fields followed by the body."""
 
@@ -41,21 +42,21 @@
     body: list[Any]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CancelNotification:
     """The client no longer waits for the answer to a call."""
 
     call_id: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UnknownNotification:
     """A notification of any other method; it needs no answer."""
 
     method: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Response:
     """The answer to a call: an error or a result, the other is None."""
 
