--- a/marbleworks/net/datagrams.py
+++ b/marbleworks/net/datagrams.py
@@ -19,8 +19,9 @@
 MAX_DATAGRAM_BYTES = 256  # by the protocol
 BURST_S = 2.0  # seconds of a kind's rate that may be saved up
 DROP_LOG_INTERVAL_S = 10.0  # between log lines on what is dropped
-UNKNOWN_SENDER = "no peer's"  # reasons to drop a datagram, each of which a stranger can bring about:
-UNKNOWN_KIND = "not registered"  # these two are counted and never logged
+# Reasons to drop a datagram that are counted and never logged, since strangers could fill the log with them.
+UNKNOWN_SENDER = "no peer's"
+UNKNOWN_KIND = "not registered"
 
 DatagramHandler = Callable[[int, bytes], None]  # takes the index of the sending peer and the datagram
 
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -30,16 +30,16 @@
     def post(self, what: Callable[..., None], *args: Any) -> None:
         """Has the connection's actor make a call."""
 
-    def answer(self, call: int, result: bytes, told: dict[str, str]) -> None:
+    def answer(self, call_id: int, result: bytes, metadata: dict[str, str]) -> None:
         """Answers a call with a result and its metadata."""
 
-    def shed(self, call: int, come_back: float) -> None:
-        """Rejects a call; its client may retry after so many seconds, 0: none are named."""
+    def shed(self, call_id: int, retry_after_s: float) -> None:
+        """Rejects a call; its client may retry after that time, 0: none is named."""
 
-    def fail(self, call: int, why: str) -> None:
+    def fail(self, call_id: int, reason: str) -> None:
         """Answers a call with an error."""
 
-    def forget(self, command: OpenRequest) -> None:
+    def forget(self, request: OpenRequest) -> None:
         """The dispatcher knows that the client gave the request up."""
 
 
