--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -147,7 +147,7 @@
             started = 1000.0 + group.now
             for gate in gates:
                 gate.update_engines(
-                    [EngineEntry(0, f"s-{number}", 0, 0, 0, EngineStatus.UP, started)], whole=True
+                    [EngineEntry(0, f"s-{number}", 0, 0, 0, EngineStatus.UP, started)], complete=True
                 )
             sponsors = divide()
             if (0 in sponsors) == with_divider:
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -110,7 +110,7 @@
         told, self.port = Settings(deployment(tenants)), Still()
         self.gateway = Scheduler(self.port, 1, told.request_classes, told.rules, told.fleet)
         self.entries, self.groups, self.tenants = entries(engines), groups, tenants
-        self.gateway.update_engines(self.entries, whole=True)
+        self.gateway.update_engines(self.entries, complete=True)
         self.out = deque[RequestState]()
         self.taken = 0
 
@@ -128,7 +128,7 @@
         self.taken += 1
         if len(self.out) > OUT:
             cmd = self.out.popleft()
-            cmd.on_answer(0, cmd.told, None)
+            cmd.on_answer(0, cmd.estimate, None)
 
     def known(self) -> float:
         """Yardsticks for a command of a table group seen before."""
@@ -153,7 +153,7 @@
 
     def listed(self) -> float:
         """Yardsticks for the whole list again."""
-        return yards(lambda: self.gateway.update_engines(self.entries, whole=True))
+        return yards(lambda: self.gateway.update_engines(self.entries, complete=True))
 
     def warm(self) -> None:
         """All groups have come once."""
@@ -213,7 +213,7 @@
     for desk, count in zip(desks, counts, strict=True):
         gateway, port, n = desk.gateway, desk.port, 0
         for engine in gateway.engines.values():
-            gateway.receive_load_update(1, engine.mark + bytes([128 + 64]))
+            gateway.receive_load_update(1, engine.wire_id + bytes([128 + 64]))
         while len(gateway.pending) < count:
             gateway.submit(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANTS, port.clock, 30.0)
             n += 1
--- a/marbleworks/simulation/__main__.py
+++ b/marbleworks/simulation/__main__.py
@@ -122,13 +122,13 @@
         tenant = line.parts.get("org", "0")
         self.commands[ref] = self.gateway.submit(
             ref,
-            profile=line.choice("cls", self.deployment.class_index),
-            group=int(line.number("schema_no", 0.0)),
-            key=line.parts.get("relation", ""),
-            told=(line.seconds("est_cost_ms", 0.0), line.number("footprint_mb", 0.0)),
+            class_index=line.choice("cls", self.deployment.class_index),
+            table_group=int(line.number("schema_no", 0.0)),
+            ordering_key=line.parts.get("relation", ""),
+            estimate=(line.seconds("est_cost_ms", 0.0), line.number("footprint_mb", 0.0)),
             tenant=self.deployment.tenant_index.get(tenant, -1),
-            came=self.now(),
-            left=line.seconds("remaining_ms"),
+            received_at=self.now(),
+            time_left_s=line.seconds("remaining_ms"),
         )
 
     def _ended(self, cmd: RequestState, line: Line) -> None:
@@ -142,7 +142,7 @@
     def _note(self, cmd: RequestState, line: Line) -> None:
         send_no, kind, amount = line.whole("seq_no"), line.whole("kind"), line.number("amount")
         if kind in (1, 2, 3):  # share done, spilling, standing still
-            cmd.on_progress(send_no, amount if kind == 1 else None, stands=kind == 3)
+            cmd.on_progress(send_no, amount if kind == 1 else None, is_stalled=kind == 3)
         else:
             raise WireError(f"interim: kind={kind} is not known")
 
@@ -156,7 +156,7 @@
         if number not in rosters:
             raise WireError(f"peers_known: roster_id={number} was never given")
         entries = [entry(item, self.deployment, self.engine(item)) for item in rosters[number]]
-        self.gateway.update_engines(entries, whole=how != "diff")
+        self.gateway.update_engines(entries, complete=how != "diff")
 
 
 class Simulation:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -510,7 +510,7 @@
 def test_a_tenants_share_is_what_its_budget_says(still: None) -> None:
     desk = Desk("(budgets (window 1 s))")
     cmds = [desk.take(f"{n:x}") for n in range(5)]
-    worth = [cmd.benefit for cmd in cmds]
+    worth = [cmd.priority_weight for cmd in cmds]
     usual = desk.scheduler.request_classes[0].priority_weight
     assert worth[:3] == [usual] * 3 and worth[3:] == [usual * desk.scheduler.rules.over_quota_weight] * 2
 
@@ -520,12 +520,12 @@
     cmds = [desk.take(f"{n:x}") for n in range(6)]
     for cmd in cmds:
         cmd.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
-    again = [cmd for cmd in cmds if cmd.sends == 2]
+    again = [cmd for cmd in cmds if cmd.attempt_count == 2]
     assert len(again) == 2 and len(desk.sent) == 8
     desk.clock += 1.1
     late = desk.take("f")
     late.on_attempt_end(0, AttemptOutcome.UNREACHABLE, False, None)
-    assert late.sends == 2
+    assert late.attempt_count == 2
 
 
 def test_what_a_fresh_engine_bears_is_divided_and_no_lottery(still: None) -> None:
@@ -558,19 +558,19 @@
     for n in range(400):
         desk.clock += chance.random() * 0.05
         cmds.append(desk.take(f"{n:x}", left=chance.choice([0.2, 2.0])))
-        for cmd in [c for c in cmds if c.out and chance.random() < 0.3]:
-            send = cmd.out[0]
+        for cmd in [c for c in cmds if c.in_flight and chance.random() < 0.3]:
+            send = cmd.in_flight[0]
             how = chance.choice(list(AttemptOutcome))
             if chance.random() < 0.7:
-                cmd.on_answer(send.no, None, None)
+                cmd.on_answer(send.number, None, None)
             else:
-                cmd.on_attempt_end(send.no, how, False, None)
+                cmd.on_attempt_end(send.number, how, False, None)
         desk.scheduler.on_timer()
         now = desk.clock
         assert all(p.used(now) <= p.most(now) for p in desk.purse.pockets.values())
     for cmd in cmds:
-        for send in list(cmd.out):
-            cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, True, None)
+        for send in list(cmd.in_flight):
+            cmd.on_attempt_end(send.number, AttemptOutcome.ERROR, True, None)
         cmd.on_client_disconnect()
     desk.clock += 10.0
     assert all(p.used(desk.clock) == 0 for p in desk.purse.pockets.values())
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -135,7 +135,7 @@
             self.model.before_start[be] = len(self.model.sends)
         started = self.model.clock if restarted else self.model.lists.get(be, (listed, 0.0, 0))[1]
         self.model.lists[be] = (listed, started, be % 2)
-        self.gateway.update_engines([engine(be, listed, started, be % 2)], whole=False)
+        self.gateway.update_engines([engine(be, listed, started, be % 2)], complete=False)
 
     def take(self, profile: int, key: int, work: float, left: float) -> None:
         ref, model = f"c{len(model_takes := self.model.takes)}", self.model
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -55,7 +55,7 @@
     stage = Stage(engines=6, rules=replace(RULES, retry_budget_ratio=None, max_attempts=4))
     cmd = stage.take(UNIQUED, left=25.0)
     stage.pass_time(4.0)  # a second one has gone out meanwhile
-    assert [send.no for send in cmd.out] == [0, 1]
+    assert [send.number for send in cmd.in_flight] == [0, 1]
     stage.port.clock += UNIQUED.idempotency_window_s - 4.0
     cmd.on_attempt_end(1, AttemptOutcome.ERROR, False, None)
     cmd.on_attempt_end(0, AttemptOutcome.ERROR, False, None)
@@ -89,7 +89,7 @@
         for no in range(3):
             cmd.on_attempt_end(no, AttemptOutcome.ERROR, False, None)
     assert len(stage.port.sent()) == 6
-    assert sum(sum(e.failed) for e in stage.gateway.engines.values()) == 2
+    assert sum(sum(e.recent_failures) for e in stage.gateway.engines.values()) == 2
     assert not any(a[0] == "log" for a in stage.port.asked)
 
 
@@ -100,7 +100,7 @@
     cmd.on_attempt_end(0, AttemptOutcome.WITHHELD, False, None)
     assert len(stage.port.sent(cmd.ref)) == 2 and not cmd.may_have_run
     engine = stage.gateway.engines[first]
-    assert not engine.failed and engine.rests_until < stage.port.clock
+    assert not engine.recent_failures and engine.ejected_until < stage.port.clock
 
 
 @pytest.mark.parametrize(
@@ -134,12 +134,12 @@
 
 def test_what_never_left_is_not_charged_to_a_fresh_engine() -> None:
     stage = Stage(0)
-    stage.gateway.update_engines([engine(0, started=stage.port.clock)], whole=False)
+    stage.gateway.update_engines([engine(0, started=stage.port.clock)], complete=False)
     stage.pass_time(RULES.overload_window_s)
     cmd = stage.take(FREE)
-    assert len(stage.gateway.engines[0].cold_sent) == 1
+    assert len(stage.gateway.engines[0].slow_start_work) == 1
     cmd.on_attempt_end(0, AttemptOutcome.CONNECT_TIMEOUT, True, None)
-    assert not stage.gateway.engines[0].cold_sent
+    assert not stage.gateway.engines[0].slow_start_work
 
 
 def test_engines_that_refuse_are_left_out_though_most_of_the_warm_ones_do() -> None:
@@ -154,7 +154,7 @@
     assert set(stage.port.sent()) == {3, 4}
     for be in (3, 4):
         stage.gateway.heard_badly(stage.gateway.engines[be], AttemptOutcome.CONNECTION_REFUSED)
-    assert stage.take(FREE).out  # with nobody left, somebody is asked all the same
+    assert stage.take(FREE).in_flight  # with nobody left, somebody is asked all the same
 
 
 @pytest.mark.parametrize(("heard", "ejected"), [(0.5, False), (1.5, True)])
@@ -163,9 +163,9 @@
 ) -> None:
     stage = Stage(1)
     cmd, there = stage.take(FREE), stage.gateway.engines[0]
-    there.heard = stage.port.clock - heard
+    there.last_heard_at = stage.port.clock - heard
     cmd.on_attempt_end(0, AttemptOutcome.CONNECT_TIMEOUT, False, None)
-    assert (there.rests_until > stage.port.clock) is ejected
+    assert (there.ejected_until > stage.port.clock) is ejected
 
 
 def test_a_last_moment_before_the_next_review_leaves_that_review_standing() -> None:
@@ -194,9 +194,9 @@
 def test_nothing_goes_to_an_engine_that_drains_or_has_left_the_list() -> None:
     stage = Stage()
     stage.gateway.update_engines(
-        [engine(0, EngineStatus.DRAINING), engine(1, EngineStatus.GONE, kind=1)], whole=False
+        [engine(0, EngineStatus.DRAINING), engine(1, EngineStatus.GONE, kind=1)], complete=False
     )
-    stage.gateway.update_engines([engine(0, EngineStatus.DRAINING), engine(2)], whole=True)
+    stage.gateway.update_engines([engine(0, EngineStatus.DRAINING), engine(2)], complete=True)
     for _ in range(10):
         stage.take()
     assert set(stage.port.sent()) == {2}
@@ -205,10 +205,10 @@
 def test_a_fresh_engine_gets_no_more_work_than_its_floor() -> None:
     stage = Stage(engines=0)
     stage.pass_time(RULES.overload_window_s)
-    stage.gateway.update_engines([engine(0, started=101.9)], whole=True)
+    stage.gateway.update_engines([engine(0, started=101.9)], complete=True)
     for n in range(60):
         cmd = stage.take(group=n)
-        if cmd.out:
+        if cmd.in_flight:
             cmd.on_answer(0, (0.2, 10.0), None)
     floor = RULES.slow_start_floor * RULES.overload_multiple * RULES.overload_window_s * 8 / 2
     assert 0 < 0.2 * len(stage.port.sent()) <= floor
@@ -218,12 +218,12 @@
     stage = Stage()
     first, second = stage.take(ORDERED, key="k", left=20.0), stage.take(ORDERED, key="k", left=20.0, group=2)
     stage.pass_time(1.0)
-    assert not second.out
+    assert not second.in_flight
     first.on_attempt_end(0, AttemptOutcome.CONNECTION_LOST, False, None)
     stage.pass_time(0.4)
-    assert first.completed and not second.out
+    assert first.completed and not second.in_flight
     stage.pass_time(0.2)
-    assert second.out
+    assert second.in_flight
 
 
 def test_a_bound_profile_goes_to_its_kind_at_every_send() -> None:
@@ -286,12 +286,12 @@
     stage = Stage(rules=replace(RULES, retry_budget_ratio=None))
     for n in range(40):
         cmd = stage.take(group=n)
-        while cmd.out:
-            send = cmd.out[0]
+        while cmd.in_flight:
+            send = cmd.in_flight[0]
             if send.engine.entry.engine_id == 0:
-                cmd.on_attempt_end(send.no, AttemptOutcome.ERROR, False, None)
+                cmd.on_attempt_end(send.number, AttemptOutcome.ERROR, False, None)
             else:
-                cmd.on_answer(send.no, (0.2, 10.0), None)
+                cmd.on_answer(send.number, (0.2, 10.0), None)
     assert stage.port.sent().count(0) <= 4
 
 
@@ -320,7 +320,7 @@
 
 def answer(stage: Stage, cmd: RequestState, after: float = 0.0) -> None:
     stage.port.clock += after
-    cmd.on_answer(cmd.out[0].no, None, None)
+    cmd.on_answer(cmd.in_flight[0].number, None, None)
 
 
 def test_idle_engines_are_used_in_proportion_to_their_cores() -> None:
@@ -349,7 +349,7 @@
     for n in range(200):
         answer(stage, stage.take(FREE, group=n), after=0.1)
         answer(stage, stage.take(BOUND, group=n), after=0.1)
-    stage.gateway.update_engines([engine(be, kind=1) for be in [*range(1, 24, 2), 30]], whole=True)
+    stage.gateway.update_engines([engine(be, kind=1) for be in [*range(1, 24, 2), 30]], complete=True)
     before = len(stage.port.sent())
     for n in range(260):
         answer(stage, stage.take(FREE, group=n), after=0.1)
@@ -362,7 +362,7 @@
     for n in range(12):
         answer(stage, stage.take(FREE, group=n), after=1.5)
     heavy, light = stage.take(BOUND, work=9.0, left=20.0), stage.take(FREE, work=0.01)
-    assert stage.port.finals(heavy.ref) == ["shed"] and light.out
+    assert stage.port.finals(heavy.ref) == ["shed"] and light.in_flight
 
 
 def test_one_refused_connection_rests_an_engine() -> None:
@@ -380,7 +380,7 @@
     stage.take(FREE, work=0.1)
     cmd = stage.take(FREE, work=9.0, left=30.0)
     asked = [a[1] for a in stage.port.asked if a[0] == "probe"]
-    assert len(asked) == 2 and not cmd.out
+    assert len(asked) == 2 and not cmd.in_flight
     stage.gateway.on_probe_result(asked[0], True, LoadReport(in_flight=40.0))
     stage.gateway.on_probe_result(asked[1], True, LoadReport(in_flight=4.0))
     stage.pass_time(0.011)
@@ -392,7 +392,7 @@
     stage.take(FREE, work=0.1)
     cmd = stage.take(FREE, work=9.0, left=30.0)
     stage.pass_time(0.2)
-    assert cmd.out
+    assert cmd.in_flight
 
 
 def test_news_of_peers_counts_and_what_is_not_news_is_passed_over() -> None:
@@ -405,7 +405,7 @@
     for data in (b"", b"x", b"none!", told[0] * 60, told[0][:4], told[0]):
         stage.gateway.receive_load_update(1, data)
     quiet = next(e for e in stage.gateway.up if e.entry.engine_id != busy)
-    stage.gateway.receive_load_update(1, quiet.mark + b"\x00")
+    stage.gateway.receive_load_update(1, quiet.wire_id + b"\x00")
     for n in range(20):
         answer(stage, stage.take(FREE, group=n))
     assert stage.port.sent().count(busy) == 0
@@ -428,11 +428,11 @@
         for me, stage in enumerate(stages):
             stage.pass_time(0.1)
             if tick == 30 + 10 * (me % 2):
-                stage.gateway.update_engines([engine(0, started=102.5)], whole=True)
+                stage.gateway.update_engines([engine(0, started=102.5)], complete=True)
             before = len(stage.port.sent())
             cmd = stage.take(FREE, group=tick)
             sent += [(stage.port.clock, 0.2)] * (len(stage.port.sent()) - before)
-            if cmd.out:
+            if cmd.in_flight:
                 answer(stage, cmd)
     limit = 8 * rules.overload_multiple * rules.overload_window_s
     spans = [sum(w for at, w in sent if end - rules.overload_window_s <= at <= end) for end, _ in sent]
@@ -463,10 +463,10 @@
         for me, stage in enumerate(stages):
             if tick in (45, 60) and chance.random() < 0.7:
                 stage = stages[me] = begin(me, stage.port.clock)
-                stage.gateway.update_engines([engine(0, started=102.5), engine(1)], whole=True)
+                stage.gateway.update_engines([engine(0, started=102.5), engine(1)], complete=True)
             stage.pass_time(0.1)
             if tick == 30 + me % 10:
-                stage.gateway.update_engines([engine(0, started=102.5), engine(1)], whole=True)
+                stage.gateway.update_engines([engine(0, started=102.5), engine(1)], complete=True)
             for _ in range(max(60 // routers, 1)):
                 work = chance.lognormvariate(-2.1, 1.0)
                 cmd = stage.take(FREE, work=work, left=20.0)
@@ -478,8 +478,8 @@
                         sent += [
                             (stage.port.clock, work) for b in stage.port.sent(cmd.ref)[no + 1 :] if b == 0
                         ]
-                for send in list(cmd.out):
-                    cmd.on_answer(send.no, (work, 10.0), None)
+                for send in list(cmd.in_flight):
+                    cmd.on_answer(send.number, (work, 10.0), None)
     mean = math.exp(-2.1 + 0.5)
     for end, _ in sent:
         n = bears(end) * 8 * rules.overload_multiple * rules.overload_window_s / mean
@@ -493,7 +493,7 @@
     stages = [Stage(0, RULES, FleetInfo(routers, me, 0, (8, 8), (16384.0, 16384.0))) for me in range(routers)]
     begun: list[int] = []
     for stage in stages:
-        stage.gateway.update_engines([engine(0, started=100.0)], whole=True)
+        stage.gateway.update_engines([engine(0, started=100.0)], complete=True)
     for at in range(101, 110):
         parts = [stage.gateway.slow_start_share(stage.gateway.engines[0], float(at)) for stage in stages]
         grown = bears(at - stages[0].gateway.slack, 100.0) / RULES.slow_start_floor
@@ -508,7 +508,7 @@
     cold."""
     stages = [Stage(0, RULES, FleetInfo(7, me, 0, (8, 8), (16384.0, 16384.0))) for me in range(7)]
     for stage in stages:
-        stage.gateway.update_engines([engine(be, started=99.0) for be in range(50)], whole=True)
+        stage.gateway.update_engines([engine(be, started=99.0) for be in range(50)], complete=True)
         place = (
             among.index(stage.gateway.fleet.router_index) if stage.gateway.fleet.router_index in among else -1
         )
@@ -516,7 +516,7 @@
             0.25 / 7 + (0.75 / len(among) if place >= 0 else 0.0), len(among), place
         )
         # What is listed later goes by the division as well.
-        stage.gateway.update_engines([engine(be, started=99.5) for be in range(50, 100)], whole=False)
+        stage.gateway.update_engines([engine(be, started=99.5) for be in range(50, 100)], complete=False)
     for be in range(100):
         shares = [s.gateway.slow_start_share(s.gateway.engines[be], s.port.clock) for s in stages]
         assert sum(shares) == pytest.approx(1.0) and sum(share > 0 for share in shares) == min(4, len(among))
@@ -538,12 +538,14 @@
 def test_a_part_ends_at_its_time_though_nobody_says_so() -> None:
     """A router that stood still has the mail that tells it behind commands that it must not send."""
     stage = Stage(4)
-    stage.gateway.set_router_share(0.5, 2, 0, until=stage.port.clock + 1.0, kept=0.1)
-    stage.gateway.update_engines([engine(9, started=stage.port.clock - 5.0)], whole=False)
+    stage.gateway.set_router_share(0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1)
+    stage.gateway.update_engines([engine(9, started=stage.port.clock - 5.0)], complete=False)
     fresh = stage.gateway.engines[9]
     assert stage.gateway.slow_start_share(fresh, 95.0) == 0.5 and stage.gateway.routers == pytest.approx(2.0)
     stage.port.clock += 0.9
-    stage.gateway.set_router_share(0.5, 2, 0, until=stage.port.clock + 1.0, kept=0.1)  # it is given anew
+    stage.gateway.set_router_share(
+        0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1
+    )  # it is given anew
     stage.port.clock += 0.9
     stage.take(FREE)
     assert stage.gateway.routers == pytest.approx(2.0)
@@ -555,12 +557,12 @@
 @pytest.mark.parametrize("fleet", [(0, -1), (0, 0), (1, 0), (1, 9), (5, -1), (5, 99)])
 def test_odd_counts_of_routers_break_nothing(fleet: tuple[int, int]) -> None:
     stage = Stage(1, RULES, FleetInfo(*fleet, zone=-1, cores_by_kind=(8,), memory_mb_by_kind=(16384.0,)))
-    stage.gateway.update_engines([engine(be, started=99.0) for be in range(400)], whole=False)
+    stage.gateway.update_engines([engine(be, started=99.0) for be in range(400)], complete=False)
     now, gateway = stage.port.clock, stage.gateway
     assert all(0 <= gateway.slow_start_share(e, now) <= 1 for e in gateway.engines.values())
     stage.port.clock += 1e6
-    assert stage.take(FREE).out
-    stage.gateway.update_engines([], whole=True)
+    assert stage.take(FREE).in_flight
+    stage.gateway.update_engines([], complete=True)
     stage.pass_time(7.0)
     assert not stage.gateway.up
 
@@ -599,9 +601,9 @@
     first, *rest = [stage.take(LOAD, work=1.0) for _ in range(3)]
     stage.gateway.review()
     first.on_answer(0, None, None)
-    assert not any(cmd.out for cmd in rest)
+    assert not any(cmd.in_flight for cmd in rest)
     stage.pass_time(0.011)
-    assert any(cmd.out for cmd in rest)
+    assert any(cmd.in_flight for cmd in rest)
 
 
 def test_impatient_clients_are_tried_while_the_time_alone_fits() -> None:
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -130,7 +130,7 @@
     def __init__(self, engines: int = 4, rules: DeploymentRules = RULES, fleet: FleetInfo = FLEET) -> None:
         self.port = Recorder()
         self.gateway = Scheduler(self.port, 7, PROFILES, rules, fleet)
-        self.gateway.update_engines([engine(be, kind=be % 2) for be in range(engines)], whole=True)
+        self.gateway.update_engines([engine(be, kind=be % 2) for be in range(engines)], complete=True)
         self.taken = 0
 
     def take(
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -316,9 +316,9 @@
     stage = Stage(rules=replace(RULES, allows_peer_messages=True))
     known = stage.gateway.engines[1]
     stage.gateway.receive_load_update(1, golden("engine news"))
-    assert (known.load, known.full, known.reported) == (1.625, False, stage.port.clock)
+    assert (known.reported_load, known.reported_full, known.reported_at) == (1.625, False, stage.port.clock)
     stage.gateway.receive_load_update(1, golden("engine news, full"))
-    assert (known.load, known.full) == (127 / 32, True)
+    assert (known.reported_load, known.reported_full) == (127 / 32, True)
 
 
 def test_a_plan_is_read_as_ever() -> None:
