--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -15,7 +15,7 @@
 from marbleworks.budgets.local_budget import WAITS, LocalBudget, LocalBudgets
 from marbleworks.net.actor import LOG, clock
 from marbleworks.net.dispatcher import Dispatcher
-from marbleworks.scheduling.scheduler import SLOW_START_TRUST
+from marbleworks.scheduling.slow_start import SLOW_START_TRUST
 
 ROUND = 0.4  # seconds within which a part that is asked for comes, mostly
 LONGEST = 60.0  # seconds that anyone is told to stay away
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -21,7 +21,7 @@
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.messages import OpenRequest
-from marbleworks.scheduling.scheduler import CLOSE_CALL_RATIO
+from marbleworks.scheduling.request_state import CLOSE_CALL_RATIO
 from marbleworks.settings import Settings
 
 TICK = 0.05  # seconds between looks at what waits
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -37,7 +37,8 @@
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
 from marbleworks.net.discovery import SERVICE, EngineDiscovery
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
 STATEMENTS = 609.0  # a second at one router, by the operators' figures
@@ -136,7 +137,7 @@
 
     def new(self) -> float:
         """The same of one not seen before."""
-        self.gateway.homes.clear()
+        self.gateway.placement.home_sets.clear()
         return self._batch(lambda n: self.groups + n)
 
     def _batch(self, group: Callable[[int], int]) -> float:
@@ -225,7 +226,7 @@
 def _review(desk: Desk) -> float:
     there = len(desk.gateway.pending)
     desk.port.clock += 0.02  # so that it is due
-    desk.gateway.reviewed = -1.0
+    desk.gateway.reviewed_at = -1.0
     took = yards(desk.gateway.review)
     if len(desk.gateway.pending) != there:
         raise RuntimeError("a command that was held has gone: the size is not what it was")
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -16,7 +16,7 @@
 from marbleworks.model import LoadReport
 from marbleworks.net.stream import Reason, Stream
 from marbleworks.ports import ResultReservation
-from marbleworks.scheduling.scheduler import RequestState
+from marbleworks.scheduling.request_state import RequestState
 
 
 class ClientPort(Protocol):
--- a/marbleworks/simulation/__main__.py
+++ b/marbleworks/simulation/__main__.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings, SettingsError
 from marbleworks.simulation.wire import ENDINGS, Line, WireError, action, batches, entry, ms, need, report
 
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -21,7 +21,7 @@
 from marbleworks.net.client_listener import ClientListener
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.engine_client import engine_client_factory
-from marbleworks.scheduling.scheduler import CLOSE_CALL_RATIO
+from marbleworks.scheduling.request_state import CLOSE_CALL_RATIO
 from marbleworks.settings import Settings
 from marbleworks.subsystems.registry import sections_of
 from tests.support.stand_ins import SETTINGS
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -24,7 +24,7 @@
 from marbleworks.membership.leader_election import DRIFT
 from marbleworks.membership.options import PEERS
 from marbleworks.net.discovery import ASK_EVERY, MOST_ANSWER, TOLD_AFTER
-from marbleworks.scheduling.scheduler import MAX_HOME_SETS
+from marbleworks.scheduling.placement import MAX_HOME_SETS
 
 ROOT = Path(__file__).parents[2]
 SIZES = (10.0, 20.0, 40.0, 80.0, 160.0, 320.0)
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -313,12 +313,15 @@
 def test_a_new_table_group_finds_its_homes_and_a_known_one_has_them() -> None:
     desk = sizes.Desk(30)
     desk.warm()
-    homes = dict(desk.gateway.homes)
+    homes = dict(desk.gateway.placement.home_sets)
     assert len(homes) == sizes.GROUPS
     desk.known()
-    assert desk.gateway.homes == homes
+    assert desk.gateway.placement.home_sets == homes
     desk.new()
-    assert len(desk.gateway.homes) == sizes.BATCH and not desk.gateway.homes.keys() & homes.keys()
+    assert (
+        len(desk.gateway.placement.home_sets) == sizes.BATCH
+        and not desk.gateway.placement.home_sets.keys() & homes.keys()
+    )
 
 
 def test_a_review_weighs_as_many_as_are_held() -> None:
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -8,7 +8,8 @@
 from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.model import AttemptOutcome, EngineStatus, Idempotency
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from tests.support.stand_ins import FLEET, PROFILES, RULES, Recorder, engine
 
 STEP = st.one_of(
@@ -140,7 +141,7 @@
     def take(self, profile: int, key: int, work: float, left: float) -> None:
         ref, model = f"c{len(model_takes := self.model.takes)}", self.model
         usual = [
-            *(w for q, w in self.gateway.recent_work if q == profile),
+            *(w for q, w in self.gateway.estimates.recent_work if q == profile),
             work or self.gateway.mean_work(profile),
         ]
         model_takes[ref] = {
@@ -182,7 +183,7 @@
         end = self.model.clock + seconds
         while True:
             cut = {id(s): self.model.takes[s["ref"]]["deadline"] - 0.01 for s in self.out()}
-            wakes = min(self.gateway.waking, self.gateway.soonest)
+            wakes = min(self.gateway.next_review_at, self.gateway.next_expiry_at)
             at = min([wakes, *cut.values(), end])
             self.model.clock = max(at, self.model.clock)
             due = [s for s in self.out() if cut.get(id(s), end) <= self.model.clock]
@@ -231,7 +232,10 @@
     def admit(self, ref: str, wait: float | None) -> None:
         profile, key, work, deadline = self.held.pop(ref)
         take, gateway = self.model.takes[ref], self.gateway
-        usual = [*(w for q, w in gateway.recent_work if q == profile), work or gateway.mean_work(profile)]
+        usual = [
+            *(w for q, w in gateway.estimates.recent_work if q == profile),
+            work or gateway.mean_work(profile),
+        ]
         take["usual"], left = sum(usual[-128:]) / len(usual[-128:]), deadline - self.model.clock
         told = work, 10.0
         self.commands[ref] = gateway.submit(ref, profile, key, f"k{key}", told, -1, take["at"], left, wait)
--- a/tests/scheduling/test_wtpg.py
+++ b/tests/scheduling/test_wtpg.py
@@ -2,7 +2,7 @@
 
 import math
 
-from marbleworks.scheduling.scheduler import Wtpg
+from marbleworks.scheduling.wtpg import Wtpg
 
 
 def figure_6() -> Wtpg:
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -13,7 +13,8 @@
 from gevent.event import Event
 
 from marbleworks.model import DeploymentRules, EngineEntry, EngineStatus, FleetInfo, Idempotency, RequestClass
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
 READ = RequestClass(
