--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -17,7 +17,7 @@
 from marbleworks.budgets.local_budget import MAX_TRACKED_WAITERS, LocalBudget, LocalBudgets
 from marbleworks.net.actor import LOG, clock
 from marbleworks.net.dispatcher import Dispatcher
-from marbleworks.scheduling.scheduler import SLOW_START_TRUST
+from marbleworks.scheduling.slow_start import SLOW_START_TRUST
 
 GRANT_ROUND_TRIP_S = 0.4  # within which a lease that is asked for mostly arrives
 MAX_RETRY_AFTER_S = 60.0
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -38,7 +38,8 @@
 from marbleworks.net.actor import clock
 from marbleworks.net.discovery import EngineDiscovery, OpenQuery
 from marbleworks.net.engine_protocol import DNS_SERVICE_NAME
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
 STATEMENTS = 609.0  # a second at one router, by the operators' figures
@@ -111,7 +112,7 @@
         told, self.port = Settings(deployment(tenants)), Still()
         self.gateway = Scheduler(self.port, 1, told.request_classes, told.rules, told.fleet)
         self.entries, self.groups, self.tenants = entries(engines), groups, tenants
-        self.gateway.update_engines(self.entries, whole=True)
+        self.gateway.update_engines(self.entries, complete=True)
         self.out = deque[RequestState]()
         self.taken = 0
 
@@ -129,7 +130,7 @@
         self.taken += 1
         if len(self.out) > OUT:
             cmd = self.out.popleft()
-            cmd.on_answer(0, cmd.told, None)
+            cmd.on_answer(0, cmd.estimate, None)
 
     def known(self) -> float:
         """Yardsticks for a command of a table group seen before."""
@@ -137,7 +138,7 @@
 
     def new(self) -> float:
         """The same of one not seen before."""
-        self.gateway.homes.clear()
+        self.gateway.placement.home_sets.clear()
         return self._batch(lambda n: self.groups + n)
 
     def _batch(self, group: Callable[[int], int]) -> float:
@@ -154,7 +155,7 @@
 
     def listed(self) -> float:
         """Yardsticks for the whole list again."""
-        return yards(lambda: self.gateway.update_engines(self.entries, whole=True))
+        return yards(lambda: self.gateway.update_engines(self.entries, complete=True))
 
     def warm(self) -> None:
         """All groups have come once."""
@@ -214,7 +215,7 @@
     for desk, count in zip(desks, counts, strict=True):
         gateway, port, n = desk.gateway, desk.port, 0
         for engine in gateway.engines.values():
-            gateway.receive_load_update(1, engine.mark + bytes([128 + 64]))
+            gateway.receive_load_update(1, engine.wire_id + bytes([128 + 64]))
         while len(gateway.pending) < count:
             gateway.submit(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANTS, port.clock, 30.0)
             n += 1
@@ -226,7 +227,7 @@
 def _review(desk: Desk) -> float:
     there = len(desk.gateway.pending)
     desk.port.clock += 0.02  # so that it is due
-    desk.gateway.reviewed = -1.0
+    desk.gateway.reviewed_at = -1.0
     took = yards(desk.gateway.review)
     if len(desk.gateway.pending) != there:
         raise RuntimeError("a command that was held has gone: the size is not what it was")
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -19,7 +19,7 @@
 from marbleworks.net.addresses import SocketAddress
 from marbleworks.net.stream import CloseReason, Stream
 from marbleworks.ports import ResultReservation
-from marbleworks.scheduling.scheduler import RequestState
+from marbleworks.scheduling.request_state import RequestState
 
 
 class ClientPort(Protocol):
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -25,7 +25,7 @@
 from marbleworks.membership.options import PEERS
 from marbleworks.net.discovery import QUERY_INTERVAL_S
 from marbleworks.net.engine_protocol import LISTING_PROPAGATION_S, MAX_DNS_RESPONSE_BYTES
-from marbleworks.scheduling.scheduler import MAX_HOME_SETS
+from marbleworks.scheduling.placement import MAX_HOME_SETS
 
 ROOT = Path(__file__).parents[2]
 SIZES = (10.0, 20.0, 40.0, 80.0, 160.0, 320.0)
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -13,7 +13,8 @@
 from gevent.event import Event
 
 from marbleworks.model import DeploymentRules, EngineEntry, EngineStatus, FleetInfo, Idempotency, RequestClass
-from marbleworks.scheduling.scheduler import RequestState, Scheduler
+from marbleworks.scheduling.request_state import RequestState
+from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
 READ = RequestClass(
@@ -130,7 +131,7 @@
     def __init__(self, engines: int = 4, rules: DeploymentRules = RULES, fleet: FleetInfo = FLEET) -> None:
         self.port = Recorder()
         self.gateway = Scheduler(self.port, 7, PROFILES, rules, fleet)
-        self.gateway.update_engines([engine(be, kind=be % 2) for be in range(engines)], whole=True)
+        self.gateway.update_engines([engine(be, kind=be % 2) for be in range(engines)], complete=True)
         self.taken = 0
 
     def take(
