--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -47,7 +47,9 @@
     result_store: ResultStore | None
     health_details: Callable[[str], dict[str, Any]] | None
 
-    def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
+    def join(
+        self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
+    ) -> None:
         """Attaches the subsystems to the router; called before it accepts clients."""
 
     def stopping(self) -> None:
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -299,13 +299,13 @@
 def test_what_the_machine_has_accepted_before_the_listener_ends_is_answered() -> None:
     held = Held()
     held.go.set()
-    front, address = held.router.listener, held.router.listener.sock.getsockname()
+    listener, address = held.router.listener, held.router.listener.sock.getsockname()
     gevent.sleep(0)
-    front.accept_greenlet.kill()
+    listener.accept_greenlet.kill()
     clients = [held.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
         client.ask("load", ref=f"{n:016x}")
-    front.stop_accepting(clock() + 1.0)
+    listener.stop_accepting(clock() + 1.0)
     assert all(client.hear()[3] for client in clients)
     with pytest.raises(ConnectionRefusedError):
         RpcClient(address)
