--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -640,7 +640,7 @@
                 cmd.on_attempt_end(send.number, how, False, None)
         dispatcher.scheduler.on_timer()
         now = dispatcher.clock
-        assert all(p.used(now) <= p.most(now) for p in dispatcher.purse.pockets.values())
+        assert all(p.used_units(now) <= p.limit(now) for p in dispatcher.local_budgets.budgets.values())
     for cmd in cmds:
         for send in list(cmd.in_flight):
             cmd.on_attempt_end(send.number, AttemptOutcome.ERROR, True, None)
