--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -226,7 +226,7 @@
 def _review(desk: Desk) -> float:
     there = len(desk.gateway.pending)
     desk.port.clock += 0.02  # so that it is due
-    desk.gateway.reviewed_at = -1.0
+    desk.gateway.timers.reviewed_at = -1.0
     took = yards(desk.gateway.review)
     if len(desk.gateway.pending) != there:
         raise RuntimeError("a command that was held has gone: the size is not what it was")
@@ -271,7 +271,7 @@
     def post(self, what: Any, listing: list[Any], whole: bool) -> None:
         self.count = len(listing)
 
-    def listed(self) -> None: ...
+    def update_engines(self) -> None: ...
 
 
 def lists(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
--- a/marbleworks/scheduling/attempt_watch.py
+++ b/marbleworks/scheduling/attempt_watch.py
@@ -37,7 +37,7 @@
         placement: Placement,
         retry_budget: RetryBudget,
         outliers: OutlierDetector,
-        start_attempt: Callable[[RequestState, EngineState, float], None],
+        start_attempt: Callable[[RequestState, EngineState, float], bool],
     ) -> None:
         self._port = port
         self._rules = rules
--- a/marbleworks/scheduling/load_reports.py
+++ b/marbleworks/scheduling/load_reports.py
@@ -4,10 +4,14 @@
 
 from typing import TYPE_CHECKING
 
+from marbleworks.scheduling.history import TICK_S
+
 if TYPE_CHECKING:
     from marbleworks.model import DeploymentRules, LoadReport
     from marbleworks.ports import SchedulerPort
     from marbleworks.scheduling.engine_state import EnginePool, EngineState
+    from marbleworks.scheduling.request_state import RequestState
+    from marbleworks.scheduling.work_estimates import WorkEstimates
 
 RECENT_REPORT_S = 1.0  # for which a report may decide between two engines, and need not be repeated to peers
 FULL_SHARE = 0.95  # of its memory or its disks in use: an engine is full
@@ -46,3 +50,25 @@
             engine.reported_load = data[4] % FULL_FLAG / LOAD_STEPS
             engine.reported_full = data[4] >= FULL_FLAG
             engine.reported_at = now
+
+
+class LoadProbes:
+    """Probes two engines before a costly request is sent to one of them."""
+
+    def __init__(self, port: SchedulerPort, rules: DeploymentRules, estimates: WorkEstimates) -> None:
+        self._port = port
+        self._rules = rules
+        self._estimates = estimates
+
+    def awaits_answer(self, request: RequestState, two: list[EngineState], now: float) -> bool:
+        """Returns whether the request waits for the engines' answers, a tick at most."""
+        if not self._rules.allows_probes or request.work <= self._estimates.cheap_threshold:
+            return False
+        if not request.probed_engines:
+            request.probed_at = now
+            request.probed_engines = two
+            for engine in two:
+                self._port.probe_load(engine.entry.engine_id)
+        if now >= request.probed_at + TICK_S:
+            return False
+        return not all(e.reported_at >= request.probed_at for e in request.probed_engines)
--- a/marbleworks/scheduling/table_groups.py
+++ b/marbleworks/scheduling/table_groups.py
@@ -8,9 +8,11 @@
 from marbleworks.scheduling.wtpg import Wtpg
 
 if TYPE_CHECKING:
+    from marbleworks.scheduling.engine_state import EngineState
     from marbleworks.scheduling.request_state import RequestState
 
 MAX_CONFLICTS = 6  # K: conflicting declarations that any node of a graph may face
+MAX_DELAY_RATIO = 0.15  # part of its time to the latency target for which LOW may delay a request
 
 
 class TableGroups:
@@ -19,6 +21,25 @@
     def __init__(self) -> None:
         self.members: dict[int, list[RequestState]] = {}
 
+    def grant(self, request: RequestState, engines: list[EngineState], now: float) -> list[EngineState]:
+        """Returns the engines that LOW grants a request of a group with loads; none if it has to wait.
+
+        It goes where none of our loads is, when E says that this hurts no rival more than letting the rival
+        go first. Having waited its part of the time it goes anywhere, even to stand behind a load of ours.
+        """
+        request_class = request.request_class
+        if not request_class.is_load and not (
+            request_class.waits_for_loads and self.has_load(request.table_group)
+        ):
+            return engines
+        self.join(request)
+        free = [e for e in engines if request.table_group not in e.loading_groups]
+        if not (request.in_graph and free and self.has_least_e(request, now)):
+            max_delay_s = MAX_DELAY_RATIO * (request.target_at - request.received_at)
+            if not now - request.received_at > max_delay_s:
+                return []
+        return free or engines
+
     def join(self, request: RequestState) -> None:
         """Adds a request to its group's graph unless somebody in it would face more than K conflicts."""
         if request.in_graph:
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -183,7 +183,7 @@
         end = self.model.clock + seconds
         while True:
             cut = {id(s): self.model.takes[s["ref"]]["deadline"] - 0.01 for s in self.out()}
-            wakes = min(self.gateway.next_review_at, self.gateway.next_expiry_at)
+            wakes = min(self.gateway.timers.next_review_at, self.gateway.timers.next_expiry_at)
             at = min([wakes, *cut.values(), end])
             self.model.clock = max(at, self.model.clock)
             due = [s for s in self.out() if cut.get(id(s), end) <= self.model.clock]
