--- a/marbleworks/budgets/allocation_policy.py
+++ b/marbleworks/budgets/allocation_policy.py
@@ -61,24 +61,29 @@
         return now + allocation.orphan_timeout_s * (1 + DRIFT)
 
     def predecessors_settled_at(
-        self, allocation: BudgetAllocation, lease_s: float, age: float, now: float
+        self, allocation: BudgetAllocation, lease_s: float, age_s: float, now: float
     ) -> float:
-        """When all has ended that the predecessors of a member had which is that old, in seconds."""
-        return self.predecessor_settled_at(allocation, lease_s, now) - age * (1 - DRIFT)
+        """When all has ended that the predecessors of a member had which is that old."""
+        return self.predecessor_settled_at(allocation, lease_s, now) - age_s * (1 - DRIFT)
 
     def on_new_incarnation(
-        self, allocation: BudgetAllocation, account: MemberAccount, before: bool, lease_s: float, now: float
+        self,
+        allocation: BudgetAllocation,
+        account: MemberAccount,
+        has_reported: bool,
+        lease_s: float,
+        now: float,
     ) -> None:
         """Follows the process of an account by another of its name.
 
         Args:
             allocation: the budget.
             account: of the earlier process; becomes that of the new one.
-            before: whether the earlier process has reported in this term.
+            has_reported: whether the earlier process has reported in this term.
             lease_s: of this ledger.
             now: seconds.
         """
-        if before and account.max_units and now < account.expires_at:
+        if has_reported and account.max_units and now < account.expires_at:
             former = MemberAccount(account.held_units, dict(account.unconfirmed_grants))
             settled_at = self.predecessor_settled_at(allocation, lease_s, now)
             former.expires_at = min(account.expires_at, settled_at)
--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -9,7 +9,8 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+
+from gevent.lock import BoundedSemaphore
 
 from marbleworks.budgets.allocation import AllocationSnapshot
 from marbleworks.budgets.budget_catalog import SLOW_START_UNITS, Budget, BudgetCatalog
@@ -320,9 +321,9 @@
             granter, granter_incarnation, incarnation, clock(), engine_count, self.is_leaving
         )
 
-    def handle_answer(self, by: int, answer: BudgetAnswer) -> None:
+    def handle_answer(self, sender: int, answer: BudgetAnswer) -> None:
         """Takes over the grants of an answer, and has waiting requests and connections tried again."""
-        if not self.local_budgets.handle_answer(by, answer, clock()):
+        if not self.local_budgets.handle_answer(sender, answer, clock()):
             return
         if self.connection_budgets:
             for engine in self.dispatcher.engine_clients.values():
@@ -367,7 +368,7 @@
         engine_name: whose connections these are.
     """
 
-    def __init__(self, limit: Any, enforcer: BudgetEnforcer, engine_name: str) -> None:
+    def __init__(self, limit: BoundedSemaphore, enforcer: BudgetEnforcer, engine_name: str) -> None:
         self.limit = limit
         self.enforcer = enforcer
         self.engine_name = engine_name
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -273,17 +273,17 @@
             local.in_flight += 1
         return begin_by
 
-    def release(self, local: LocalBudget, now: float, doubt: bool) -> None:
+    def release(self, local: LocalBudget, now: float, may_still_run: bool) -> None:
         """Gives back a unit of a concurrency budget.
 
         Args:
             local: the budget.
             now: seconds.
-            doubt: the request may run on at its engine, which ends it within ABANDONED_ATTEMPT_TIMEOUT_S.
+            may_still_run: its engine may go on, and ends it within ABANDONED_ATTEMPT_TIMEOUT_S.
         """
         local.in_flight -= 1
         local.recent_releases.append(now)
-        if doubt:
+        if may_still_run:
             heapq.heappush(local.release_times, now + ABANDONED_ATTEMPT_TIMEOUT_S)
 
     def overdue(self, now: float) -> list[tuple[LocalBudget, int]]:
@@ -307,7 +307,7 @@
         incarnation: int,
         now: float,
         engine_count: int = 1,
-        leaving: bool = False,
+        is_leaving: bool = False,
     ) -> list[BudgetReport]:
         """Reports all that we hold, use or want.
 
@@ -317,7 +317,7 @@
             incarnation: ours.
             now: seconds.
             engine_count: engines over which a request that waits for several is counted.
-            leaving: nothing more is wanted.
+            is_leaving: nothing more is wanted.
         """
         if (granter, granter_incarnation) != self.granter:
             self.follow_granter(granter, granter_incarnation, 0)
@@ -327,14 +327,14 @@
             if local.is_left_behind:
                 local.arrivals = 0.0
             else:
-                usage = self._make_usage(budget_id, local, now, engine_count, leaving)
+                usage = self._make_usage(budget_id, local, now, engine_count, is_leaving)
                 if usage is not None:
                     usages.append(usage)
             local.forget_waiting()
         self.reported_at = now
         # The widest head that any of these reports can have.
         oldest_ms = max(LocalBudgets.age_ms(self, (), now), 1)
-        empty = self._report(incarnation, LAST_TOKEN, leaving, oldest_ms, ())
+        empty = self._report(incarnation, LAST_TOKEN, is_leaving, oldest_ms, ())
         parts = split_usages(usages, len(encode_report(0, empty))) if usages else [()]
         reports = []
         for part in parts:
@@ -342,13 +342,13 @@
             self.last_token += 1
             token = (incarnation & 0xFFFF) << 24 | self.last_token & 0xFFFFFF
             self.open_reports[token] = OpenReport(now, {usage.budget_id: usage.held_units for usage in part})
-            reports.append(self._report(incarnation, token, leaving, age_ms, part))
+            reports.append(self._report(incarnation, token, is_leaving, age_ms, part))
         while len(self.open_reports) > MAX_OPEN_REPORTS:
             del self.open_reports[next(iter(self.open_reports))]
         return reports
 
     def _report(
-        self, incarnation: int, token: int, leaving: bool, age_ms: int, usages: tuple[BudgetUsage, ...]
+        self, incarnation: int, token: int, is_leaving: bool, age_ms: int, usages: tuple[BudgetUsage, ...]
     ) -> BudgetReport:
         return BudgetReport(
             incarnation=incarnation,
@@ -357,13 +357,13 @@
             token=token,
             config_version=self.config_version,
             config_digest=self.config_digest,
-            is_leaving=leaving,
+            is_leaving=is_leaving,
             age_ms=age_ms,
             usages=usages,
         )
 
     def _make_usage(
-        self, budget_id: int, local: LocalBudget, now: float, engine_count: int, leaving: bool
+        self, budget_id: int, local: LocalBudget, now: float, engine_count: int, is_leaving: bool
     ) -> BudgetUsage | None:
         """None where there is nothing to report."""
         if now >= local.lease_expires_at and local.leased_units:
@@ -377,7 +377,7 @@
         if not local.has_news(held, used):
             return None
         weight = local.waiting_weight / len(local.waiting) if local.waiting else 1.0
-        wanted = 0 if leaving else local.estimate_demand(now, now - self.reported_at, engine_count)
+        wanted = 0 if is_leaving else local.estimate_demand(now, now - self.reported_at, engine_count)
         # An earlier granter counted an expired lease for that long at least.
         is_counted = now < local.lease_expires_at + local.budget.settle_s * (1 - 2 * DRIFT)
         lapsed = local.lapsed_units if is_counted and not local.leased_units else 0
@@ -393,7 +393,7 @@
             held_or_lapsed_units=max(held, lapsed),
         )
 
-    def age_ms(self, entries: tuple[BudgetUsage, ...], now: float) -> int:
+    def age_ms(self, usages: tuple[BudgetUsage, ...], now: float) -> int:
         """Time since we began or joined, as a report of these usages says it."""
         return max(int(1000.0 * (now - self.joined_at)), 0)
 
@@ -413,9 +413,9 @@
             local.owes_report = True
         self.open_reports.clear()
 
-    def handle_answer(self, by: int, answer: BudgetAnswer, now: float) -> bool:
+    def handle_answer(self, sender: int, answer: BudgetAnswer, now: float) -> bool:
         """Returns whether it was an answer to us, of the present granter in its present term."""
-        if (by, answer.leader_incarnation) != self.granter:
+        if (sender, answer.leader_incarnation) != self.granter:
             return False
         if answer.token not in self.open_reports or answer.leader_term < self.granter_term:
             return False
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -247,11 +247,11 @@
             )
             pocket.waiting, pocket.waiting_weight = {""} if sums.wanted_units else set(), sums.priority_weight
 
-    def age_ms(self, entries: tuple[BudgetUsage, ...], now: float) -> int:
+    def age_ms(self, usages: tuple[BudgetUsage, ...], now: float) -> int:
         """0: we don't know what leaders before us gave out, and what the cell was leased is to stand."""
-        leases = [self.budgets[entry.budget_id] for entry in entries]
+        leases = [self.budgets[entry.budget_id] for entry in usages]
         sure = all(isinstance(lease, Lease) and lease.sure for lease in leases)
-        return max(LocalBudgets.age_ms(self, entries, now), 1) if sure else 0
+        return max(LocalBudgets.age_ms(self, usages, now), 1) if sure else 0
 
     def heard(self, by: int, said: Welcome | BudgetAnswer, now: float) -> bool:
         """Whether it was meant for us."""
