--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -129,10 +129,10 @@
 @peers.command("show")
 def peers_show(address: str = ADDRESS) -> None:
     """Print a router's view, doubts and rights as a table."""
-    from marbleworks.membership.report import HealthQueryError, asked, table
+    from marbleworks.membership.report import HealthQueryError, format_view, query_health
 
     try:
-        for line in table(asked(address)):
+        for line in format_view(query_health(address)):
             typer.echo(line)
     except HealthQueryError as err:
         raise _say_and_exit(f"{address}: {err}") from None
@@ -145,10 +145,10 @@
     times: int = typer.Option(0, min=0, help="So many looks; 0: until interrupted."),
 ) -> None:
     """Print a line for each change of a router's view or standing."""
-    from marbleworks.membership.report import HealthQueryError, watched
+    from marbleworks.membership.report import HealthQueryError, watch_view
 
     try:
-        for line in watched(address, every, times):
+        for line in watch_view(address, every, times):
             typer.echo(line)
     except HealthQueryError as err:
         raise _say_and_exit(f"{address}: {err}") from None
--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -20,7 +20,7 @@
 from marbleworks.budgets.budget_catalog import HIGHEST, Budget
 from marbleworks.budgets.codec import Answer, Entry, Grant, Report
 from marbleworks.budgets.fair_division import Need, divided
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 EVERY = 0.1  # seconds between divisions of one budget
 QUIET = 1.0  # seconds without a report after which a router's need counts no more
@@ -110,11 +110,11 @@
 
     def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
         """When all is over that a member had which is followed by another at `now`."""
-        return now + book.quiet * (1 + DRIFT)
+        return now + book.quiet * (1 + MAX_CLOCK_DRIFT)
 
     def over_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
         """When all is over that those had whom a member has followed which is that old."""
-        return self.ended(book, lease, now) - age * (1 - DRIFT)
+        return self.ended(book, lease, now) - age * (1 - MAX_CLOCK_DRIFT)
 
     def follow(
         self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
@@ -227,7 +227,7 @@
 
     def _settled(self, book: BudgetAllocation, now: float) -> float:
         """When all has ended that is given by then and not renewed."""
-        return now + (self.lease + book.settle) * (1 + DRIFT)
+        return now + (self.lease + book.settle) * (1 + MAX_CLOCK_DRIFT)
 
     def free(self, book: BudgetAllocation, now: float) -> int:
         return self.backing.units(book, now) - self._unknown(book, now) - book.total
--- a/marbleworks/budgets/codec.py
+++ b/marbleworks/budgets/codec.py
@@ -11,9 +11,16 @@
 
 import msgpack
 
-from marbleworks.membership.codec import MOST, Format, count, read_strictly, seal, unseal
-
-FORMAT = Format(0xD2, 1, 1)
+from marbleworks.membership.codec import (
+    MAX_DATAGRAM_BYTES,
+    DatagramFormat,
+    checked_counter,
+    seal,
+    unseal,
+    wrap_decode_errors,
+)
+
+FORMAT = DatagramFormat(0xD2, 1, 1)
 ENTRIES = 14  # of a report at most
 HEADS = 72  # bytes of a report without its entries, at most
 WORTH = 100.0  # parts of one in which worth is told
@@ -110,19 +117,21 @@
 def decode(group: int, data: bytes) -> Report | Answer:
     """Raises Unreadable."""
     fields = unseal(FORMAT, group, data)
-    with read_strictly():
+    with wrap_decode_errors():
         rows = fields.get(9, ())
         if len(rows) > ENTRIES:
             raise ValueError
         if fields[0] == 1:
-            grants = tuple(Grant(*(count(value) for value in row[:4])) for row in rows)
-            return Answer(count(fields[1]), count(fields[6]), count(fields[2]), grants)
+            grants = tuple(Grant(*(checked_counter(value) for value in row[:4])) for row in rows)
+            return Answer(
+                checked_counter(fields[1]), checked_counter(fields[6]), checked_counter(fields[2]), grants
+            )
         if fields[0] != 0:
             raise ValueError
-        entries = tuple(_entry([count(value) for value in row[:9]]) for row in rows)
-        start, to_start, reign, token = (count(fields[key]) for key in (1, 3, 6, 2))
-        version, digest, leaving = count(fields[4]), count(fields[5]), bool(fields.get(7))
-        age = count(fields[8])
+        entries = tuple(_entry([checked_counter(value) for value in row[:9]]) for row in rows)
+        start, to_start, reign, token = (checked_counter(fields[key]) for key in (1, 3, 6, 2))
+        version, digest, leaving = checked_counter(fields[4]), checked_counter(fields[5]), bool(fields.get(7))
+        age = checked_counter(fields[8])
         return Report(start, to_start, reign, token, version, digest, leaving, age, entries)
 
 
@@ -136,7 +145,7 @@
     part, size = list[Entry](), 0
     for entry in entries:
         takes = len(msgpack.packb(_row(entry)))
-        if len(part) >= ENTRIES or size + takes > MOST - HEADS:
+        if len(part) >= ENTRIES or size + takes > MAX_DATAGRAM_BYTES - HEADS:
             yield tuple(part)
             part, size = [], 0
         part.append(entry)
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -14,7 +14,7 @@
 
 from marbleworks.budgets.budget_catalog import DOUBT, Budget
 from marbleworks.budgets.codec import Answer, Entry, Report, parts
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 PACE_OVER = 2.0  # seconds over which the pace of ends is counted
 FLOWS_OVER = 0.3  # seconds over which what comes is counted
@@ -120,7 +120,7 @@
             if pocket is None:
                 base = self._base(whole, whole.units)
                 self.pockets[number] = self.POCKET(
-                    whole, whole.units, base, self.began + whole.quiet * (1 + DRIFT)
+                    whole, whole.units, base, self.began + whole.quiet * (1 + MAX_CLOCK_DRIFT)
                 )
             elif pocket.whole != whole:
                 pocket.whole, pocket.agreed = whole, min(pocket.agreed, whole.units)
@@ -139,7 +139,7 @@
         begin_by = math.inf if pocket.used(now) < own else pocket.until
         if pocket.whole.span:
             for _ in range(units):
-                heapq.heappush(pocket.leaving, now + pocket.whole.span * (1 + DRIFT))
+                heapq.heappush(pocket.leaving, now + pocket.whole.span * (1 + MAX_CLOCK_DRIFT))
                 pocket.ends.append(now + pocket.whole.span)
         else:
             pocket.out += 1
@@ -158,7 +158,7 @@
         found = []
         for pocket in self.pockets.values() if self.kept is not None else ():
             beyond = pocket.out - pocket.base
-            ends = pocket.until + (pocket.whole.settle - DOUBT) * (1 - 2 * DRIFT)
+            ends = pocket.until + (pocket.whole.settle - DOUBT) * (1 - 2 * MAX_CLOCK_DRIFT)
             if beyond > 0 and not pocket.whole.span and now >= ends:
                 found.append((pocket, beyond))
         return found
@@ -188,7 +188,7 @@
                 worth = pocket.worth / waits if waits else 1.0
                 want = 0 if leaving else pocket.wanted(now, now - self.told_at, share)
                 # Whoever divided before counted a part that ran out for so long at least.
-                counted = now < pocket.until + pocket.whole.settle * (1 - 2 * DRIFT)
+                counted = now < pocket.until + pocket.whole.settle * (1 - 2 * MAX_CLOCK_DRIFT)
                 had = max(held, pocket.lost if counted and not pocket.units else 0)
                 whole, base = pocket.whole.units, pocket.base
                 entries.append(Entry(number, pocket.serial, held, used, want, worth, whole, base, had))
@@ -232,7 +232,7 @@
             self.reign = answer.reign
             self._anew()
             return True
-        until = told_at + self.lease * (1 - DRIFT)
+        until = told_at + self.lease * (1 - MAX_CLOCK_DRIFT)
         for grant in answer.grants:
             pocket = self.pockets.get(grant.number)
             if pocket is None or grant.serial < pocket.serial:
--- a/marbleworks/budgets/report.py
+++ b/marbleworks/budgets/report.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from marbleworks.membership.report import HealthQueryError, aligned, asked
+from marbleworks.membership.report import HealthQueryError, format_table, query_health
 
 OWN = ("budget", "whole", "base", "part", "used", "holds for")
 BOOKS = ("budget", "whole", "held", "used", "free", "unreachable", "by router")
@@ -19,7 +19,7 @@
     views: list[dict[str, Any]] = []
     for address in addresses:
         try:
-            views.append(asked(address, "budgets"))
+            views.append(query_health(address, "budgets"))
         except HealthQueryError as err:
             yield f"{address}: {err}"
     if not views:
@@ -29,11 +29,11 @@
             f"router {view['me']}: version {view['version']}, asks router {view['divider']};"
             f" refused {view['refused']}, called off {view['called off']}"
         )
-        yield from aligned(OWN, view["rows"])
+        yield from format_table(OWN, view["rows"])
         yield ""
     books = [view for view in views if view["divides"] == "yes"]
     for view in books:
         yield f"the books of router {view['me']}:"
-        yield from aligned(BOOKS, view["books"])
+        yield from format_table(BOOKS, view["books"])
     if not books:
         yield f"none of these divides; router {views[0]['divider']} does, or nobody"
--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -14,7 +14,7 @@
 from marbleworks.budgets.codec import FORMAT, Answer, Report, decode, encode_answer, encode_report
 from marbleworks.budgets.enforcement import BudgetEnforcer, told_of
 from marbleworks.budgets.local_budget import LocalBudgets
-from marbleworks.membership.codec import DatagramDecodeError, group_of
+from marbleworks.membership.codec import DatagramDecodeError, group_hash
 from marbleworks.membership.node import LeaderRef
 from marbleworks.net.actor import LOG, Actor, clock
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
@@ -50,8 +50,8 @@
         self.holder = BudgetEnforcer(desk, plan, purse, self._hurry)
         if peers is None:
             return
-        self.group = group_of(f"budgets {self.count}")
-        self.tell = peers.register(DatagramKind("budgets", FORMAT.mark, terms["pace"]), self._came)
+        self.group = group_hash(f"budgets {self.count}")
+        self.tell = peers.register(DatagramKind("budgets", FORMAT.magic, terms["pace"]), self._came)
         self.post(self.on_timer)
 
     def _came(self, peer: int, data: bytes) -> None:
@@ -67,16 +67,16 @@
 
     def heeds(self, heed: LeaderRef) -> None:
         """Whom the group's divider is, and whether we are it; posted by the steward."""
-        if heed.right_until <= clock():
+        if heed.leader_until <= clock():
             self.ledger = None
-        elif self.ledger is None or heed.reign != self.heed.reign:
+        elif self.ledger is None or heed.term != self.heed.term:
             self.ledgers += 1  # routers tell one from the next by this number
             kept, lease = self.terms["kept"], self.terms["lease"]
             self.ledger = AllocationLedger(
-                self.me, self.count, heed.start, self.ledgers, kept, lease, clock(), self.seen
+                self.me, self.count, heed.generation, self.ledgers, kept, lease, clock(), self.seen
             )
             self.ledger.planned(self.wholes)
-        if heed.yielded and not self.heed.yielded:
+        if heed.superseded and not self.heed.superseded:
             self.desk.post(self.holder.leave)
         self.heed = heed
 
@@ -87,14 +87,14 @@
     # In the desk's greenlet.
 
     def _report(self, heed: LeaderRef) -> None:
-        if heed.start == 0 or heed.divider < 0 or heed.yielded:
+        if heed.generation == 0 or heed.leader < 0 or heed.superseded:
             return
         self.post(self._planned, self.holder.wholes())
-        for report in self.holder.report(heed.divider, heed.divider_start, heed.start):
-            if heed.divider == self.me:
+        for report in self.holder.report(heed.leader, heed.leader_generation, heed.generation):
+            if heed.leader == self.me:
                 self.post(self._reported, self.me, report)
             else:
-                self.tell(encode_report(self.group, report), heed.divider)
+                self.tell(encode_report(self.group, report), heed.leader)
 
     # In ours again.
 
@@ -124,7 +124,7 @@
 
     def _reported(self, peer: int, report: Report) -> None:
         now = clock()
-        if self.ledger is None or now >= self.heed.right_until:
+        if self.ledger is None or now >= self.heed.leader_until:
             return
         answer = self.ledger.reported(peer, report, now)
         if answer is not None:
@@ -149,11 +149,11 @@
     def shown(self) -> dict[str, Any]:
         """As `budgets show` prints it: texts and lists of texts."""
         heed = self.heed
-        divides = self.ledger is not None and clock() < heed.right_until
+        divides = self.ledger is not None and clock() < heed.leader_until
         shown = self.ledger.shown(clock()) if divides and self.ledger is not None else {}
         return {
             "me": str(self.me),
-            "divider": str(heed.divider),
+            "divider": str(heed.leader),
             "divides": "yes" if divides else "no",
             "version": str(self.holder.plan.version),
             "refused": str(self.holder.refused),
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -26,8 +26,8 @@
 from marbleworks.budgets.codec import FORMAT, Answer, Entry, Report
 from marbleworks.budgets.codec import decode as decode_budgets
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
-from marbleworks.membership.codec import count, read_strictly, seal, unseal
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.codec import checked_counter, seal, unseal, wrap_decode_errors
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 SILENT = 1.2  # seconds without an answer after which a leader looks for whoever has the right above
 ASKS = 0.2  # seconds between its questions for that
@@ -70,11 +70,11 @@
 def decode(group: int, data: bytes) -> Said:
     """Also what is told of budgets as it is among routers. Raises Unreadable."""
     fields = unseal(FORMAT, group, data)
-    with read_strictly():
+    with wrap_decode_errors():
         if fields[0] == 2:
-            return Hello(*(count(fields[key]) for key in (3, 4, 1, 6, 2)))
+            return Hello(*(checked_counter(fields[key]) for key in (3, 4, 1, 6, 2)))
         if fields[0] == 3:
-            return Welcome(*(count(fields[key]) for key in (1, 6, 2, 5)))
+            return Welcome(*(checked_counter(fields[key]) for key in (1, 6, 2, 5)))
     return decode_budgets(group, data)
 
 
@@ -91,7 +91,7 @@
     One that is followed in its place may live on in another cell: its parts run out by their leases."""
 
     def ended(self, book: BudgetAllocation, lease: float, now: float) -> float:
-        return now + (lease + book.settle) * (1 + DRIFT)
+        return now + (lease + book.settle) * (1 + MAX_CLOCK_DRIFT)
 
 
 class Cells(Members):
--- a/marbleworks/cells/home_leases.py
+++ b/marbleworks/cells/home_leases.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 MOST_PLANS = 16  # adopted since one that was clear, that a holder remembers
 MOST_ASKS = 64  # that may be out
@@ -96,7 +96,7 @@
     def __init__(self, number: int, now: float, lease: float, settle: float) -> None:
         self.newest, self.lease, self.settle = number, lease, settle
         # What a forerunner promised, and what was begun by it, is over then.
-        self.grown = now + (lease + settle) * (1 + DRIFT)
+        self.grown = now + (lease + settle) * (1 + MAX_CLOCK_DRIFT)
         self.accounts: dict[int, list[_Account]] = {}  # by holder: the last is of its present process
 
     def adopted(self, number: int) -> None:
@@ -118,7 +118,7 @@
             # Without this who never learns a newer plan keeps its homes for good.
             return self._refused(ask, now)
         span = min(self.lease, until - now)
-        account.until = max(account.until, now + span * (1 + DRIFT))
+        account.until = max(account.until, now + span * (1 + MAX_CLOCK_DRIFT))
         clear = self.newest if self.clear(now) else 0
         return Grant(ask.start, ask.token, span, clear, self.newest, self._wait(now))
 
@@ -129,7 +129,7 @@
         return now >= self.grown and settled
 
     def _over(self, account: _Account) -> float:
-        return account.until + self.settle * (1 + DRIFT)
+        return account.until + self.settle * (1 + MAX_CLOCK_DRIFT)
 
     def _forget(self, now: float) -> None:
         for who, accounts in list(self.accounts.items()):
@@ -200,7 +200,7 @@
             return  # to an earlier process of ours, or older than any that we remember
         self.live(now)  # forgets what a lapse ends, before the lease is a new one
         self.wait_until = now + grant.wait
-        until = self.out[grant.token] + grant.span * (1 - DRIFT)
+        until = self.out[grant.token] + grant.span * (1 - MAX_CLOCK_DRIFT)
         if not grant.span or until <= now:
             return
         self.until = max(self.until, until)
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -38,7 +38,7 @@
 from marbleworks.lab.purses import ENDS
 from marbleworks.lab.report import Report, percentile
 from marbleworks.lab.slopes import Slope, fitted
-from marbleworks.membership.codec import State
+from marbleworks.membership.messages import MemberState
 
 CELL, SPARE = 20, 2  # routers in a cell, and places for more
 MACHINES = 7
@@ -229,23 +229,23 @@
             return
         now = self.clock()
         with spent.counted():
-            heed = peer.fellow.heed(peer.clock())
-            if heed.right_until <= peer.clock():
+            heed = peer.fellow.leader_ref(peer.clock())
+            if heed.leader_until <= peer.clock():
                 router.ledger = router.lessee = None
-            elif router.ledger is None or heed.reign != router.reign:
-                self._leads(c, place, router, heed.start, heed.reign)
+            elif router.ledger is None or heed.term != router.reign:
+                self._leads(c, place, router, heed.generation, heed.term)
             if turn % up == place % up and router.lessee is not None:
                 for machine, said in router.lessee.tells(now):
                     data = encoded(said)
                     spent.sent += len(data)
                     self._up(c, machine, data, partial(self._heard_above, c, place, router))
-        if turn % every == place % every and heed.start and heed.divider >= 0 and not heed.yielded:
+        if turn % every == place % every and heed.generation and heed.leader >= 0 and not heed.superseded:
             with spent.counted():
-                reports = router.purse.reports(heed.divider, heed.divider_start, heed.start, now)
+                reports = router.purse.reports(heed.leader, heed.leader_generation, heed.generation, now)
                 told = [encode_report(NUMBER, report) for report in reports]
-            spent.sent += sum(map(len, told)) if heed.divider != place else 0
+            spent.sent += sum(map(len, told)) if heed.leader != place else 0
             for data in told:
-                self.mail.append(partial(self._reported, c, place, heed.divider, data))
+                self.mail.append(partial(self._reported, c, place, heed.leader, data))
 
     def _leads(self, c: int, place: int, router: Router, start: int, reign: int) -> None:
         now, router.reign = self.clock(), reign
@@ -267,7 +267,7 @@
 
     def _reported(self, c: int, place: int, to: int, data: bytes) -> None:
         leader, peer = self.at[c].get(to), self.groups[c].routers[to]
-        if leader is None or leader.ledger is None or not peer.alive or not peer.standing().may_divide:
+        if leader is None or leader.ledger is None or not peer.alive or not peer.standing().is_leader:
             return
         spent = self.spents[c][to]
         with spent.counted():
@@ -295,7 +295,7 @@
 
     def _comes_up(self, c: int, machine: int, data: bytes, back: Callable[[bytes, int], None]) -> None:
         lessor, peer = self.lessors.get(machine), self.level.routers[machine]
-        if lessor is None or not peer.alive or not peer.standing().may_divide or c in self.cut:
+        if lessor is None or not peer.alive or not peer.standing().is_leader or c in self.cut:
             return
         spent = self.machines[machine]
         with spent.counted():
@@ -311,7 +311,7 @@
 
     def _heard_above(self, c: int, place: int, router: Router, data: bytes, by: int) -> None:
         peer = self.groups[c].routers[place]
-        if router.lessee is not None and peer.alive and peer.standing().may_divide and c not in self.cut:
+        if router.lessee is not None and peer.alive and peer.standing().is_leader and c not in self.cut:
             with self.spents[c][place].counted():
                 said = decode(NUMBER, data)
                 assert isinstance(said, Welcome | Answer)
@@ -319,13 +319,21 @@
 
     def _machines(self) -> None:
         for machine, peer in enumerate(self.level.routers):
-            heed = peer.fellow.heed(peer.clock())
-            if not peer.alive or heed.right_until <= peer.clock():
+            heed = peer.fellow.leader_ref(peer.clock())
+            if not peer.alive or heed.leader_until <= peer.clock():
                 self.lessors.pop(machine, None)
-            elif machine not in self.lessors or self.lessors[machine].ledger.reign != heed.reign:
+            elif machine not in self.lessors or self.lessors[machine].ledger.reign != heed.term:
                 seen = {self.whole.number: {self.whole.units}}
                 self.lessors[machine] = lessor = BudgetLeaseGranter(
-                    machine, self.cells, self.shares, heed.start, heed.reign, KEPT, ABOVE, self.clock(), seen
+                    machine,
+                    self.cells,
+                    self.shares,
+                    heed.generation,
+                    heed.term,
+                    KEPT,
+                    ABOVE,
+                    self.clock(),
+                    seen,
                 )
                 lessor.ledger.planned([lifted(self.whole, LEASE)])
 
@@ -337,7 +345,7 @@
 
     def alive(self, c: int, place: int) -> bool:
         peer = self.groups[c].routers[place]
-        return peer.alive and peer.standing().may_divide
+        return peer.alive and peer.standing().is_leader
 
     def kill(self, c: int, place: int) -> Router:
         self.groups[c].kill(place)
@@ -483,7 +491,7 @@
     """Seconds since then until each of those knew that router to be gone; 10 for one that does not."""
     first: dict[int, float] = {}
     for when, by, change in group.changes:
-        if change.number == number and change.state is State.GONE:
+        if change.router == number and change.state is MemberState.DEAD:
             first.setdefault(by, when - at)
     return [first.get(n, 10.0) for n in there]
 
--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -37,7 +37,7 @@
     product,
     slope,
 )
-from marbleworks.membership.codec import MOST_ROUTERS
+from marbleworks.membership.codec import MAX_ROUTERS
 
 FLAT, CELLS = Variant.FLAT, Variant.CELLS
 
@@ -129,7 +129,7 @@
     "SWIM among all, one lease by votes of a majority",
     Status.WORKS,
     PEERS,
-    f"cells: a router knows its cell alone; a datagram numbers {MOST_ROUTERS:,} routers at most",
+    f"cells: a router knows its cell alone; a datagram numbers {MAX_ROUTERS:,} routers at most",
 )
 IN_CELL = Carried(
     "the same in each cell; the plan and who makes it are decided in cells/, joined to no router",
--- a/marbleworks/lab/explore.py
+++ b/marbleworks/lab/explore.py
@@ -17,8 +17,8 @@
 from typing import Any, Protocol, TypeVar
 
 from marbleworks.lab.group import Group, Terms
-from marbleworks.membership.codec import Message
-from marbleworks.membership.leader_election import DRIFT, LeaderElection
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT, LeaderElection
+from marbleworks.membership.messages import Message
 
 SLACK = 1e-9
 
@@ -37,7 +37,7 @@
         raise Broken(f"at {group.now:.3f} {used:.4f} of the whole are used")
 
 
-def walk(seed: int, events: int, count: int = 4, uneven: float = DRIFT / 2) -> int:
+def walk(seed: int, events: int, count: int = 4, uneven: float = MAX_CLOCK_DRIFT / 2) -> int:
     """A walk of so many events with faults drawn from the seed; the number of events. Raises Broken."""
     chance = random.Random(seed)
     group = Group(count, seed, Terms(term=1.5, lease=1.0), uneven)
@@ -82,9 +82,12 @@
     acts: tuple[str, ...] = ()
 
     def check(self) -> None:
-        stands = [r.standing(r.count, r.count, now) for r, now in zip(self.rights, self.now, strict=True)]
-        held = [r.me for r, s in zip(self.rights, stands, strict=True) if s.may_divide]
-        used = sum(s.part for s in stands)
+        stands = [
+            r.partition_status(r.router_count, r.router_count, now)
+            for r, now in zip(self.rights, self.now, strict=True)
+        ]
+        held = [r.router_index for r, s in zip(self.rights, stands, strict=True) if s.is_leader]
+        used = sum(s.quota_share for s in stands)
         if len(held) > 1 or used > 1.0 + SLACK:
             raise Broken(f"{held} divide and {used:.3f} is used after {', '.join(self.acts)}")
 
@@ -109,7 +112,7 @@
 
                 def rings(s: Small, n: int = n, seen: list[int] = seen) -> None:
                     r = s.rights[n]
-                    r.next = -math.inf
+                    r.next_round_at = -math.inf
                     s.flying += [(n, to, m) for to, m in r.tick(seen, s.starts[n], s.now[n])]
 
                 if len(self.flying) < 8:
@@ -118,21 +121,23 @@
             def anew(s: Small, n: int = n) -> None:
                 old = s.rights[n]
                 s.starts = [start + (i == n) for i, start in enumerate(s.starts)]
-                s.rights[n] = LeaderElection(n, count, s.now[n], old.term, old.lease, old.kept)
+                s.rights[n] = LeaderElection(
+                    n, count, s.now[n], old.vote_duration_s, old.lease_s, old.reserved_share
+                )
 
             yield f"{n} starts anew", anew
         for i in range(len(self.flying)):
 
             def comes(s: Small, i: int = i, twice: bool = False) -> None:
                 sender, to, message = s.flying[i] if twice else s.flying.pop(i)
-                said = s.rights[to].heard(sender, message, s.starts[to], s.now[to])
+                said = s.rights[to].receive(sender, message, s.starts[to], s.now[to])
                 s.flying += [(to, who, m) for who, m in said]
 
             def lost(s: Small, i: int = i) -> None:
                 s.flying.pop(i)
 
             sender, to, message = self.flying[i]
-            name = f"{sender}>{to} {message.what.name}"
+            name = f"{sender}>{to} {message.message_type.name}"
             yield name, comes
             yield name + " again", partial(comes, twice=True)
             yield name + " lost", lost
@@ -140,7 +145,10 @@
 
 def stroll(seed: int, acts: int, count: int = 3) -> int:
     """A random walk of so many acts, which favours what moves a group on. Raises Broken."""
-    chance, paces = random.Random(seed), [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0][:count]
+    chance, paces = (
+        random.Random(seed),
+        [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0, 1.0, 1.0][:count],
+    )
     lease = chance.choice([0.3, 1.0])
     small = Small(
         [LeaderElection(n, count, 0.0, 1.0, lease, 0.25) for n in range(count)], [0.0] * count, [1] * count
@@ -166,7 +174,7 @@
 def exhaust(depth: int, count: int = 2, warm: int = 0, step: float = 0.7) -> int:
     """Every order of acts to that depth, from a group at rest or one that has divided before (warm: rounds of
     asking and time, all delivered); the number of states. Raises Broken."""
-    paces = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count]
+    paces = [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0][:count]
     first = Small(
         [LeaderElection(n, count, 0.0, 1.0, 1.0, 0.25) for n in range(count)], [0.0] * count, [1] * count
     )
@@ -175,9 +183,9 @@
         first.flying += [(0, to, m) for to, m in first.rights[0].tick(list(range(count)), 1, first.now[0])]
         while first.flying:
             sender, to, message = first.flying.pop(0)
-            said = first.rights[to].heard(sender, message, 1, first.now[to])
+            said = first.rights[to].receive(sender, message, 1, first.now[to])
             first.flying += [(to, who, m) for who, m in said]
-        first.rights[0].next = -math.inf
+        first.rights[0].next_round_at = -math.inf
         first.check()
     return every_order(first, depth, lambda small: small.moves(paces, step))
 
--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -17,7 +17,7 @@
 
 from marbleworks.lab.group import Group, Router, Weather
 from marbleworks.lab.meter import OWN, PACE, state, uncollected
-from marbleworks.membership.codec import State
+from marbleworks.membership.messages import MemberState
 
 LOOK, SOON = 0.02, 0.002  # seconds between looks at whether a group has come to something, or has started
 WITHIN = 30.0  # seconds in which it must
@@ -76,7 +76,12 @@
         number = self.divider()
         rights = self.routers[number].rights if number >= 0 else None
         there = {router.number for router in self.living()}
-        return rights is not None and rights.active and not rights.changing and set(rights.place_of) == there
+        return (
+            rights is not None
+            and rights.division_active
+            and not rights.division_pending
+            and set(rights.index_by_router) == there
+        )
 
 
 def started(count: int, seed: int) -> tuple[Counted, float, float]:
@@ -93,8 +98,8 @@
     all agree by now, and here both count as over."""
     group.until(lambda: group.agreed() and group.divided())
     for router in group.routers:
-        router.members.spread.clear()
-        for member in router.members.members.values():
+        router.members.gossip.transmissions.clear()
+        for member in router.members.view.members.values():
             member.differs_since = None
     group.run(SETTLES)
 
@@ -145,7 +150,7 @@
         group.until(group.agreed)
         gone: dict[int, float] = {}
         for when, by, change in group.changes:
-            if change.number == number and change.state is State.GONE:
+            if change.router == number and change.state is MemberState.DEAD:
                 gone.setdefault(by, when - at)
         known.append(statistics.median(gone.values()))
         group.until(group.divided)
@@ -155,7 +160,7 @@
         router, everyone = group.routers[number], list(range(group.count))
 
         def knows_all(router: Router = router, everyone: list[int] = everyone) -> bool:
-            return router.members.living() == everyone
+            return router.members.view.alive_routers() == everyone
 
         group.until(knows_all)
         starts.append(group.sent_bytes[number] - sent + group.heard_bytes[number] - heard)
--- a/marbleworks/lab/group.py
+++ b/marbleworks/lab/group.py
@@ -14,9 +14,10 @@
 from typing import Any
 
 from marbleworks.membership.codec import decode, encode
-from marbleworks.membership.failure_detector import Out
-from marbleworks.membership.leader_election import Standing
+from marbleworks.membership.messages import OutgoingMessage
 from marbleworks.membership.node import MembershipNode
+from marbleworks.membership.options import MembershipOptions
+from marbleworks.membership.status import PartitionStatus
 
 GROUP = 7
 
@@ -29,6 +30,9 @@
     lease: float = 1.6
     kept: float = 0.25
 
+    def options(self) -> MembershipOptions:
+        return MembershipOptions.from_section({"group": "lab", "pace": 1e6} | asdict(self))
+
 
 @dataclass
 class Weather:
@@ -48,9 +52,9 @@
         self.begin()
 
     def begin(self) -> None:
-        seed, terms = self.group.chance.getrandbits(32), asdict(self.group.terms)
-        self.fellow = MembershipNode(self.number, self.group.count, seed, self.clock(), terms)
-        self.members, self.rights = self.fellow.members, self.fellow.rights
+        seed, options = self.group.chance.getrandbits(32), self.group.terms.options()
+        self.fellow = MembershipNode(self.number, self.group.count, seed, self.clock(), options)
+        self.members, self.rights = self.fellow.failure_detector, self.fellow.election
         self.wake = 0
 
     def clock(self) -> float:
@@ -61,13 +65,13 @@
         self.settle()
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.say(self.fellow.heard(peer, decode(GROUP, self.group.count, data), self.clock()))
+        self.say(self.fellow.receive(peer, decode(GROUP, self.group.count, data), self.clock()))
         self.settle()
 
     def settle(self) -> None:
-        for change in self.fellow.changes():
+        for change in self.fellow.take_changes():
             self.group.changed(self.number, change)
-        due = self.fellow.due()
+        due = self.fellow.next_due()
         self.wake += 1
         at = max((due - 1000.0) / self.pace, self.group.now + 0.005) + self.slow * self.group.chance.random()
         self.group.at(max(at, self.paused_until), self._rung, self.wake)
@@ -76,16 +80,16 @@
         if self.alive and wake == self.wake:
             self.ring()
 
-    def say(self, out: Out) -> None:
+    def say(self, out: list[OutgoingMessage]) -> None:
         for to, message in out:
             self.group.send(self.number, to, encode(GROUP, message))
 
     def part(self) -> float:
         """What it may use of the whole, at this moment."""
-        return self.standing().part if self.alive else 0.0
+        return self.standing().quota_share if self.alive else 0.0
 
-    def standing(self) -> Standing:
-        return self.fellow.standing(self.clock())
+    def standing(self) -> PartitionStatus:
+        return self.fellow.partition_status(self.clock())
 
 
 class Group:
@@ -182,11 +186,11 @@
     def agreed(self) -> bool:
         """All that live have all that live in their view, and no other."""
         there = [r.number for r in self.living()]
-        return all(r.members.living() == there for r in self.living())
+        return all(r.members.view.alive_routers() == there for r in self.living())
 
     def used(self) -> float:
         """Of the whole, by all routers together, at this moment."""
         return sum(r.part() for r in self.routers if r.alive)
 
     def dividers(self) -> list[int]:
-        return [r.number for r in self.routers if r.alive and r.standing().may_divide]
+        return [r.number for r in self.routers if r.alive and r.standing().is_leader]
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -33,7 +33,7 @@
 from marbleworks.lab.slopes import Slope, fitted
 from marbleworks.lab.stage import settings, until
 from marbleworks.lab.standins import HOST, configuration, dns_answer
-from marbleworks.membership.codec import State
+from marbleworks.membership.messages import MemberState
 from marbleworks.net.discovery import MOST_ANSWER
 
 MOST_PROCESSES, MOST_ROUTERS = 6, 200  # at once
@@ -615,7 +615,11 @@
     run, rows = measured(seed, quick), list[dict[str, Any]]()
     for m in run.groups[-2:]:
         group = Group(m.count, seed)
-        while not group.agreed() or not group.dividers() or any(r.members.spread for r in group.routers):
+        while (
+            not group.agreed()
+            or not group.dividers()
+            or any(r.members.gossip.transmissions for r in group.routers)
+        ):
             group.run(1.0)
         bytes_before, sent, at = list(group.sent_bytes), group.sent, group.now
         group.run(10.0)
@@ -652,7 +656,7 @@
     while len(first) < living and group.now < at + 20.0:
         group.run(0.5)
         for when, by, change in group.changes:
-            if change.number == number and change.state is State.GONE:
+            if change.router == number and change.state is MemberState.DEAD:
                 first.setdefault(by, when - at)
     group.start(number)
     while not group.agreed():
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -37,7 +37,8 @@
 # Whatever a router imports late is here before the first begins, so that memory grows by routers alone.
 from marbleworks.budgets import service as _treasurer  # noqa: F401
 from marbleworks.budgets.codec import FORMAT as BUDGETS
-from marbleworks.membership.codec import MARK
+from marbleworks.membership.codec import MAGIC
+from marbleworks.membership.report import ROLE_TEXTS
 from marbleworks.net import server as serve
 from marbleworks.net.datagrams import LOAD_UPDATE, DatagramTransport
 from marbleworks.net.discovery import EngineDiscovery
@@ -48,7 +49,7 @@
 
 MOST_ROUTERS = 200  # in one process
 MOST_MEMORY = 2 << 30  # bytes of one process; six of them are half of a machine of 24 GB
-KINDS = {MARK: "peers", BUDGETS.mark: "budgets"}
+KINDS = {MAGIC: "peers", BUDGETS.magic: "budgets"}
 
 
 class Wire:
@@ -133,7 +134,7 @@
         steward = self.fitted.steward if self.fitted is not None else None
         self.steward = steward
         if steward is not None:
-            steward.viewed.append(self._viewed)
+            steward.view_listeners.append(self._viewed)
 
     def _heard(self, peer: int, data: bytes) -> None:
         self.desk.post(self.desk.scheduler.receive_load_update, peer, data)
@@ -156,9 +157,9 @@
 
     def view(self) -> list[Any]:
         check = zlib.crc32(repr(sorted(self.living.items())).encode())
-        untold = len(self.steward.members.spread) if self.steward is not None else 0
-        changes = self.steward.members.view if self.steward is not None else 0
-        right = self.steward.right if self.steward is not None else ""
+        untold = len(self.steward.failure_detector.gossip.transmissions) if self.steward is not None else 0
+        changes = self.steward.failure_detector.view.version if self.steward is not None else 0
+        right = ROLE_TEXTS[self.steward.role] if self.steward is not None else ""
         return [len(self.living), check, right, untold, changes]
 
     def counted(self) -> dict[str, Any]:
--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -14,7 +14,7 @@
 
 from marbleworks.cells.home_leases import Ask, Grant, Granter, Here, Leader, Router
 from marbleworks.lab.explore import Broken, every_order
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 LEASE, SETTLE = 1.0, 0.8
 DOUBT = 0.3  # seconds for which an engine may go on with a load that ended in doubt
@@ -201,7 +201,7 @@
 
 def paces(routers: int) -> list[float]:
     """Of the region's granter, two leaders and so many routers in each cell, as uneven as they may be."""
-    slow, fast = 1.0 - DRIFT / 2, 1.0 + DRIFT / 2
+    slow, fast = 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2
     return [fast, slow, fast] + [slow if i % 2 == 0 else fast for i in range(2 * routers)]
 
 
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -29,7 +29,7 @@
 )
 from marbleworks.lab.explore import every_order
 from marbleworks.lab.purses import LEASE, WEIGHTS, Fleet, drawn
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 ABOVE = 1.5  # seconds of a cell's lease
 CELLS, PLACES = 2, 4  # routers leave a place free, to move to
@@ -77,7 +77,7 @@
 class World(Fleet):
     """tops: paces of the clocks of the machines above."""
 
-    tops: list[float] = field(default_factory=lambda: [1.0 + DRIFT / 2, 1.0 - DRIFT / 2])
+    tops: list[float] = field(default_factory=lambda: [1.0 + MAX_CLOCK_DRIFT / 2, 1.0 - MAX_CLOCK_DRIFT / 2])
     top: int = -1
     lessor: BudgetLeaseGranter | None = None
     top_starts: list[int] = field(default_factory=lambda: [1] * MACHINES)
@@ -349,7 +349,14 @@
     " tells": 0.3,
     **WEIGHTS,
 }
-PACES = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0 + DRIFT / 2, 1.0 - DRIFT / 2]
+PACES = [
+    1.0 - MAX_CLOCK_DRIFT / 2,
+    1.0 + MAX_CLOCK_DRIFT / 2,
+    1.0,
+    1.0,
+    1.0 + MAX_CLOCK_DRIFT / 2,
+    1.0 - MAX_CLOCK_DRIFT / 2,
+]
 
 
 def stroll(
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -21,7 +21,7 @@
 from marbleworks.lab.report import Report, percentile, spread
 from marbleworks.lab.stage import TENANTS, Stage, settings
 from marbleworks.lab.standins import RpcClient
-from marbleworks.membership.codec import State
+from marbleworks.membership.messages import MemberState
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.ports import SchedulerPort
 from marbleworks.scheduling.scheduler import Scheduler
@@ -49,7 +49,7 @@
         group.run(8.0, partial(object_to, group) if count <= ROUTERS else None)
         first: dict[int, float] = {}
         for when, by, change in group.changes:
-            if change.number == number and change.state is State.GONE:
+            if change.router == number and change.state is MemberState.DEAD:
                 first.setdefault(by, when - at)
         found += [first.get(r.number, 8.0) for r in group.living()]
         if count < 1000:
@@ -91,7 +91,7 @@
     group.changes.clear()
     group.run(seconds)
     object_to(group)
-    removed = sum(change.state is State.GONE for _, _, change in group.changes)
+    removed = sum(change.state is MemberState.DEAD for _, _, change in group.changes)
     an_hour = removed / seconds * 3600.0
     report.figures[f"sim_false_removals_an_hour_{name}"] = an_hour
     report.rows.append({"group": f"{ROUTERS} simulated, {name}", "false removals an hour": round(an_hour, 1)})
@@ -139,7 +139,7 @@
         def divide(group: Group = group, gates: list[Scheduler] = gates) -> list[int]:
             for router, gate in zip(group.routers, gates, strict=True):
                 stands = router.standing()
-                gate.set_router_share(stands.part, stands.among, stands.place)
+                gate.set_router_share(stands.quota_share, stands.divisor, stands.index)
             living = [gates[r.number] for r in group.living()]
             return [g.fleet.router_index for g in living if g.slow_start_share(g.engines[0], g.port.now())]
 
@@ -310,7 +310,7 @@
         starts = {n: int(row[1]) for n, row in enumerate(watch.views[0]["rows"])}
         before = [len(router.log()) for router in stage.routers]
         gevent.sleep(4.0 if rounds < 5 else 60.0)
-        removed = sum(r.log()[b:].count("peer gone") for r, b in zip(stage.routers, before, strict=True))
+        removed = sum(r.log()[b:].count("member dead") for r, b in zip(stage.routers, before, strict=True))
         net.loss = net.jitter = 0.0
         gevent.killall(watch.going)
         failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -18,7 +18,7 @@
 from marbleworks.budgets.codec import Answer, Report
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.lab.explore import Broken, every_order
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 ENDS = DOUBT - 0.3  # seconds after which an engine ends what nobody asks for
 LEASE = 1.0
@@ -232,7 +232,7 @@
     """A random walk of so many acts, which favours what uses the budget up. Raises Broken."""
     chance = random.Random(seed)
     settle = span if span else chance.choice([0.5, 1.5]) + DOUBT
-    paces = [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0, 1.0, 1.0][:count]
+    paces = [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0, 1.0, 1.0][:count]
     world = World([Budget("w", units, span, settle)] * count, paces, chance.choice([0.0, 0.25, 0.5]))
     for _ in range(acts):
         moves = list(world.moves(chance.choice([0.02, 0.1, 0.3, 0.9])))
@@ -245,7 +245,9 @@
     states. Raises Broken."""
     settle = span if span else 0.5 + DOUBT
     world = World(
-        [Budget("w", 3, span, settle)] * count, [1.0 - DRIFT / 2, 1.0 + DRIFT / 2, 1.0][:count], 0.0
+        [Budget("w", 3, span, settle)] * count,
+        [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0][:count],
+        0.0,
     )
     world.moves_right(0)
     for _ in range(4):
--- a/marbleworks/membership/__init__.py
+++ b/marbleworks/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Routers that know each other: who is there, which part of the group one is in, what that part may do."""
+"""Group membership of routers: failure detection (SWIM), leader election by votes, division of quotas."""
--- a/marbleworks/membership/codec.py
+++ b/marbleworks/membership/codec.py
@@ -1,8 +1,8 @@
-"""The bytes of a datagram between routers, and back. No I/O, no clock.
+"""Encoding of membership datagrams. No I/O, no clock.
 
-It owns the format: a head of ten bytes (mark, version, group, check) and a msgpack map with small numbers for
-keys. What a later version adds is passed over; what is not whole, not of this group, older than what we read
-or out of range is Unreadable and costs its sender alone.
+A datagram is a header of ten bytes (magic, version, group, checksum) and a msgpack map with small integers
+for keys. Unknown keys and longer rows, which a later version may add, are ignored. Whatever is truncated,
+corrupt, of another group, older than the oldest version or out of range raises `DatagramDecodeError`.
 """
 
 from __future__ import annotations
@@ -12,146 +12,115 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from enum import IntEnum
 from typing import Any
 
 import msgpack
 
-MARK, VERSION, OLDEST = 0xD1, 2, 2
-HEAD = struct.Struct("<BBII")  # mark, version, group, check of the body
-MOST = 256  # bytes of a datagram
-MOST_ROUTERS = 4096
-HIGHEST = 1 << 40  # of any number that counts up
+from marbleworks.membership.messages import MemberState, MemberUpdate, Message, MessageType, QuotaDivision
+
+MAGIC = 0xD1
+FORMAT_VERSION = 2
+MIN_FORMAT_VERSION = 2
+HEADER = struct.Struct("<BBII")  # magic, version, group, checksum of the body
+MAX_DATAGRAM_BYTES = 256
+MAX_ROUTERS = 4096
+MAX_COUNTER = 1 << 40  # exclusive bound of generations, sequences, tokens and serials
 
 
 @dataclass(frozen=True)
-class Format:
-    """The first byte of a kind of datagram, the version that is written and the oldest that is read."""
+class DatagramFormat:
+    """First byte of a kind of datagram, the version that is written and the oldest that is read."""
 
-    mark: int
+    magic: int
     version: int
-    oldest: int
+    min_version: int
 
 
-FORMAT = Format(MARK, VERSION, OLDEST)
+FORMAT = DatagramFormat(MAGIC, FORMAT_VERSION, MIN_FORMAT_VERSION)
 
 
 class DatagramDecodeError(Exception):
-    """Why a datagram is not taken."""
-
-
-class MessageType(IntEnum):
-    JOIN = 1  # what did you last see of me?
-    SEEN = 2  # that; also said to a process that has been followed by another
-    PING = 3
-    ACK = 4
-    ASK_ROUND = 5  # ping that one for me
-    ROUND = 6  # it answered
-    LEAVE = 7
-    VOTE = 8  # may I hold the group's exclusive right, and what I divide
-    VOTED = 9
-
-
-class State(IntEnum):
-    """Of one start of a router. Of two news about one incarnation the greater state holds."""
-
-    UP = 0
-    SUSPECTED = 1
-    GONE = 2
-    LEFT = 3
-
-
-@dataclass(frozen=True, order=True, slots=True)
-class News:
-    """What is said of a router; the greater of two holds."""
+    """A datagram can't be decoded; the text says why."""
 
-    start: int
-    incarnation: int
-    state: State
-    number: int
 
+# Keys of the body's map.
+_MESSAGE_TYPE = 0
+_GENERATION = 1
+_SEQUENCE = 2
+_SUBJECT = 3
+_VIEW_DIGEST = 4
+_TOKEN = 5
+_HELD_SERIAL = 6
+_GRANTED = 7
+_DIVISION = 8
+_UPDATES = 9
+_RETRY_AFTER_MS = 10
 
-@dataclass(frozen=True, slots=True)
-class Division:
-    """How the group's whole is divided: among how many, and the receiver's place among them, from 0; -1: it
-    has none. active: whether it may be used yet. span: milliseconds from when the receiver gave the token
-    that comes with it for which it may be; by then the right of whoever divides has ended."""
 
-    serial: int
-    among: int
-    place: int
-    active: bool
-    span: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class Message:
-    """start: the sender's. no: of a probe or a vote, echoed by its answer. about: the router that it is
-    about. digest: of the sender's view. token: echoed to whom it came from, which knows when it was sent."""
-
-    what: MessageType
-    start: int
-    no: int = 0
-    about: int = -1
-    digest: int = 0
-    token: int = 0
-    held: int = 0  # serial of the division that the sender holds
-    granted: bool = False
-    division: Division | None = None
-    wait: int = 0  # milliseconds until a vote that was refused is free
-    news: tuple[News, ...] = ()
-
-
-def group_of(text: str) -> int:
+def group_hash(text: str) -> int:
+    """The group's number in the header, from the text that its routers have in common."""
     return zlib.crc32(text.encode())
 
 
 def encode(group: int, message: Message) -> bytes:
-    """As many of the news as fit."""
-    m = message
-    fields: dict[int, Any] = {0: int(m.what), 1: m.start}
-    for key, value, usual in (
-        (2, m.no, 0),
-        (3, m.about, -1),
-        (4, m.digest, 0),
-        (5, m.token, 0),
-        (6, m.held, 0),
-        (7, int(m.granted), 0),
-        (10, m.wait, 0),
-    ):
-        if value != usual:
-            fields[key] = value
-    if m.division is not None:
-        d = m.division
-        fields[8] = [d.serial, d.among, d.place, int(d.active), d.span]
-    rows = [[n.number, n.start, n.incarnation, int(n.state)] for n in m.news]
+    """Encodes a message with as many of its updates, in order, as fit a datagram."""
+    fields: dict[int, Any] = {_MESSAGE_TYPE: int(message.message_type), _GENERATION: message.generation}
+    optional = (
+        (_SEQUENCE, message.sequence, 0),
+        (_SUBJECT, message.subject, -1),
+        (_VIEW_DIGEST, message.view_digest, 0),
+        (_TOKEN, message.token, 0),
+        (_HELD_SERIAL, message.held_serial, 0),
+        (_GRANTED, int(message.granted), 0),
+        (_RETRY_AFTER_MS, message.retry_after_ms, 0),
+    )
+    fields |= {key: value for key, value, default in optional if value != default}
+    if message.division is not None:
+        division = message.division
+        fields[_DIVISION] = [
+            division.serial,
+            division.divisor,
+            division.index,
+            int(division.active),
+            division.validity_ms,
+        ]
+    rows = [
+        [update.router, update.generation, update.incarnation, int(update.state)]
+        for update in message.updates
+    ]
     while True:
-        data = seal(FORMAT, group, {**fields, 9: rows} if rows else fields)
-        if len(data) <= MOST or not rows:
+        data = seal(FORMAT, group, {**fields, _UPDATES: rows} if rows else fields)
+        if len(data) <= MAX_DATAGRAM_BYTES or not rows:
             return data
         rows.pop()
 
 
-def seal(format_: Format, group: int, fields: dict[int, Any]) -> bytes:
+def seal(datagram_format: DatagramFormat, group: int, fields: dict[int, Any]) -> bytes:
+    """Packs the fields and puts the header with their checksum before them."""
     body: bytes = msgpack.packb(fields)
-    return HEAD.pack(format_.mark, format_.version, group, zlib.crc32(body, format_.version)) + body
+    checksum = zlib.crc32(body, datagram_format.version)
+    return HEADER.pack(datagram_format.magic, datagram_format.version, group, checksum) + body
+
 
+def unseal(datagram_format: DatagramFormat, group: int, data: bytes) -> dict[int, Any]:
+    """Verifies the header and returns the fields.
 
-def unseal(format_: Format, group: int, data: bytes) -> dict[int, Any]:
-    """The fields; raises Unreadable."""
-    if not HEAD.size < len(data) <= MOST:
+    Raises:
+        DatagramDecodeError: the datagram is truncated, corrupt, too old or of another group.
+    """
+    if not HEADER.size < len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramDecodeError("cut")
-    mark, version, of, check = HEAD.unpack_from(data)
-    if mark != format_.mark:
+    magic, version, sender_group, checksum = HEADER.unpack_from(data)
+    if magic != datagram_format.magic:
         raise DatagramDecodeError("garbage")
-    if version < format_.oldest:
+    if version < datagram_format.min_version:
         raise DatagramDecodeError("an older version")
-    if of != group:
+    if sender_group != group:
         raise DatagramDecodeError("another group")
-    body = data[HEAD.size :]
-    if zlib.crc32(body, version) != check:
+    body = data[HEADER.size :]
+    if zlib.crc32(body, version) != checksum:
         raise DatagramDecodeError("garbage")
-    with read_strictly():
+    with wrap_decode_errors():
         fields = msgpack.unpackb(body, strict_map_key=False, max_map_len=64, max_array_len=64)
         if not isinstance(fields, dict):
             raise TypeError
@@ -159,55 +128,68 @@
 
 
 @contextmanager
-def read_strictly() -> Iterator[None]:
-    """Whatever msgpack, a number or a shape objects to is Unreadable."""
+def wrap_decode_errors() -> Iterator[None]:
+    """Turns any error of msgpack or of a value's type or shape into a `DatagramDecodeError`."""
     try:
         yield
     except DatagramDecodeError:
         raise
-    except Exception as err:
+    except Exception as err:  # noqa: BLE001 - msgpack raises errors of unrelated types on corrupt input
         raise DatagramDecodeError(
             "out of range" if isinstance(err, ValueError | TypeError) else "garbage"
         ) from None
 
 
-def decode(group: int, routers: int, data: bytes) -> Message:
-    """Raises Unreadable."""
+def decode(group: int, router_count: int, data: bytes) -> Message:
+    """Decodes a datagram of the group.
+
+    Raises:
+        DatagramDecodeError: it is no datagram of this group, or a field is missing or out of range.
+    """
     fields = unseal(FORMAT, group, data)
-    with read_strictly():
-        rows, divided = fields.get(9, ()), fields.get(8)
+    with wrap_decode_errors():
+        rows = fields.get(_UPDATES, ())
+        division = fields.get(_DIVISION)
         return Message(
-            MessageType(fields[0]),
-            count(fields[1]),
-            count(fields.get(2, 0)),
-            number_below(fields.get(3, -1), routers, -1),
-            count(fields.get(4, 0)),
-            count(fields.get(5, 0)),
-            count(fields.get(6, 0)),
-            bool(fields.get(7, 0)),
-            None if divided is None else _division(divided, routers),
-            count(fields.get(10, 0)),
+            MessageType(fields[_MESSAGE_TYPE]),
+            checked_counter(fields[_GENERATION]),
+            checked_counter(fields.get(_SEQUENCE, 0)),
+            checked_range(fields.get(_SUBJECT, -1), router_count, -1),
+            checked_counter(fields.get(_VIEW_DIGEST, 0)),
+            checked_counter(fields.get(_TOKEN, 0)),
+            checked_counter(fields.get(_HELD_SERIAL, 0)),
+            bool(fields.get(_GRANTED, 0)),
+            None if division is None else _decode_division(division, router_count),
+            checked_counter(fields.get(_RETRY_AFTER_MS, 0)),
             tuple(
-                News(count(start), count(incarnation), State(state), number_below(number, routers, 0))
-                for number, start, incarnation, state, *_ in rows
+                MemberUpdate(
+                    checked_counter(generation),
+                    checked_counter(incarnation),
+                    MemberState(state),
+                    checked_range(router, router_count, 0),
+                )
+                for router, generation, incarnation, state, *_ in rows
             ),
         )
 
 
-def _division(row: Any, routers: int) -> Division:
-    serial, among, place, active, span, *_ = row
-    if number_below(among, routers + 1, 1) <= number_below(place, routers, -1):
+def _decode_division(row: Any, router_count: int) -> QuotaDivision:
+    serial, divisor, index, active, validity_ms, *_ = row
+    if checked_range(divisor, router_count + 1, 1) <= checked_range(index, router_count, -1):
         raise DatagramDecodeError("out of range")
-    return Division(count(serial), among, place, bool(active), count(span))
+    return QuotaDivision(checked_counter(serial), divisor, index, bool(active), checked_counter(validity_ms))
 
 
-def count(value: Any) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < HIGHEST:
+def checked_counter(value: Any) -> int:
+    """The value, if it is a whole number from 0 to below `MAX_COUNTER`; raises `DatagramDecodeError`."""
+    # Checked here and not by `checked_range`, which would be a call more for each field of a datagram.
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < MAX_COUNTER:
         raise DatagramDecodeError("out of range")
     return value
 
 
-def number_below(value: Any, below: int, least: int) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not least <= value < below:
+def checked_range(value: Any, end: int, minimum: int) -> int:
+    """The value, if it is a whole number from minimum to below end; raises `DatagramDecodeError`."""
+    if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value < end:
         raise DatagramDecodeError("out of range")
     return value
--- a/marbleworks/membership/failure_detector.py
+++ b/marbleworks/membership/failure_detector.py
@@ -1,460 +1,393 @@
-"""Who is there: one router's view of its group. No I/O, no clock.
+"""SWIM failure detector of one router, with Lifeguard's local health. No I/O, no clock.
 
-It owns what is believed of each router and the probes that are out, and must never send or log: `tick` and
-`heard` return what is to be sent, and `changes` is drained by whoever runs it. Times are float seconds of one
-clock that never goes back. docs/design/peers.md says why it is so.
+It joins the group, probes, suspects, declares dead and refutes; `tick` and `receive` return the messages to
+send, and the view's `changes` are drained by the caller. Times are float seconds of one monotonic clock.
+docs/design/peers.md has the reasons.
 """
 
 from __future__ import annotations
 
 import math
-import zlib
-from collections import deque
-from collections.abc import Iterator
-from dataclasses import dataclass, field
-
-from marbleworks.membership.codec import Message, MessageType, News, State
-
-ROUNDS = 3  # routers that are asked to probe for us
-ANSWER_WITHIN = 0.4  # part of a period in which a probe's answer is expected, by a healthy router
-WORST_HEALTH = 8  # times that a router which doubts itself stretches its times, less one
-LATE = 0.5  # seconds behind its own time from which on a router takes itself to have been paused
-NEWS_TIMES = 3.0  # how often a piece of news is sent on, times the logarithm of the group
-MOST_NEWS = 8  # in one datagram
-SOURCES = 2  # routers that must say one is gone where we have no failed probe of our own
-AHEAD = 1 << 16  # a number that jumps further is forged
-JOINING = 0.6  # seconds that a start waits for what others saw of it, at most
-BACK_AFTER, MOST_BACK = 0.25, 8.0  # seconds before one that was called gone twice says it is back; doubling
-FLAPS_FOR = 60.0  # seconds for which that counts
-AFRESH = 4  # each so many periods one that is gone is probed
-DIFFERS = 1.0  # seconds of disagreement after which all is told anew
-Out = list[tuple[int, Message]]
-
-
-@dataclass(frozen=True)
-class Change:
-    """One line of the log: a router is believed to be so from now on, and why."""
-
-    number: int
-    start: int
-    state: State
-    cause: str
-
-
-@dataclass(eq=False, slots=True)
-class Member:
-    number: int
-    news: News
-    since: float
-    suspected_until: float = math.inf
-    accused_by: set[int] = field(default_factory=set)  # who said that it is gone
-    claimed: dict[int, int] = field(default_factory=dict)  # who said that it began anew, with which start
-    missed: bool = False  # our own probe of it failed, and nothing has been heard since
-    reached: float = -math.inf  # when the last probe was sent that it answered
-    digest: int = 0  # of its view, as last heard
-    differs_since: float | None = None
-
-    @property
-    def living(self) -> bool:
-        return self.news.state in (State.UP, State.SUSPECTED)
-
-
-@dataclass(eq=False, slots=True)
-class Probe:
-    about: int
-    no: int
-    sent: float
-    round_at: float  # when others are asked
-    until: float
-    rounds: bool = False
+
+from marbleworks.membership.evidence import (
+    MAX_COUNTER_JUMP,
+    RefuteTimer,
+    confirms_death,
+    is_believed,
+    is_implausible,
+    suspicion_timeout,
+)
+from marbleworks.membership.gossip import GossipQueue
+from marbleworks.membership.joining import Joining, Succession
+from marbleworks.membership.member_view import Member, MemberChange, MemberView
+from marbleworks.membership.messages import MemberState, MemberUpdate, Message, MessageType, OutgoingMessage
+from marbleworks.membership.prober import Probe, Prober
+
+MAX_LOCAL_HEALTH = 8  # the local health multiplier, less one; 0 is healthy
+PAUSE_HEALTH_PENALTY = 2
+PAUSE_DETECTION_S = 0.5  # a tick that is later than this means that the process was paused
+JOIN_RETRY_PERIODS = 0.5
+LEAVE_REPEATS = 2  # datagrams get lost
 
 
 class FailureDetector:
-    """me: our number of `count`, by the settings. period: seconds between probes. suspicion: seconds that one
-    has to refute, in a group of ten."""
-
-    def __init__(self, me: int, count: int, seed: int, now: float, period: float, suspicion: float) -> None:
-        self.me, self.count, self.seed, self.period, self.suspicion = me, count, seed, period, suspicion
-        self.start, self.incarnation = 0, 0
-        self.joined = self.yielded = self.leaving = False
-        self.asked_until = now + JOINING
-        self.seen_of_me: dict[int, int] = {}  # by who told it
-        self.met: dict[int, int] = {}  # starts of those who told it
-        self.followed_by: dict[int, int] = {}  # higher starts of our name, by who told them
-        self.members: dict[int, Member] = {}  # those ever heard of, ourselves among them
-        self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, tuple[int, int, float]] = {}  # our probe's number: for whom, its number, until
-        self.no = self.view = self.draws = self.periods = 0
-        self.order: list[int] = []
-        self.to_check: deque[int] = deque(maxlen=64)  # accused ones, probed ahead of their turn
-        self.spread: dict[int, int] = {}  # of whose news: how often it was sent on
-        self.health = 0
-        self.next, self.flaps = now, deque[float](maxlen=16)
-        self.back_at = math.inf
-        self.told_all = 0
-        self.changes: list[Change] = []
-        self.forged = 0
-
-    # What others ask of the view.
-
-    def living(self) -> list[int]:
-        return sorted(n for n, m in self.members.items() if m.living)
-
-    def suspected(self) -> list[int]:
-        return [n for n, m in self.members.items() if m.news.state is State.SUSPECTED]
-
-    @property
-    def digest(self) -> int:
-        living = [(n, self.members[n].news.start) for n in self.living()]
-        return zlib.crc32(repr(living).encode())
-
-    def reached_since(self, at: float) -> int:
-        """Routers, ourselves among them, that answered a probe sent since then."""
-        return sum(m.reached >= at or n == self.me for n, m in self.members.items() if m.living)
-
-    def due(self) -> float:
-        """When `tick` is wanted next."""
-        times = [self.next, *(p.until if p.rounds else p.round_at for p in self.probes.values())]
-        times += [m.suspected_until for m in self.members.values()]
-        return min([*times, self.back_at])
-
-    # Time passes.
-
-    def tick(self, now: float) -> Out:
-        if self.yielded:
-            self.next = now + self.period
+    """The group as one router sees it.
+
+    Args:
+        router_index: index of this router among the configured ones.
+        router_count: number of configured routers.
+        seed: of the random choices of targets.
+        now: the present.
+        probe_interval_s: time between probes.
+        suspicion_timeout_s: time to refute a suspicion in a group of ten or fewer.
+    """
+
+    def __init__(
+        self,
+        router_index: int,
+        router_count: int,
+        seed: int,
+        now: float,
+        probe_interval_s: float,
+        suspicion_timeout_s: float,
+    ) -> None:
+        self.router_index = router_index
+        self.router_count = router_count
+        self.probe_interval_s = probe_interval_s
+        self.suspicion_timeout_s = suspicion_timeout_s
+        self.generation = 0
+        self.incarnation = 0
+        self.joined = False
+        self.superseded = False  # a later process has our index: we take no part any more
+        self.leaving = False
+        self.local_health = 0
+        self.implausible_updates = 0
+        self.view = MemberView(router_index)
+        self.gossip = GossipQueue(self.view)
+        self.prober = Prober(self.view, router_count, seed, probe_interval_s)
+        self._joining = Joining(router_count, now)
+        self._succession = Succession(router_count)
+        self._refute_timer = RefuteTimer()
+        self._next_probe_at = now
+
+    def next_due(self) -> float:
+        """When `tick` is to be called next."""
+        suspicions = [member.suspicion_deadline for member in self.view.members.values()]
+        return min([self._next_probe_at, self._refute_timer.due_at, *self.prober.deadlines(), *suspicions])
+
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        """Does what is due: joining, timeouts of probes and suspicions, the next probe."""
+        if self.superseded:
+            self._next_probe_at = now + self.probe_interval_s
             return []
         if not self.joined:
             return self._join(now)
-        behind = now - self.due()
-        if behind > LATE:  # we stood still: what did not reach us meanwhile proves nothing of others
-            self.health = min(self.health + 2, WORST_HEALTH)
-            self.probes.clear()
-            for m in self.members.values():
-                m.suspected_until += behind
-            self.next = now
-        out: Out = []
-        if now >= self.back_at:
-            self.back_at = math.inf
+        lateness = now - self.next_due()
+        if lateness > PAUSE_DETECTION_S:
+            self._on_paused(lateness, now)
+        if now >= self._refute_timer.due_at:
+            self._refute_timer.due_at = math.inf
             self._refute()
-        out += self._late_probes(now)
-        for m in [m for m in self.members.values() if now >= m.suspected_until]:
-            m.suspected_until = math.inf
-            if m.missed or len(m.accused_by) >= SOURCES:
-                gone = News(m.news.start, m.news.incarnation, State.GONE, m.number)
-                self._believe(gone, "not refuted", now)
-            else:  # accused by one alone, and we have not missed it: heard of it no more, we look ourselves
-                self.to_check.append(m.number)
-                m.suspected_until = now + self._suspicion()
-        if now >= self.next:
-            self.next = now + self.period
-            self.relays = {no: relay for no, relay in self.relays.items() if now < relay[2]}
-            out += self._probe(now)
-        return out
-
-    def _join(self, now: float) -> Out:
-        told = len(self.seen_of_me)
-        if now >= self.asked_until or told >= self.count - 1:
-            # The highest that two tell, or that one does where no second has anything to tell: a liar alone
-            # does not use the numbers up.
-            seen = sorted(self.seen_of_me.values(), reverse=True)
-            self.start = (seen[0] if seen and seen[0] <= (seen[1] if len(seen) > 1 else 0) + AHEAD else 0) + 1
-            self.joined, self.next = True, now
-            self._believe(News(self.start, self.incarnation, State.UP, self.me), "we start", now)
-            for number, start in self.met.items():
-                if 1 <= start <= AHEAD:
-                    self._believe(News(start, 0, State.UP, number), "it was there", now)
-            return [(n, self._say(MessageType.PING)) for n in self._others()]
-        self.next = min(now + self.period / 2, self.asked_until)
-        return [(n, Message(MessageType.JOIN, 0)) for n in self._others() if n not in self.seen_of_me]
-
-    def _others(self) -> Iterator[int]:
-        return (n for n in range(self.count) if n != self.me)
-
-    def _suspicion(self) -> float:
-        return self.suspicion * max(math.log10(max(len(self.members), 1)), 1.0) * (1 + self.health / 2)
-
-    def _late_probes(self, now: float) -> Out:
-        out: Out = []
-        for probe in list(self.probes.values()):
-            if not probe.rounds and now >= probe.round_at:
-                probe.rounds = True
-                helpers = [n for n in self.living() if n not in (self.me, probe.about)]
-                asked = sorted(helpers, key=lambda n: self._chance(n))[:ROUNDS]
-                out += [(n, self._say(MessageType.ASK_ROUND, no=probe.no, about=probe.about)) for n in asked]
-            elif probe.rounds and now >= probe.until:
-                del self.probes[probe.no]
-                self.health = min(self.health + 1, WORST_HEALTH)
-                member = self.members.get(probe.about)
-                if member is not None and member.living:
-                    member.missed = True
-                    if member.news.state is State.UP:
-                        news = News(member.news.start, member.news.incarnation, State.SUSPECTED, probe.about)
-                        self._believe(news, "no answer, nor by others", now)
-        return out
-
-    def _probe(self, now: float) -> Out:
-        self.periods += 1
-        targets = list[int]()
-        while self.to_check and not targets:
-            number = self.to_check.popleft()
-            targets += [number] if number != self.me else []
-        if not targets:
-            if not self.order:
-                living = [n for n in self.living() if n != self.me]
-                self.order = sorted(living, key=lambda n: self._chance(n))
-            targets = [self.order.pop()] if self.order else []
-        absent = [
-            n for n in self._others() if n not in self.members or self.members[n].news.state is State.GONE
+        outgoing = self._check_probes(now)
+        self._check_suspicions(now)
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + self.probe_interval_s
+            self.prober.expire_relays(now)
+            outgoing += self._start_probes(now)
+        return outgoing
+
+    def leave(self, now: float) -> list[OutgoingMessage]:
+        """A planned stop: tells all live members at once."""
+        self.leaving = True
+        if not self.joined or self.superseded:
+            return []
+        left = MemberUpdate(self.generation, self.incarnation, MemberState.LEFT, self.router_index)
+        self._record(left, "we stop as planned", now)
+        message = Message(MessageType.LEAVE, self.generation)
+        return [
+            OutgoingMessage(router, message)
+            for router in self.view.alive_routers()
+            if router != self.router_index
+        ] * LEAVE_REPEATS
+
+    # Joining.
+
+    def _join(self, now: float) -> list[OutgoingMessage]:
+        """Asks for our last generation until all have replied or the time is over, then takes the next."""
+        if now >= self._joining.deadline or self._joining.has_all_replies():
+            return self._finish_join(now)
+        retry_at = now + self.probe_interval_s * JOIN_RETRY_PERIODS
+        self._next_probe_at = min(retry_at, self._joining.deadline)
+        return [
+            OutgoingMessage(router, Message(MessageType.JOIN, 0))
+            for router in self.prober.others()
+            if router not in self._joining.reported_generations
         ]
-        if absent and (self.periods % AFRESH == 0 or not targets):
-            targets.append(absent[int(self._chance(0) * len(absent))])
-        out: Out = []
-        for number in targets:
-            if any(p.about == number for p in self.probes.values()):
-                continue
-            self.no += 1
-            stretch = self.period * (1 + self.health)
-            self.probes[self.no] = Probe(
-                number, self.no, now, now + ANSWER_WITHIN * stretch, now + 0.95 * stretch
+
+    def _finish_join(self, now: float) -> list[OutgoingMessage]:
+        self.generation = self._joining.last_generation() + 1
+        self.joined = True
+        self._next_probe_at = now
+        self._record_own_start("we start", now)
+        for router, generation in self._joining.replier_generations.items():
+            if 1 <= generation <= MAX_COUNTER_JUMP:
+                alive = MemberUpdate(generation, 0, MemberState.ALIVE, router)
+                self._record(alive, "answered our join", now)
+        return [OutgoingMessage(router, self._message(MessageType.PING)) for router in self.prober.others()]
+
+    def _record_own_start(self, cause: str, now: float) -> None:
+        alive = MemberUpdate(self.generation, self.incarnation, MemberState.ALIVE, self.router_index)
+        self._record(alive, cause, now)
+
+    # Timeouts.
+
+    def _on_paused(self, lateness: float, now: float) -> None:
+        """Moves all deadlines by the pause: silence while we stood still proves nothing about others."""
+        self.local_health = min(self.local_health + PAUSE_HEALTH_PENALTY, MAX_LOCAL_HEALTH)
+        self.prober.probes.clear()
+        for member in self.view.members.values():
+            member.suspicion_deadline += lateness
+        self._next_probe_at = now
+
+    def _check_probes(self, now: float) -> list[OutgoingMessage]:
+        """Asks helpers for probes that are late, and suspects the target of those that failed."""
+        outgoing: list[OutgoingMessage] = []
+        for probe in list(self.prober.probes.values()):
+            if not probe.indirect and now >= probe.indirect_at:
+                probe.indirect = True
+                for helper in self.prober.helpers(probe.target):
+                    request = self._message(MessageType.INDIRECT_PROBE, probe.sequence, probe.target)
+                    outgoing.append(OutgoingMessage(helper, request))
+            elif probe.indirect and now >= probe.expires_at:
+                self._on_probe_failed(probe, now)
+        return outgoing
+
+    def _on_probe_failed(self, probe: Probe, now: float) -> None:
+        del self.prober.probes[probe.sequence]
+        self.local_health = min(self.local_health + 1, MAX_LOCAL_HEALTH)
+        member = self.view.members.get(probe.target)
+        if member is None or not member.is_alive:
+            return
+        member.probe_failed = True
+        if member.update.state is MemberState.ALIVE:
+            self._record(member.update_with(MemberState.SUSPECT), "no direct or indirect ack", now)
+
+    def _check_suspicions(self, now: float) -> None:
+        """Declares dead whose suspicion has ended, if we missed it ourselves or enough others did."""
+        overdue = [member for member in self.view.members.values() if now >= member.suspicion_deadline]
+        for member in overdue:
+            member.suspicion_deadline = math.inf
+            if confirms_death(member):
+                self._record(member.update_with(MemberState.DEAD), "suspicion not refuted", now)
+            else:  # accused by one router alone: we probe it ourselves
+                self.prober.priority_targets.append(member.router)
+                member.suspicion_deadline = now + self._suspicion_timeout()
+
+    def _suspicion_timeout(self) -> float:
+        return suspicion_timeout(self.suspicion_timeout_s, len(self.view.members), self.local_health)
+
+    def _start_probes(self, now: float) -> list[OutgoingMessage]:
+        return [
+            OutgoingMessage(
+                probe.target, self._message_to(probe.target, MessageType.PING, probe.sequence, now)
             )
-            out.append((number, self._say(MessageType.PING, no=self.no, to=number, now=now)))
-        return out
-
-    def _chance(self, salt: int) -> float:
-        self.draws += 1
-        text = f"{self.seed}/{self.me}/{self.draws}/{salt}"
-        return zlib.crc32(str(zlib.crc32(text.encode())).encode()) / 2**32
-
-    # What is said, with news on it.
-
-    def _say(
-        self, what: MessageType, no: int = 0, about: int = -1, to: int | None = None, now: float = 0.0
-    ) -> Message:
-        return Message(what, self.start, no, about, self.digest, news=self._news_for(to, now))
-
-    def _news_for(self, to: int | None, now: float) -> tuple[News, ...]:
-        """What we know of the receiver itself first, then what was sent on least; all in turn where views
-        have differed for long."""
-        chosen: list[int] = []
-        member = self.members.get(to) if to is not None else None
-        if member is not None and member.news.state is not State.UP:
-            chosen.append(member.number)
-        if member is not None and member.differs_since is not None and now > member.differs_since + DIFFERS:
-            known = sorted(self.members)
-            for _ in range(min(MOST_NEWS - 1, len(known))):
-                self.told_all += 1
-                chosen.append(known[self.told_all % len(known)])
-        most = math.ceil(NEWS_TIMES * math.log2(len(self.members) + 2))
-        for number in sorted(self.spread, key=lambda n: (self.spread[n], n)):
-            if len(chosen) >= MOST_NEWS:
-                break
-            if number not in chosen:
-                chosen.append(number)
-                self.spread[number] += 1
-                if self.spread[number] > most:
-                    del self.spread[number]
-        return tuple(self.members[n].news for n in dict.fromkeys(chosen))
-
-    # What is heard.
-
-    def heard(self, peer: int, m: Message, now: float) -> Out:
-        """What a router said, and what is said back."""
-        if self.yielded or peer == self.me:
+            for probe in self.prober.start_probes(now, self.local_health)
+        ]
+
+    def _message(self, message_type: MessageType, sequence: int = 0, subject: int = -1) -> Message:
+        """A message with updates for any receiver."""
+        updates = self.gossip.select(None, 0.0)
+        return Message(message_type, self.generation, sequence, subject, self.view.digest, updates=updates)
+
+    def _message_to(self, receiver: int, message_type: MessageType, sequence: int, now: float) -> Message:
+        """A message with updates chosen for its receiver."""
+        updates = self.gossip.select(receiver, now)
+        return Message(message_type, self.generation, sequence, -1, self.view.digest, updates=updates)
+
+    # Received messages.
+
+    def receive(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
+        """Handles a message of another router; returns the answers."""
+        if self.superseded or sender == self.router_index:
             return []
-        if m.what is MessageType.JOIN:
-            known = self.members.get(peer)
-            return [(peer, Message(MessageType.SEEN, self.start, no=known.news.start if known else 0))]
-        if m.what is MessageType.SEEN:
-            return self._seen(peer, m, now)
+        if message.message_type is MessageType.JOIN_REPLY:
+            return self._on_join_reply(sender, message, now)
+        known = self.view.members.get(sender)
+        known_generation = known.update.generation if known is not None else 0
+        is_outdated = self.joined and message.generation < known_generation
+        if message.message_type is MessageType.JOIN or is_outdated:
+            reply = Message(MessageType.JOIN_REPLY, self.generation, sequence=known_generation)
+            return [OutgoingMessage(sender, reply)]
         if not self.joined:
             return []
-        known = self.members.get(peer)
-        if known is not None and m.start < known.news.start:  # it has been followed by another of its name
-            return [(peer, Message(MessageType.SEEN, self.start, no=known.news.start))]
-        if known is None or m.start > known.news.start:
-            if m.start - (known.news.start if known else 0) > AHEAD or m.start < 1:
-                self.forged += 1
+        if known is None or message.generation > known_generation:
+            if message.generation - known_generation > MAX_COUNTER_JUMP or message.generation < 1:
+                self.implausible_updates += 1
                 return []
-            self._believe(News(m.start, 0, State.UP, peer), "it started", now)
-        sender = self.members[peer]
-        sender.digest = m.digest
-        if m.digest == self.digest:
-            sender.differs_since = None
-        elif sender.differs_since is None:
-            sender.differs_since = now
-        for news in m.news:
-            self._told(news, peer, now)
-        out: Out = []
-        if m.what is MessageType.PING:
-            out.append((peer, self._say(MessageType.ACK, no=m.no, to=peer, now=now)))
-        elif m.what is MessageType.ACK:
-            out += self._acked(peer, m, now)
-        elif m.what is MessageType.ASK_ROUND and 0 <= m.about < self.count and m.about not in (self.me, peer):
-            if len(self.relays) < 64:
-                self.no += 1
-                self.relays[self.no] = peer, m.no, now + 4 * self.period
-                out.append((m.about, self._say(MessageType.PING, no=self.no, to=m.about, now=now)))
-        elif m.what is MessageType.ROUND:
-            probe = self.probes.get(m.no)
-            if probe is not None and probe.about == m.about:
-                self._answered(probe, now)
-        elif m.what is MessageType.LEAVE:
-            self._believe(News(m.start, sender.news.incarnation, State.LEFT, peer), "it leaves", now)
-        return out
-
-    def _seen(self, peer: int, m: Message, now: float) -> Out:
-        if not self.joined:
-            self.seen_of_me[peer], self.met[peer] = m.no, m.start
-            return self._join(now) if len(self.seen_of_me) >= self.count - 1 else []
-        self._followed(peer, m.no, now)
+            started = MemberUpdate(message.generation, 0, MemberState.ALIVE, sender)
+            self._record(started, "it started", now)
+        member = self.view.members[sender]
+        member.observe_digest(message.view_digest, self.view.digest, now)
+        for update in message.updates:
+            self._apply_update(update, sender, now)
+        return self._dispatch(member, message, now)
+
+    def _dispatch(self, sender: Member, message: Message, now: float) -> list[OutgoingMessage]:
+        """Answers a message whose updates have been applied."""
+        router = sender.router
+        message_type = message.message_type
+        if message_type is MessageType.PING:
+            ack = self._message_to(router, MessageType.ACK, message.sequence, now)
+            return [OutgoingMessage(router, ack)]
+        if message_type is MessageType.ACK:
+            return self._on_ack(router, message.sequence, now)
+        if message_type is MessageType.INDIRECT_PROBE:
+            return self._relay_probe(router, message, now)
+        if message_type is MessageType.INDIRECT_ACK:
+            self._on_probe_answered(message.sequence, message.subject, now)
+        elif message_type is MessageType.LEAVE:
+            left = MemberUpdate(message.generation, sender.update.incarnation, MemberState.LEFT, router)
+            self._record(left, "planned stop", now)
         return []
 
-    def _followed(self, by: int, start: int, now: float) -> None:
-        """Another process has our name and began later, says one: the older yields when a second says so."""
-        if start - self.start > AHEAD:
-            self.forged += 1
-            return
-        if start > self.start:
-            self.followed_by[by] = start
-        if self.yielded or len(self.followed_by) < min(SOURCES, self.count - 1):
-            return
-        if not any(m.reached > -math.inf for m in self.members.values()):
-            # Nobody has known us by this start: we began while we could ask nobody, and take the next one.
-            self.start, self.incarnation = max(self.followed_by.values()) + 1, 0
-            self.followed_by.clear()
-            self._believe(
-                News(self.start, 0, State.UP, self.me), "we start, after what others saw of us", now
-            )
-            return
-        self.yielded = True
-        self.changes.append(Change(self.me, start, State.GONE, "another process has our name: we yield"))
+    def _on_join_reply(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
+        if self.joined:
+            self._on_newer_generation(sender, message.sequence, now)
+            return []
+        self._joining.add_reply(sender, message.sequence, message.generation)
+        return self._join(now) if self._joining.has_all_replies() else []
+
+    def _relay_probe(self, requester: int, message: Message, now: float) -> list[OutgoingMessage]:
+        target = message.subject
+        if not 0 <= target < self.router_count or target in (self.router_index, requester):
+            return []
+        sequence = self.prober.add_relay(requester, message.sequence, now)
+        if sequence is None:
+            return []
+        return [OutgoingMessage(target, self._message_to(target, MessageType.PING, sequence, now))]
 
-    def _acked(self, peer: int, m: Message, now: float) -> Out:
-        relay = self.relays.pop(m.no, None)
+    def _on_ack(self, sender: int, sequence: int, now: float) -> list[OutgoingMessage]:
+        relay = self.prober.relays.pop(sequence, None)
         if relay is not None:
-            asker, no, _ = relay
-            return [(asker, self._say(MessageType.ROUND, no=no, about=peer))]
-        probe = self.probes.get(m.no)
-        if probe is not None and probe.about == peer:
-            self._answered(probe, now)
+            ack = self._message(MessageType.INDIRECT_ACK, relay.sequence, sender)
+            return [OutgoingMessage(relay.requester, ack)]
+        self._on_probe_answered(sequence, sender, now)
         return []
 
-    def _answered(self, probe: Probe, now: float) -> None:
-        """It lives: by its own answer, or by one that another had."""
-        del self.probes[probe.no]
-        self.health = max(self.health - 1, 0)
-        member = self.members.get(probe.about)
-        if member is not None:
-            member.reached, member.missed = max(member.reached, probe.sent), False
-            member.accused_by.clear()
-            if member.news.state is State.SUSPECTED:  # our own look counts for us; it refutes for the others
-                member.suspected_until = now + self._suspicion()
-
-    def _told(self, news: News, by: int, now: float) -> None:
-        """A piece of news from another router, which may be wrong or a lie."""
-        if news.number == self.me:
-            if news.start > self.start:
-                self._followed(by, news.start, now)
-            elif news.start == self.start and news.state is not State.UP and not self.leaving:
-                self._accused(news, now)
+    def _on_probe_answered(self, sequence: int, target: int, now: float) -> None:
+        """A probe was answered, directly or through a helper."""
+        probe = self.prober.probes.get(sequence)
+        if probe is None or probe.target != target:
             return
-        known = self.members.get(news.number)
-        if known is None:
-            if news.state is State.UP:
-                self.to_check.append(news.number)  # it counts when we have heard it ourselves
+        del self.prober.probes[sequence]
+        self.local_health = max(self.local_health - 1, 0)
+        member = self.view.members.get(target)
+        if member is None:
             return
-        if news <= known.news:
+        member.last_answered_probe_at = max(member.last_answered_probe_at, probe.sent_at)
+        member.probe_failed = False
+        member.accused_by.clear()
+        if member.update.state is MemberState.SUSPECT:  # it has to refute for the others still
+            member.suspicion_deadline = now + self._suspicion_timeout()
+
+    # Updates by gossip, which may be outdated or false.
+
+    def _apply_update(self, update: MemberUpdate, reporter: int, now: float) -> None:
+        if update.router == self.router_index:
+            self._apply_update_of_self(update, reporter, now)
             return
-        if news.start - known.news.start > AHEAD or news.incarnation - known.news.incarnation > AHEAD:
-            self.forged += 1
+        member = self.view.members.get(update.router)
+        if member is None:
+            if update.state is MemberState.ALIVE:  # a member once it has answered us
+                self.prober.priority_targets.append(update.router)
+            return
+        if update <= member.update:
             return
-        if news.start > known.news.start:  # it began anew, says one: we look, or hear a second
-            known.claimed[by] = news.start
-            if sum(start >= news.start for start in known.claimed.values()) < SOURCES:
-                self.to_check.append(news.number)
-                return
-        if news.state is State.GONE and known.living and news.start == known.news.start:
-            # Nobody is removed on one router's word: it is suspected, and we look ourselves.
-            known.accused_by.add(by)
-            if known.news.state is State.UP:
-                suspected = News(news.start, news.incarnation, State.SUSPECTED, news.number)
-                self._believe(suspected, f"router {by} calls it gone", now)
-                self.to_check.append(news.number)
-            elif len(known.accused_by) >= SOURCES or known.missed:
-                self._believe(news, "not refuted to others", now)
+        if is_implausible(update, member.update):
+            self.implausible_updates += 1
             return
-        if news.state is State.SUSPECTED and known.news.state is State.UP:
-            self.to_check.append(news.number)
-        if news.state is State.LEFT and by != news.number and known.news.state is not State.GONE:
-            known.accused_by.add(by)
-            if len(known.accused_by) < SOURCES and not known.missed:
-                self.to_check.append(news.number)
-                return
-        self._believe(news, f"told by router {by}", now)
-
-    def _accused(self, news: News, now: float) -> None:
-        """We are called suspected or gone. Once is refuted at once; of gone again and again we wait longer
-        each time, so that a bad link makes no noise."""
-        if news.incarnation < self.incarnation:
-            self.spread[self.me] = 0  # we refuted that, and it did not get there
+        is_restart = update.generation > member.update.generation
+        if update.state is MemberState.DEAD and member.is_alive and not is_restart:
+            self._on_declared_dead(member, update, reporter, now)
+        elif is_believed(member, update, reporter):
+            if update.state is MemberState.SUSPECT and member.update.state is MemberState.ALIVE:
+                self.prober.priority_targets.append(update.router)
+            self._record(update, f"reported by router {reporter}", now)
+        else:
+            self.prober.priority_targets.append(update.router)
+
+    def _apply_update_of_self(self, update: MemberUpdate, reporter: int, now: float) -> None:
+        if update.generation > self.generation:
+            self._on_newer_generation(reporter, update.generation, now)
             return
-        if news.incarnation - self.incarnation > AHEAD:
-            self.forged += 1
+        is_current = update.generation == self.generation
+        if is_current and update.state is not MemberState.ALIVE and not self.leaving:
+            self._on_accused(update, now)
+
+    def _on_declared_dead(self, member: Member, update: MemberUpdate, reporter: int, now: float) -> None:
+        """Another calls a live member dead: one report makes it suspected, and we probe it ourselves."""
+        member.accused_by.add(reporter)
+        if member.update.state is MemberState.ALIVE:
+            suspect = MemberUpdate(update.generation, update.incarnation, MemberState.SUSPECT, update.router)
+            self._record(suspect, f"router {reporter} reports it dead", now)
+            self.prober.priority_targets.append(update.router)
+        elif confirms_death(member):
+            self._record(update, "suspicion of others not refuted", now)
+
+    # Updates about ourselves.
+
+    def _on_newer_generation(self, reporter: int, generation: int, now: float) -> None:
+        """A later process has our index, says one router; once enough say so, this one is superseded."""
+        if generation - self.generation > MAX_COUNTER_JUMP:
+            self.implausible_updates += 1
             return
-        self.incarnation = news.incarnation
-        self.health = min(self.health + 1, WORST_HEALTH)
-        if news.state is State.SUSPECTED:
+        if generation > self.generation:
+            self._succession.add_report(reporter, generation)
+        if self.superseded or not self._succession.is_confirmed():
+            return
+        if not self.view.was_ever_answered():
+            # Nobody knows this generation: we started while nobody could be asked, and take the next one.
+            self.generation = self._succession.skip_reported()
+            self.incarnation = 0
+            self._record_own_start("we start, after the generations that others report", now)
+            return
+        self.superseded = True
+        cause = "a later process has our index"
+        self.view.changes.append(MemberChange(self.router_index, generation, MemberState.DEAD, cause))
+
+    def _on_accused(self, update: MemberUpdate, now: float) -> None:
+        """Refutes being suspected at once, being declared dead when the timer allows."""
+        if update.incarnation < self.incarnation:
+            self.gossip.enqueue(self.router_index)  # the refutation has not arrived
+            return
+        if update.incarnation - self.incarnation > MAX_COUNTER_JUMP:
+            self.implausible_updates += 1
+            return
+        self.incarnation = update.incarnation
+        self.local_health = min(self.local_health + 1, MAX_LOCAL_HEALTH)
+        if update.state is MemberState.SUSPECT:
             self._refute()
             return
-        while self.flaps and self.flaps[0] < now - FLAPS_FOR:
-            self.flaps.popleft()
-        wait = min(BACK_AFTER * 2.0 ** (len(self.flaps) - 1), MOST_BACK) if self.flaps else 0.0
-        if math.isinf(self.back_at):
-            self.flaps.append(now)
-            self.back_at = now + wait
-        if not wait:
-            self.back_at = math.inf
+        if self._refute_timer.on_declared_dead(now):
             self._refute()
 
     def _refute(self) -> None:
         self.incarnation += 1
-        me = self.members[self.me]
-        me.news = News(self.start, self.incarnation, State.UP, self.me)
-        self.spread[self.me] = 0
-
-    def _believe(self, news: News, cause: str, now: float) -> None:
-        member = self.members.get(news.number)
-        before = member.news.state if member is not None else None
-        again = member is not None and news.start > member.news.start
-        if member is None:
-            member = self.members[news.number] = Member(news.number, news, now)
-        elif news <= member.news:
+        alive = MemberUpdate(self.generation, self.incarnation, MemberState.ALIVE, self.router_index)
+        self.view.members[self.router_index].update = alive
+        self.gossip.enqueue(self.router_index)
+
+    def _record(self, update: MemberUpdate, cause: str, now: float) -> None:
+        """Takes an update that we believe into the view, if it is new, and disseminates it."""
+        transition = self.view.apply(update, cause, now)
+        if transition is None:
             return
-        member.news = news
-        self.spread[news.number] = 0
-        if news.state is State.SUSPECTED:
-            if before is not State.SUSPECTED:
-                member.suspected_until = now + self._suspicion()
-        else:
-            member.suspected_until = math.inf
-        if news.state is State.UP:
-            member.accused_by.clear()
-            member.missed = False
-        if again:
-            member.claimed.clear()
-        if before is not news.state or again:
-            self.view, member.since = self.view + 1, now
-            self.changes.append(Change(news.number, news.start, news.state, cause))
-            if news.number != self.me and news.state in (State.GONE, State.LEFT):
-                self.probes = {no: p for no, p in self.probes.items() if p.about != news.number}
-
-    # The end.
-
-    def leave(self, now: float) -> Out:
-        """A planned stop: all are told at once, twice over, since datagrams get lost."""
-        self.leaving = True
-        if not self.joined or self.yielded:
-            return []
-        self._believe(News(self.start, self.incarnation, State.LEFT, self.me), "we leave", now)
-        return [(n, Message(MessageType.LEAVE, self.start)) for n in self.living() if n != self.me] * 2
+        self.gossip.enqueue(update.router)
+        member = self.view.members[update.router]
+        if update.state is not MemberState.SUSPECT:
+            member.suspicion_deadline = math.inf
+        elif transition.previous is not MemberState.SUSPECT:
+            member.suspicion_deadline = now + self._suspicion_timeout()
+        has_ended = update.state in (MemberState.DEAD, MemberState.LEFT)
+        if transition.is_change and has_ended and update.router != self.router_index:
+            self.prober.cancel_probes_of(update.router)
--- a/marbleworks/membership/leader_election.py
+++ b/marbleworks/membership/leader_election.py
@@ -1,9 +1,8 @@
-"""What a part of the group may do: the one exclusive right, and each router's part of the whole. No I/O, no
-clock.
+"""Leader election by votes that bind for a time, and the leader's division of the quota. No I/O, no clock.
 
-It owns promises to others, the votes for us and the division that we hold. It must never let two parts of a
-group hold the right at one moment, or all routers together use more than the whole: docs/design/peers.md has
-the proof. Times are float seconds of one clock that never goes back and keeps its pace within DRIFT.
+At no moment do two routers lead, or do all routers together use more than the whole quota:
+docs/design/peers.md has the proof, which needs the votes and the division together. Times are float seconds
+of one monotonic clock whose pace differs from others' by at most `MAX_CLOCK_DRIFT`.
 """
 
 from __future__ import annotations
@@ -11,273 +10,334 @@
 import math
 from collections.abc import Collection
 from dataclasses import dataclass
-from enum import Enum
 
-from marbleworks.membership.codec import Division, Message, MessageType
+from marbleworks.membership.messages import Message, MessageType, OutgoingMessage, QuotaDivision
+from marbleworks.membership.quota_holder import ProcessRef, QuotaHolder, qualified_number
+from marbleworks.membership.status import PartitionStatus, QuorumStatus
 
-DRIFT = 0.02  # bound on how much faster or slower than another's a router's clock may run
-EAGER = 4  # votes asked for in one term
-SOON = 0.1  # seconds between rounds at least, and while a division is changing
-Out = list[tuple[int, Message]]
-
-
-def _numbered(count: int, start: int) -> int:
-    """What an answer to an earlier process of our name does not carry."""
-    return (start & 0xFFFF) << 24 | count & 0xFFFFFF
-
-
-class Cut(Enum):
-    """Which part of the group a router is in, as far as it can know."""
-
-    WHOLE = "whole"
-    MOST = "most of it"
-    FEW = "without most of it"
-    ALONE = "alone"
-
-
-@dataclass(frozen=True)
-class Standing:
-    """What holds at a moment. sure: the part of the routers of that Cut that have proved it within the last
-    term."""
-
-    cut: Cut
-    sure: float
-    may_divide: bool  # the exclusive right: one router of the group has it, or none
-    may_take_over: bool  # what a router that is gone held alone: once its time is over
-    part: float  # of the whole that this router may use
-    among: int  # routers that a division counts, and ...
-    place: int  # ... this one's place; -1: it holds none, and only keeps what is kept for each
-    until: float  # when that ends, unless it is given anew; infinite where nothing is held
+MAX_CLOCK_DRIFT = 0.02  # bound on how much faster or slower than another's a router's clock may run
+ROUNDS_PER_VOTE = 4  # vote requests sent within the duration of a vote
+MIN_ROUND_INTERVAL_S = 0.1  # also the interval while a division is pending
 
 
 @dataclass(slots=True)
-class Granted:
-    """What one router was told of the division, as its divider knows it."""
+class MemberLease:
+    """What the leader knows of one router's part.
 
-    token: int = 0  # the last it gave us, and ...
-    came: float = -math.inf  # ... when that came
-    serial: int = 0  # it holds no older division than this
-    until: float = -math.inf  # and can't use any of ours from then on
+    Attributes:
+        token: the latest that it issued.
+        token_received_at: when that arrived.
+        held_serial: it holds no division that is older than this.
+        expires_at: when it can use none of our divisions any more, unless that is renewed.
+    """
+
+    token: int = 0
+    token_received_at: float = -math.inf
+    held_serial: int = 0
+    expires_at: float = -math.inf
 
 
 class LeaderElection:
-    """me: our number of `count`, by the settings, among which the majority counts. term: seconds for which a
-    vote binds; lease: seconds for which a part may be used; kept: part of the whole that is divided by the
-    settings' number and that each router may always use."""
-
-    def __init__(self, me: int, count: int, now: float, term: float, lease: float, kept: float) -> None:
-        self.me, self.count, self.term, self.lease, self.kept = me, count, term, lease, kept
-        # We may have voted before we were started, and there is no disk: that vote binds for a term.
-        self.bound_until, self.bound_to = now + term * (1 + DRIFT), (-1, 0)  # a router and its start
-        self.no, self.asked = 0, dict[int, float]()  # our requests for votes: when each was sent
-        self.votes: dict[int, float] = {}  # by router: when the request that it granted was sent
-        self.free_at: dict[int, float] = {}  # by router that refused us: when its vote is free again
-        self.next, self.rung_at = now, -math.inf
-        self.reigns, self.reigning = 0, False  # how often we gained the right, and whether we have it
-        self.granted: dict[int, Granted] = {}
-        self.serial, self.serials = 0, 0  # serials: how many divisions we made
-        self.place_of: dict[int, int] = {}
-        self.active = self.changing = False
-        self.held: Division | None = None  # by us, from the divider
-        self.held_until, self.tokens, self.token = -math.inf, dict[int, float](), 0
-        self.divider = (-1, 0)  # whose division we hold, and its start
-        self.leaving = False
-
-    # What others ask.
-
-    def until(self) -> float:
-        """Until when we have the exclusive right: the request that a majority has granted, the oldest of it,
-        bound them from a later moment for a term of their clocks."""
+    """One router's vote, its candidacy and, while it leads, the division of the quota.
+
+    Args:
+        router_index: index of this router among the configured ones.
+        router_count: number of configured routers, of which a majority elects.
+        now: the present.
+        vote_duration_s: time for which a vote binds its voter.
+        lease_s: time for which a part of the quota may be used.
+        reserved_share: part of the quota that is divided among all configured routers for good.
+    """
+
+    def __init__(
+        self,
+        router_index: int,
+        router_count: int,
+        now: float,
+        vote_duration_s: float,
+        lease_s: float,
+        reserved_share: float,
+    ) -> None:
+        self.router_index = router_index
+        self.router_count = router_count
+        self.vote_duration_s = vote_duration_s
+        self.lease_s = lease_s
+        self.reserved_share = reserved_share
+        self.next_round_at = now
+        self._last_round_at = -math.inf
+        # There is no disk: an earlier process of ours may have voted, and until its vote is over we don't.
+        self.voted_for: ProcessRef | None = None
+        self.voted_until = now + vote_duration_s * (1 + MAX_CLOCK_DRIFT)
+        self.votes: dict[int, float] = {}  # by voter: when the request that it granted was sent
+        self._vote_free_at: dict[int, float] = {}  # by router that refused: when its vote is free
+        self._request_number = 0
+        self._request_sent_at: dict[int, float] = {}  # by sequence
+        self.term = 0  # how often we became leader
+        self.is_leader = False
+        self.division_active = False
+        self.division_pending = False
+        self.index_by_router: dict[int, int] = {}  # the division that we made
+        self.member_leases: dict[int, MemberLease] = {}
+        self._division_serial = 0  # 0: we have made none in this term
+        self._last_serial = 0
+        self.holder = QuotaHolder(lease_s)
+
+    def leader_until(self) -> float:
+        """Until when we lead; the past where we don't.
+
+        A majority has granted requests that were sent no earlier than its oldest vote, and each voter is
+        bound from a later moment for the duration of a vote by its own clock.
+        """
         votes = sorted(self.votes.values(), reverse=True)
-        majority = self.count // 2 + 1
-        return votes[majority - 1] + self.term * (1 - DRIFT) if len(votes) >= majority else -math.inf
-
-    def standing(self, living: int, proved: int, now: float) -> Standing:
-        """living: routers that the view has up, proved: those of them that answered within the last term;
-        both count ourselves."""
-        if living >= self.count:
-            cut = Cut.WHOLE
-        elif 2 * living > self.count:
-            cut = Cut.MOST
-        else:
-            cut = Cut.FEW if living > 1 else Cut.ALONE
-        mine = now < self.until()
-        holds = self.held is not None and self.held.active and now < self.held_until
-        part, among, place = self.kept / self.count, self.count, -1
-        if holds and self.held is not None and self.held.place >= 0:
-            part += (1.0 - self.kept) / self.held.among
-            among, place = self.held.among, self.held.place
-        until = self.held_until if place >= 0 else math.inf
-        return Standing(cut, proved / max(living, 1), mine, mine, part, among, place, until)
-
-    def due(self) -> float:
-        return min(self.next, self.until() if self.votes else math.inf)
-
-    def hurry(self) -> None:
-        """Who is there has changed: the next round need not wait its time."""
-        self.next = min(self.next, self.rung_at + SOON)
-
-    # Time passes.
-
-    def tick(self, living: list[int], start: int, now: float, suspected: Collection[int] = ()) -> Out:
-        """Asks for votes where it is for us to ask: the lowest living number does, of a majority; the next
-        where that one is suspected."""
-        if now >= self.until() and self.reigning:
-            self._lose()
-        if now < self.next:
+        majority = self.router_count // 2 + 1
+        if len(votes) < majority:
+            return -math.inf
+        return votes[majority - 1] + self.vote_duration_s * (1 - MAX_CLOCK_DRIFT)
+
+    def partition_status(self, alive: int, confirmed: int, now: float) -> PartitionStatus:
+        """What we may do now.
+
+        Args:
+            alive: number of live routers by the view, ourselves among them.
+            confirmed: number of those that have answered within the last vote duration, and ourselves.
+            now: the present.
+        """
+        share = self.reserved_share / self.router_count
+        divisor = self.router_count
+        index = -1
+        valid_until = math.inf
+        division = self.holder.part_in_force(now)
+        if division is not None:
+            share += (1.0 - self.reserved_share) / division.divisor
+            divisor = division.divisor
+            index = division.index
+            valid_until = self.holder.held_until
+        return PartitionStatus(
+            QuorumStatus.of(alive, self.router_count),
+            confirmed / max(alive, 1),
+            now < self.leader_until(),
+            share,
+            divisor,
+            index,
+            valid_until,
+        )
+
+    def next_due(self) -> float:
+        """When `tick` is to be called next."""
+        return min(self.next_round_at, self.leader_until() if self.votes else math.inf)
+
+    def expedite(self) -> None:
+        """Holds the next round as soon as it may be, since the view has changed."""
+        self.next_round_at = min(self.next_round_at, self._last_round_at + MIN_ROUND_INTERVAL_S)
+
+    def tick(
+        self, alive: list[int], generation: int, now: float, suspected: Collection[int] = ()
+    ) -> list[OutgoingMessage]:
+        """Requests votes if we are the candidate: of a majority the lowest index that nobody suspects."""
+        if now >= self.leader_until() and self.is_leader:
+            self._step_down()
+        if now < self.next_round_at:
             return []
-        self.next, self.rung_at = now + self.term / EAGER, now
-        candidate = min((n for n in living if n not in suspected), default=self.me)
-        if candidate != self.me or 2 * len(living) <= self.count:
+        self.next_round_at = now + self.vote_duration_s / ROUNDS_PER_VOTE
+        self._last_round_at = now
+        candidate = min((router for router in alive if router not in suspected), default=self.router_index)
+        if candidate != self.router_index or 2 * len(alive) <= self.router_count:
             return []
-        out: Out = []
-        self.no += 1
-        no = _numbered(self.no, start)
-        self.asked[no] = now
-        self.asked = {no: at for no, at in self.asked.items() if at > now - self.term}
-        if self._grants(self.me, start, now):
-            self._voted(self.me, now, now)
-        if now < self.until():
-            self._divide(living, now)
-        for number in range(self.count):
-            if number == self.me:
-                if now < self.until():
-                    until = min(now + self.lease, self.until())
-                    self._hold(self._told(self.me), (self.me, start), until, now)
-                continue
-            if number in living or number in self.granted:
-                given = self.granted.get(number)
-                out.append(
-                    (
-                        number,
-                        Message(
-                            MessageType.VOTE,
-                            start,
-                            no=no,
-                            token=given.token if given else 0,
-                            division=self._told(number),
-                        ),
-                    )
-                )
-        if self.changing:
-            self.next = now + SOON
-        return out
-
-    def _lose(self) -> None:
+        sequence = self._next_request(generation, now)
+        if self._grant_vote(self.router_index, generation, now):
+            self._record_vote(self.router_index, now, now)
+        if now < self.leader_until():
+            self._update_division(alive, now)
+            own = ProcessRef(self.router_index, generation)
+            until = min(now + self.lease_s, self.leader_until())
+            self.holder.hold(self._division_for(self.router_index), own, until, now)
+        outgoing = [
+            OutgoingMessage(router, self._vote_request(router, generation, sequence))
+            for router in range(self.router_count)
+            if router != self.router_index and (router in alive or router in self.member_leases)
+        ]
+        if self.division_pending:
+            self.next_round_at = now + MIN_ROUND_INTERVAL_S
+        return outgoing
+
+    def _next_request(self, generation: int, now: float) -> int:
+        self._request_number += 1
+        sequence = qualified_number(self._request_number, generation)
+        self._request_sent_at[sequence] = now
+        self._request_sent_at = {
+            request: at for request, at in self._request_sent_at.items() if at > now - self.vote_duration_s
+        }
+        return sequence
+
+    def _vote_request(self, router: int, generation: int, sequence: int) -> Message:
+        lease = self.member_leases.get(router)
+        return Message(
+            MessageType.VOTE_REQUEST,
+            generation,
+            sequence=sequence,
+            token=lease.token if lease else 0,
+            division=self._division_for(router),
+        )
+
+    def _step_down(self) -> None:
         self.votes.clear()
-        self.granted.clear()
-        self.serial, self.active, self.changing, self.place_of = 0, False, False, {}
-        self.reigning = False
-
-    def _voted(self, by: int, sent: float, now: float) -> None:
-        self.votes[by] = max(self.votes.get(by, -math.inf), sent)
-        self.votes = {n: at for n, at in self.votes.items() if at + self.term * (1 - DRIFT) > now}
-        self.free_at.pop(by, None)
-        if now < self.until() and not self.reigning:  # another's parts ended with its right, before this
-            self.reigns, self.reigning = self.reigns + 1, True
-            self.hurry()
-
-    def _refused(self, by: int, wait: float, now: float) -> None:
-        """We ask again once a majority may be free, without rounds in vain until then."""
-        self.free_at[by] = now + min(wait, self.term * (1 + DRIFT))
-        free = sorted([*self.free_at.values(), *[now for n in self.votes if n not in self.free_at]])
-        if now >= self.until() and len(free) > self.count // 2:
-            self.next = max(free[self.count // 2], self.rung_at + SOON)
-
-    # What is divided. Only ever while we have the right.
-
-    def _divide(self, living: list[int], now: float) -> None:
-        members = set(self.place_of)
-        if not self.place_of and not self.changing:
-            self._begin(living)
-        elif members != set(living) and not self.changing:
-            out = members - set(living)
-            # Who is gone may still use its part until its lease has run out on its own clock.
-            if all(now >= self.granted[n].until for n in out if n in self.granted):
-                self._begin(living)
-        if self.changing and all(
-            self.granted[n].serial >= self.serial or now >= self.granted[n].until
-            for n in self.granted
-            if n != self.me
-        ):
-            self.active, self.changing = True, False
-            self.granted = {n: g for n, g in self.granted.items() if n in self.place_of}
-
-    def _begin(self, living: list[int]) -> None:
-        """A new division: first all give up the old one, then it is active."""
-        self.serials += 1
-        self.serial = self.serials  # its divider and that one's start are known besides
-        self.place_of = {number: place for place, number in enumerate(sorted(living))}
-        self.active, self.changing = False, True
-        for number in living:
-            self.granted.setdefault(number, Granted())
-
-    def _told(self, number: int) -> Division | None:
-        if not self.serial or not self.place_of:
+        self.member_leases.clear()
+        self._division_serial = 0
+        self.division_active = False
+        self.division_pending = False
+        self.index_by_router = {}
+        self.is_leader = False
+
+    def _record_vote(self, voter: int, sent_at: float, now: float) -> None:
+        """Counts a vote from when its request was sent, and forgets those that are over."""
+        self.votes[voter] = max(self.votes.get(voter, -math.inf), sent_at)
+        self.votes = {
+            router: at
+            for router, at in self.votes.items()
+            if at + self.vote_duration_s * (1 - MAX_CLOCK_DRIFT) > now
+        }
+        self._vote_free_at.pop(voter, None)
+        if now < self.leader_until() and not self.is_leader:
+            self.term += 1
+            self.is_leader = True
+            self.expedite()
+
+    def _record_refusal(self, voter: int, retry_after_s: float, now: float) -> None:
+        """Puts the next round to when a majority may be free, without rounds in vain until then."""
+        self._vote_free_at[voter] = now + min(retry_after_s, self.vote_duration_s * (1 + MAX_CLOCK_DRIFT))
+        granted = [now for router in self.votes if router not in self._vote_free_at]
+        free_at = sorted([*self._vote_free_at.values(), *granted])
+        majority = self.router_count // 2
+        if now >= self.leader_until() and len(free_at) > majority:
+            self.next_round_at = max(free_at[majority], self._last_round_at + MIN_ROUND_INTERVAL_S)
+
+    # The leader's division of the quota.
+
+    def _update_division(self, alive: list[int], now: float) -> None:
+        """Starts a new division when the group has changed, and activates it when the old one is given up."""
+        if not self.division_pending and self._needs_division(alive, now):
+            self._start_division(alive)
+        if self.division_pending and self._is_old_division_over(now):
+            self.division_active = True
+            self.division_pending = False
+            self.member_leases = {
+                router: lease
+                for router, lease in self.member_leases.items()
+                if router in self.index_by_router
+            }
+
+    def _needs_division(self, alive: list[int], now: float) -> bool:
+        if not self.index_by_router:
+            return True
+        counted = set(self.index_by_router)
+        if counted == set(alive):
+            return False
+        # A router that is gone may still use its part until its lease has expired by its own clock.
+        removed = counted - set(alive)
+        return all(
+            now >= self.member_leases[router].expires_at for router in removed if router in self.member_leases
+        )
+
+    def _is_old_division_over(self, now: float) -> bool:
+        """Whether each router with a lease has taken the new division, or its lease is over."""
+        return all(
+            lease.held_serial >= self._division_serial or now >= lease.expires_at
+            for router, lease in self.member_leases.items()
+            if router != self.router_index
+        )
+
+    def _start_division(self, alive: list[int]) -> None:
+        """Makes a new division, which is not active before all have given up the old one."""
+        self._last_serial += 1
+        self._division_serial = self._last_serial
+        self.index_by_router = {router: index for index, router in enumerate(sorted(alive))}
+        self.division_active = False
+        self.division_pending = True
+        for router in alive:
+            self.member_leases.setdefault(router, MemberLease())
+
+    def _division_for(self, router: int) -> QuotaDivision | None:
+        """Our division as sent to the router; None where there is none."""
+        if not self._division_serial or not self.index_by_router:
             return None
-        given = self.granted.get(number)
-        span = min(self.lease, self.until() - given.came) if given is not None else 0.0
-        place = self.place_of.get(number, -1)
-        return Division(self.serial, len(self.place_of), place, self.active, max(int(1000.0 * span), 0))
-
-    # What is heard.
-
-    def heard(self, peer: int, m: Message, start: int, now: float) -> Out:
-        if m.what is MessageType.VOTE:
-            granted = self._grants(peer, m.start, now)
-            if granted and m.division is not None:
-                began = self.tokens.get(m.token)
-                if began is not None:
-                    span = min(self.lease, m.division.span / 1000.0)
-                    self._hold(m.division, (peer, m.start), began + span * (1 - DRIFT), now)
-            self.token += 1
-            token = _numbered(self.token, start)
-            self.tokens[token] = now
-            self.tokens = {t: at for t, at in self.tokens.items() if at > now - self.lease}
-            held = self.held.serial if self.held is not None and (peer, m.start) == self.divider else 0
-            wait = 0 if granted else math.ceil(1000.0 * (self.bound_until - now))
-            said = Message(
-                MessageType.VOTED, start, no=m.no, token=token, held=held, granted=granted, wait=wait
-            )
-            return [(peer, said)]
-        if m.what is MessageType.VOTED:
-            sent = self.asked.get(m.no)
-            if sent is not None and m.granted:
-                self._voted(peer, sent, now)
-                given = self.granted.get(peer)
-                if given is not None:
-                    given.token, given.came = m.token, now
-                    given.serial = max(given.serial, m.held)
-                    # What we say with this token binds it, at the longest, from when it was said.
-                    given.until = now + self.lease * (1 + DRIFT)
-            elif sent is not None:
-                self._refused(peer, m.wait / 1000.0, now)
+        lease = self.member_leases.get(router)
+        validity_s = 0.0
+        if lease is not None:
+            validity_s = min(self.lease_s, self.leader_until() - lease.token_received_at)
+        return QuotaDivision(
+            self._division_serial,
+            len(self.index_by_router),
+            self.index_by_router.get(router, -1),
+            self.division_active,
+            max(int(1000.0 * validity_s), 0),
+        )
+
+    # Received messages.
+
+    def receive(self, sender: int, message: Message, generation: int, now: float) -> list[OutgoingMessage]:
+        """Handles a vote request or response. generation: our own."""
+        if message.message_type is MessageType.VOTE_REQUEST:
+            return [OutgoingMessage(sender, self._on_vote_request(sender, message, generation, now))]
+        if message.message_type is MessageType.VOTE_RESPONSE:
+            self._on_vote_response(sender, message, now)
         return []
 
-    def _grants(self, candidate: int, start: int, now: float) -> bool:
-        """One candidate at a time, by its start, since one that began anew knows nothing of what it divided;
-        who asks again is bound anew."""
-        if now < self.bound_until and (candidate, start) != self.bound_to:
-            return False
-        self.bound_to, self.bound_until = (candidate, start), now + self.term * (1 + DRIFT)
-        return True
+    def _on_vote_request(self, sender: int, message: Message, generation: int, now: float) -> Message:
+        candidate = ProcessRef(sender, message.generation)
+        granted = self._grant_vote(sender, message.generation, now)
+        if granted and message.division is not None:
+            self._accept_division(message.division, candidate, message.token, now)
+        token = self.holder.issue_token(generation, now)
+        return Message(
+            MessageType.VOTE_RESPONSE,
+            generation,
+            sequence=message.sequence,
+            token=token,
+            held_serial=self.holder.held_serial(candidate),
+            granted=granted,
+            retry_after_ms=0 if granted else math.ceil(1000.0 * (self.voted_until - now)),
+        )
+
+    def _accept_division(self, division: QuotaDivision, leader: ProcessRef, token: int, now: float) -> None:
+        """Holds a division until its validity, counted from when we issued the token, is over."""
+        issued_at = self.holder.token_issued_at.get(token)
+        if issued_at is None:
+            return
+        validity_s = min(self.lease_s, division.validity_ms / 1000.0)
+        self.holder.hold(division, leader, issued_at + validity_s * (1 - MAX_CLOCK_DRIFT), now)
 
-    def _hold(self, division: Division | None, divider: tuple[int, int], until: float, now: float) -> None:
-        """A division takes the place of an older one of its divider, also of one that has run out, since we
-        have told that we gave the older ones up; of another's at once: its parts ended with its right."""
-        if division is None or until <= now or self.leaving:
+    def _on_vote_response(self, sender: int, message: Message, now: float) -> None:
+        sent_at = self._request_sent_at.get(message.sequence)
+        if sent_at is None:
+            return
+        if not message.granted:
+            self._record_refusal(sender, message.retry_after_ms / 1000.0, now)
             return
-        held = self.held if divider == self.divider else None
-        if held is not None and (division.serial, division.active) < (held.serial, held.active):
-            return  # late
-        if held is not None and (division.serial, division.active) == (held.serial, held.active):
-            until = max(self.held_until, until)
-        self.held, self.divider, self.held_until = division, divider, until
+        self._record_vote(sender, sent_at, now)
+        lease = self.member_leases.get(sender)
+        if lease is not None:
+            lease.token = message.token
+            lease.token_received_at = now
+            lease.held_serial = max(lease.held_serial, message.held_serial)
+            # A division that we send with this token binds it, at the longest, from when it issued the token.
+            lease.expires_at = now + self.lease_s * (1 + MAX_CLOCK_DRIFT)
+
+    def _grant_vote(self, candidate: int, generation: int, now: float) -> bool:
+        """Votes for one process at a time; a repeated request renews the vote.
+
+        A process that started anew is another candidate, since it does not know what it has divided.
+        """
+        process = ProcessRef(candidate, generation)
+        if now < self.voted_until and process != self.voted_for:
+            return False
+        self.voted_for = process
+        self.voted_until = now + self.vote_duration_s * (1 + MAX_CLOCK_DRIFT)
+        return True
 
     def leave(self) -> None:
-        """We use no part from now on but what is kept: others are told so, and divide ours at once."""
-        self.leaving, self.held, self.held_until = True, None, -math.inf
+        """Uses no part but the reserved one from now on, so that others can divide it at once."""
+        self.holder.release()
 
-    def stopped(self, number: int) -> None:
-        """It has said that it leaves: it uses its part no longer."""
-        self.granted.pop(number, None)
+    def on_member_left(self, router: int) -> None:
+        """Ends the lease of a router that has left, which uses its part no longer."""
+        self.member_leases.pop(router, None)
--- a/marbleworks/membership/node.py
+++ b/marbleworks/membership/node.py
@@ -1,86 +1,130 @@
-"""One router of a group: its view and its rights together. No I/O, no clock.
+"""One router of a group: failure detector and leader election together. No I/O, no clock.
 
-It owns which of the two hears a message and when each is wanted next, and must never send: what is to be sent
-is returned. The actor on sockets and the group in simulated time both run this.
+Messages to send are returned. The service on sockets and the group in simulated time both run this.
 """
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
-from typing import Any
 
-from marbleworks.membership.codec import Message, MessageType, State
-from marbleworks.membership.failure_detector import Change, FailureDetector, Out
-from marbleworks.membership.leader_election import LeaderElection, Standing
+from marbleworks.membership.failure_detector import FailureDetector
+from marbleworks.membership.leader_election import LeaderElection
+from marbleworks.membership.member_view import MemberChange
+from marbleworks.membership.messages import MemberState, Message, MessageType, OutgoingMessage
+from marbleworks.membership.options import MembershipOptions
+from marbleworks.membership.status import PartitionStatus
 
 
 @dataclass(frozen=True)
 class LeaderRef:
-    """Whom to ask for parts, as subsystems are told: the divider that has our vote and its start (-1, 0:
-    none), our own start (0: none yet), and how long and for which time we have the right ourselves."""
+    """The group's leader, as subsystems see it.
 
-    divider: int
-    divider_start: int
-    start: int
-    reign: int
-    right_until: float  # by our clock; the past where we have it not
-    yielded: bool
+    Attributes:
+        leader: index of the router that has our vote; -1 where none has.
+        leader_generation: the leader's generation; 0 where there is none.
+        generation: our own; 0 until we have joined.
+        term: how often we became leader.
+        leader_until: until when we lead, by our clock; the past where we don't.
+        superseded: whether a later process has our index.
+    """
 
+    leader: int
+    leader_generation: int
+    generation: int
+    term: int
+    leader_until: float
+    superseded: bool
 
-class MembershipNode:
-    """terms: seconds by `period`, `suspicion`, `term` and `lease`, and the part `kept`."""
 
-    def __init__(self, me: int, count: int, seed: int, now: float, terms: dict[str, Any]) -> None:
-        self.me, self.term = me, float(terms["term"])
-        self.members = FailureDetector(me, count, seed, now, terms["period"], terms["suspicion"])
-        self.rights = LeaderElection(me, count, now, terms["term"], terms["lease"], terms["kept"])
+class MembershipNode:
+    """One router's part in the group.
+
+    Args:
+        router_index: index of this router among the configured ones.
+        router_count: number of configured routers.
+        seed: of the random choices of probe targets.
+        now: the present, in seconds of the clock that all calls use.
+        options: the operator's settings.
+    """
+
+    def __init__(
+        self, router_index: int, router_count: int, seed: int, now: float, options: MembershipOptions
+    ) -> None:
+        self.router_index = router_index
+        self.vote_duration_s = options.vote_duration_s
+        self.failure_detector = FailureDetector(
+            router_index, router_count, seed, now, options.probe_interval_s, options.suspicion_timeout_s
+        )
+        self.election = LeaderElection(
+            router_index, router_count, now, options.vote_duration_s, options.lease_s, options.reserved_share
+        )
 
     @property
-    def there(self) -> bool:
-        """Whether it is one of the group: begun, and not followed by another of its name."""
-        return self.members.joined and not self.members.yielded
-
-    def heard(self, peer: int, message: Message, now: float) -> Out:
-        if message.what not in (MessageType.VOTE, MessageType.VOTED):
-            return self.members.heard(peer, message, now)
-        known = self.members.members.get(peer)
-        if known is not None and message.start != known.news.start:
+    def is_member(self) -> bool:
+        """Whether it takes part in the group: it has joined, and no later process has its index."""
+        return self.failure_detector.joined and not self.failure_detector.superseded
+
+    def receive(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
+        """Handles a message; returns the answers."""
+        detector = self.failure_detector
+        if message.message_type not in (MessageType.VOTE_REQUEST, MessageType.VOTE_RESPONSE):
+            return detector.receive(sender, message, now)
+        known = detector.view.members.get(sender)
+        if known is not None and message.generation != known.update.generation:
             return []
-        return self.rights.heard(peer, message, self.members.start, now)
-
-    def tick(self, now: float) -> Out:
-        out = self.members.tick(now) if now >= self.members.due() else []
-        if self.there and now >= self.rights.due():
-            members = self.members
-            out = out + self.rights.tick(members.living(), members.start, now, members.suspected())
-        return out
-
-    def due(self) -> float:
-        return min(self.members.due(), self.rights.due() if self.members.joined else math.inf)
-
-    def changes(self) -> list[Change]:
-        """What changed since the last call; who has left gives its part back."""
-        changes, self.members.changes = self.members.changes, []
+        return self.election.receive(sender, message, detector.generation, now)
+
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        """Does what is due."""
+        detector = self.failure_detector
+        outgoing = detector.tick(now) if now >= detector.next_due() else []
+        if self.is_member and now >= self.election.next_due():
+            view = detector.view
+            outgoing = outgoing + self.election.tick(
+                view.alive_routers(), detector.generation, now, view.suspected_routers()
+            )
+        return outgoing
+
+    def next_due(self) -> float:
+        """When `tick` is to be called next."""
+        election_due = self.election.next_due() if self.failure_detector.joined else math.inf
+        return min(self.failure_detector.next_due(), election_due)
+
+    def take_changes(self) -> list[MemberChange]:
+        """Changes of members since the last call, which the election takes into account."""
+        view = self.failure_detector.view
+        changes = view.changes
+        view.changes = []
         for change in changes:
-            if change.state is State.LEFT:
-                self.rights.stopped(change.number)
-            if change.state is not State.UP:
-                self.rights.hurry()
+            if change.state is MemberState.LEFT:
+                self.election.on_member_left(change.router)
+            if change.state is not MemberState.ALIVE:
+                self.election.expedite()
         return changes
 
-    def standing(self, now: float) -> Standing:
-        living = self.members.living() if self.there else [self.me]
-        return self.rights.standing(len(living), self.members.reached_since(now - self.term), now)
-
-    def heed(self, now: float) -> LeaderRef:
-        rights, members = self.rights, self.members
-        divider, start = rights.bound_to if now < rights.bound_until else (-1, 0)
-        until = rights.until() if rights.reigning else -math.inf
-        own = members.start if members.joined else 0
-        return LeaderRef(divider, start, own, rights.reigns, until, members.yielded)
-
-    def leave(self, now: float) -> Out:
-        """A planned stop: it uses its part no longer, and then says so."""
-        self.rights.leave()
-        return self.members.leave(now)
+    def partition_status(self, now: float) -> PartitionStatus:
+        """What this router may do now."""
+        view = self.failure_detector.view
+        alive = len(view.alive_routers()) if self.is_member else 1
+        confirmed = view.answered_since(now - self.vote_duration_s)
+        return self.election.partition_status(alive, confirmed, now)
+
+    def leader_ref(self, now: float) -> LeaderRef:
+        """Whom subsystems are to follow now."""
+        election = self.election
+        detector = self.failure_detector
+        voted_for = election.voted_for if now < election.voted_until else None
+        return LeaderRef(
+            leader=voted_for.router if voted_for is not None else -1,
+            leader_generation=voted_for.generation if voted_for is not None else 0,
+            generation=detector.generation if detector.joined else 0,
+            term=election.term,
+            leader_until=election.leader_until() if election.is_leader else -math.inf,
+            superseded=detector.superseded,
+        )
+
+    def leave(self, now: float) -> list[OutgoingMessage]:
+        """A planned stop: gives up its part of the quota, then tells the others."""
+        self.election.leave()
+        return self.failure_detector.leave(now)
--- a/marbleworks/membership/options.py
+++ b/marbleworks/membership/options.py
@@ -1,8 +1,14 @@
-"""What the operator may say of routers that know each other."""
+"""The operator's settings of group membership: section `peers` of the operator's file."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
 
 from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
-PEERS = Section(
+MEMBERSHIP_SECTION = Section(
     "peers",
     "routers that know who of them is there, and divide among those",
     (
@@ -26,3 +32,40 @@
         ),
     ),
 )
+
+
+@dataclass(frozen=True)
+class MembershipOptions:
+    """Section `peers` with the names that the code uses.
+
+    Attributes:
+        group: name of the group; datagrams of another group are rejected.
+        probe_interval_s: time between two probes.
+        suspicion_timeout_s: time in which a suspected router has to refute, in a group of ten or fewer.
+        vote_duration_s: time for which a vote binds its voter.
+        lease_s: time for which a part of the quota may be used without renewal.
+        reserved_share: part of the quota that is divided by the number of configured routers and that each
+            of them may always use.
+        max_bytes_per_s: bound on what is sent, and on what each peer sends.
+    """
+
+    group: str
+    probe_interval_s: float
+    suspicion_timeout_s: float
+    vote_duration_s: float
+    lease_s: float
+    reserved_share: float
+    max_bytes_per_s: float
+
+    @classmethod
+    def from_section(cls, values: Mapping[str, Any]) -> MembershipOptions:
+        """Options from the section's values, which the operator's file has checked."""
+        return cls(
+            group=values["group"],
+            probe_interval_s=values["period"],
+            suspicion_timeout_s=values["suspicion"],
+            vote_duration_s=values["term"],
+            lease_s=values["lease"],
+            reserved_share=values["kept"],
+            max_bytes_per_s=values["pace"],
+        )
--- a/marbleworks/membership/report.py
+++ b/marbleworks/membership/report.py
@@ -1,6 +1,7 @@
-"""`peers show` and `peers watch`: asks a running router for its view, by the `health` that clients ask.
+"""The group's view as `health` returns it and as `peers show` and `peers watch` print it.
 
-It owns one connection at a time, and must never change anything at the router.
+The keys and texts of that view are an interface to operators and stay as they are; only this module maps the
+code's terms to them.
 """
 
 from __future__ import annotations
@@ -12,39 +13,133 @@
 
 import msgpack
 
-WITHIN = 3.0  # seconds for the answer
-HEADS = ("router", "start", "incarnation", "state", "since", "view", "answered")
+from marbleworks.membership.member_view import Member
+from marbleworks.membership.messages import MemberState
+from marbleworks.membership.node import MembershipNode
+from marbleworks.membership.status import QuorumStatus, QuotaRole
+
+QUERY_TIMEOUT_S = 3.0
+RECEIVE_BYTES = 65536
+COLUMNS = ("router", "start", "incarnation", "state", "since", "view", "answered")
+STATE_TEXTS = {
+    MemberState.ALIVE: "up",
+    MemberState.SUSPECT: "suspected",
+    MemberState.DEAD: "gone",
+    MemberState.LEFT: "left",
+}
+QUORUM_TEXTS = {
+    QuorumStatus.COMPLETE: "whole",
+    QuorumStatus.MAJORITY: "most of it",
+    QuorumStatus.MINORITY: "without most of it",
+    QuorumStatus.ISOLATED: "alone",
+}
+ROLE_TEXTS = {
+    None: "",
+    QuotaRole.LEADER: "divides",
+    QuotaRole.HOLDER: "has a part",
+    QuotaRole.RESERVED_ONLY: "keeps",
+}
 
 
 class HealthQueryError(Exception):
-    """Why there is no view."""
+    """A router's health can't be queried; the text says why."""
+
+
+def render_view(
+    node: MembershipNode, role: QuotaRole | None, invalid_datagrams: int, now: float
+) -> dict[str, Any]:
+    """The view for operators: texts, and below `rows` a list of texts for each member."""
+    detector = node.failure_detector
+    view = detector.view
+    status = node.partition_status(now)
+    leader = node.election.holder.leader
+    return {
+        "me": str(detector.router_index),
+        "view": str(view.version),
+        "digest": f"{view.digest:08x}",
+        "cut": QUORUM_TEXTS[status.quorum],
+        "sure": f"{status.confirmed_share:.2f}",
+        "health": str(detector.local_health),
+        "right": ROLE_TEXTS[role],
+        "part": f"{status.quota_share:.4f}",
+        "among": str(status.divisor),
+        "place": str(status.index),
+        "yielded": "yes" if detector.superseded else "no",
+        "divider": str(leader.router if leader is not None else -1),
+        "forged": str(detector.implausible_updates),
+        "unreadable": str(invalid_datagrams),
+        "rows": [_member_row(member, node, now) for _, member in sorted(view.members.items())],
+    }
+
+
+def _member_row(member: Member, node: MembershipNode, now: float) -> list[str]:
+    """The cells of `COLUMNS` for one member."""
+    detector = node.failure_detector
+    is_self = member.router == detector.router_index
+    if is_self:
+        agreement = "itself"
+        answered = "-"
+    else:
+        agreement = _agreement(member, detector.view.digest, now)
+        probed_at = member.last_answered_probe_at
+        answered = f"{now - probed_at:.1f} s ago" if probed_at > 0 else "never"
+    return [
+        str(member.router),
+        str(member.update.generation),
+        str(member.update.incarnation),
+        STATE_TEXTS[member.update.state],
+        f"{now - member.state_since:.1f} s",
+        agreement,
+        answered,
+    ]
+
+
+def _agreement(member: Member, digest: int, now: float) -> str:
+    if member.view_digest == digest:
+        return "agrees"
+    if member.differs_since is None:
+        return "differs"
+    return f"differs for {now - member.differs_since:.1f} s"
 
 
-def asked(address: str, about: str = "peers") -> dict[str, Any]:
-    """What a router shows of a subsystem, as its `shown` gives it; raises Unasked."""
+def query_health(address: str, subsystem: str = "peers") -> dict[str, Any]:
+    """A subsystem's part of the `health` answer of a running router.
+
+    Args:
+        address: host:port where the router listens for clients.
+        subsystem: name of the subsystem's section.
+
+    Raises:
+        HealthQueryError: the address is malformed, or the router does not answer or has no such subsystem.
+    """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
         raise HealthQueryError("expected host:port")
     try:
-        with socket.create_connection((host, int(port)), WITHIN) as sock:
-            sock.sendall(msgpack.packb([0, 1, "health", [{"about": about}]]))
-            unpacker = msgpack.Unpacker()
-            while True:
-                data = sock.recv(65536)
-                if not data:
-                    raise HealthQueryError("the router ended the connection")
-                unpacker.feed(data)
-                for message in unpacker:
-                    told = message[3][1]
-                    if not told:
-                        raise HealthQueryError(f"the router has no section ({about})")
-                    return dict(told)
+        with socket.create_connection((host, int(port)), QUERY_TIMEOUT_S) as sock:
+            sock.sendall(msgpack.packb([0, 1, "health", [{"about": subsystem}]]))
+            result = _receive_response(sock)[3][1]
+            if not result:
+                raise HealthQueryError(f"the router has no section ({subsystem})")
+            return dict(result)
     except (OSError, IndexError, TypeError) as err:
         raise HealthQueryError(str(err)) from None
 
 
-def table(view: dict[str, Any]) -> list[str]:
-    """Lines: what holds for the router, then a row for each of its group."""
+def _receive_response(sock: socket.socket) -> Any:
+    """The first MessagePack-RPC message that arrives."""
+    unpacker = msgpack.Unpacker()
+    while True:
+        data = sock.recv(RECEIVE_BYTES)
+        if not data:
+            raise HealthQueryError("the router ended the connection")
+        unpacker.feed(data)
+        for message in unpacker:
+            return message
+
+
+def format_view(view: dict[str, Any]) -> list[str]:
+    """Lines to print: what holds for the router, then a table of the members."""
     lines = [
         f"router {view['me']}: {view['cut']} (sure {view['sure']}), view {view['view']} {view['digest']}",
         f"{view['right']}: part {view['part']} of the whole, place {view['place']} of {view['among']},"
@@ -53,34 +148,46 @@
         f" forged {view['forged']}",
         "",
     ]
-    return lines + aligned(HEADS, view["rows"])
+    return lines + format_table(COLUMNS, view["rows"])
 
 
-def aligned(heads: tuple[str, ...], rows: list[list[str]]) -> list[str]:
-    """A table of texts, a line a row."""
-    cells = [heads, *(tuple(row) for row in rows)]
-    widths = [max(len(row[i]) for row in cells) for i in range(len(heads))]
+def format_table(columns: tuple[str, ...], rows: list[list[str]]) -> list[str]:
+    """Lines of a table with aligned columns, the first of them the heads."""
+    cells = [columns, *(tuple(row) for row in rows)]
+    widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
     return ["  ".join(cell.ljust(w) for cell, w in zip(row, widths, strict=True)).rstrip() for row in cells]
 
 
-def watched(address: str, every: float, times: int) -> Iterator[str]:
-    """A line for each change; raises Unasked where even the first look fails."""
+def watch_view(address: str, interval_s: float, max_queries: int) -> Iterator[str]:
+    """A line for each change in a router's view.
+
+    Args:
+        address: host:port where the router listens for clients.
+        interval_s: time between two queries.
+        max_queries: number of queries; 0 for no end.
+
+    Raises:
+        HealthQueryError: the first query fails; later failures are lines.
+    """
     last: dict[str, str] = {}
-    looks = 0
-    while not times or looks < times:
-        if looks:
-            time.sleep(every)
-        looks += 1
+    queries = 0
+    while not max_queries or queries < max_queries:
+        if queries:
+            time.sleep(interval_s)
+        queries += 1
         try:
-            view = asked(address)
+            current = _summary(query_health(address))
         except HealthQueryError as err:
-            if looks == 1:
+            if queries == 1:
                 raise
-            now = {"router": f"does not answer: {err}"}
-        else:
-            now = {"standing": f"{view['cut']}, {view['right']}, part {view['part']} among {view['among']}"}
-            now |= {f"router {row[0]}": f"{row[3]}, start {row[1]}" for row in view["rows"]}
-        for what in sorted(now.keys() | last.keys()):
-            if now.get(what) != last.get(what):
-                yield f"{time.strftime('%H:%M:%S')} {what}: {now.get(what, 'unknown')}"
-        last = now
+            current = {"router": f"does not answer: {err}"}
+        for subject in sorted(current.keys() | last.keys()):
+            if current.get(subject) != last.get(subject):
+                yield f"{time.strftime('%H:%M:%S')} {subject}: {current.get(subject, 'unknown')}"
+        last = current
+
+
+def _summary(view: dict[str, Any]) -> dict[str, str]:
+    """What is watched of a view, by its subject."""
+    standing = f"{view['cut']}, {view['right']}, part {view['part']} among {view['among']}"
+    return {"standing": standing} | {f"router {row[0]}": f"{row[3]}, start {row[1]}" for row in view["rows"]}
--- a/marbleworks/membership/service.py
+++ b/marbleworks/membership/service.py
@@ -1,170 +1,201 @@
-"""The group at work: an actor that carries the datagrams of `members.py` and `rights.py`, and says what
-changed.
-
-It owns the `Fellow` that they make, and one timer. It must never decide who is there or what may be done, and
-must never tell a subsystem more than the view and the standing.
-"""
+"""Group membership at work: an actor that carries the datagrams of a `MembershipNode` and reports changes."""
 
 from __future__ import annotations
 
 import math
 import time
-from collections.abc import Callable
-from dataclasses import replace
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, replace
 from typing import Any
 
-from marbleworks.membership.codec import MARK, DatagramDecodeError, State, decode, encode, group_of
-from marbleworks.membership.failure_detector import Out
+from marbleworks.membership.codec import MAGIC, DatagramDecodeError, decode, encode, group_hash
+from marbleworks.membership.member_view import MemberChange
+from marbleworks.membership.messages import MemberState, OutgoingMessage
 from marbleworks.membership.node import LeaderRef, MembershipNode
+from marbleworks.membership.options import MembershipOptions
+from marbleworks.membership.report import render_view
+from marbleworks.membership.status import PartitionStatus, QuorumStatus, QuotaRole
 from marbleworks.net.actor import LOG, Actor, clock
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 
-SAID = 10.0  # seconds between log lines on what one peer sends that can't be read
-SOONEST = 0.01  # seconds between two ticks at least
-EVENTS = {
-    State.UP: "peer up",
-    State.SUSPECTED: "peer suspected",
-    State.GONE: "peer gone",
-    State.LEFT: "peer left",
+INVALID_DATAGRAM_LOG_INTERVAL_S = 10.0  # for one peer
+MIN_TICK_INTERVAL_S = 0.01
+STATE_EVENTS = {
+    MemberState.ALIVE: "member alive",
+    MemberState.SUSPECT: "member suspected",
+    MemberState.DEAD: "member dead",
+    MemberState.LEFT: "member left",
 }
-Divided = Callable[[float, int, int, float, float], None]  # as `Gateway.divide` has it
+
+
+@dataclass(frozen=True)
+class QuotaShare:
+    """The part of each quota that this router may use.
+
+    Attributes:
+        share: from 0 to 1.
+        divisor: number of routers that the division counts.
+        index: this router's index among them; -1 where it may only use its reserved share.
+        valid_until: when the reserved share alone is left, by the clock of actors.
+        reserved_share: what this router may always use.
+    """
+
+    share: float
+    divisor: int
+    index: int
+    valid_until: float
+    reserved_share: float
 
 
 class MembershipService(Actor):
-    """divided: told, by a post of its own, what `Gateway.divide` takes; viewed: told the living routers and
-    their starts. heeds: told whom to ask for parts."""
+    """This router's membership in its group.
 
-    def __init__(self, terms: dict[str, Any], peers: DatagramTransport, seed: int, divided: Divided) -> None:
-        now = time.monotonic()
-        self.me, self.count = peers.me, len(peers.addresses)
-        self.group = group_of(f"{terms['group']} {self.count}")
-        self.fellow = MembershipNode(self.me, self.count, seed, now, terms)
-        self.members, self.rights = self.fellow.members, self.fellow.rights
-        self.divided, self.kept = divided, terms["kept"] / self.count
-        self.stood = 1.0 / self.count, self.count, self.me, math.inf
-        self.heeds: list[Callable[[LeaderRef], None]] = []
-        self.heed: LeaderRef | None = None
-        self.viewed: list[Callable[[dict[int, int]], None]] = []
-        self.cut = self.right = ""
-        self.unreadable: dict[int, dict[str, int]] = {}  # by peer and why
-        self.said: dict[int, float] = {}
+    Args:
+        options: the operator's settings.
+        peers: transport to the other routers.
+        seed: of the random choices of probe targets.
+        on_share: called with the router's part of each quota when that changes.
+
+    Listeners are called in this actor's greenlet: `leader_listeners` with the leader to follow,
+    `view_listeners` with the generation of each live router by its index.
+    """
+
+    def __init__(
+        self,
+        options: MembershipOptions,
+        peers: DatagramTransport,
+        seed: int,
+        on_share: Callable[[QuotaShare], None],
+    ) -> None:
+        self.router_index = peers.me
+        self.router_count = len(peers.addresses)
+        self.group = group_hash(f"{options.group} {self.router_count}")
+        self.node = MembershipNode(self.router_index, self.router_count, seed, time.monotonic(), options)
+        self.failure_detector = self.node.failure_detector
+        self.leader_listeners: list[Callable[[LeaderRef], None]] = []
+        self.view_listeners: list[Callable[[dict[int, int]], None]] = []
+        self.quorum: QuorumStatus | None = None
+        self.role: QuotaRole | None = None
+        self.invalid_datagrams: dict[int, dict[str, int]] = {}  # by peer and cause
+        self._reserved_share = options.reserved_share / self.router_count
+        self._on_share = on_share
+        # By the node's clock. The router starts with an even part for good.
+        self._share = self._quota_share(
+            1.0 / self.router_count, self.router_count, self.router_index, math.inf
+        )
+        self._leader: LeaderRef | None = None
+        self._invalid_logged_at: dict[int, float] = {}
         super().__init__()
-        self.tell = peers.register(DatagramKind("peers", MARK, terms["pace"]), self._came)
+        kind = DatagramKind("peers", MAGIC, options.max_bytes_per_s)
+        self._send_datagram = peers.register(kind, self._on_datagram)
         self.post(self.on_timer)
 
-    def _came(self, peer: int, data: bytes) -> None:
-        self.post(self.heard, peer, data)
+    def _on_datagram(self, peer: int, data: bytes) -> None:
+        self.post(self.receive, peer, data)
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def receive(self, peer: int, data: bytes) -> None:
+        """Handles a datagram; one that is invalid is counted for its sender."""
         try:
-            message = decode(self.group, self.count, data)
+            message = decode(self.group, self.router_count, data)
         except DatagramDecodeError as err:
-            why = self.unreadable.setdefault(peer, {})
-            why[str(err)] = why.get(str(err), 0) + 1
-            if clock() > self.said.get(peer, 0.0) + SAID:
-                self.said[peer] = clock()
-                LOG.warning("peer unreadable", peer=peer, why=str(err), count=why[str(err)])
+            self._on_invalid_datagram(peer, str(err))
             return
         now = time.monotonic()
-        self._send(self.fellow.heard(peer, message, now))
-        self._settle(now)
+        self._send(self.node.receive(peer, message, now))
+        self._report(now)
+
+    def _on_invalid_datagram(self, peer: int, cause: str) -> None:
+        causes = self.invalid_datagrams.setdefault(peer, {})
+        causes[cause] = causes.get(cause, 0) + 1
+        if clock() > self._invalid_logged_at.get(peer, 0.0) + INVALID_DATAGRAM_LOG_INTERVAL_S:
+            self._invalid_logged_at[peer] = clock()
+            LOG.warning("member datagram invalid", router=peer, cause=cause, count=causes[cause])
 
     def on_timer(self) -> None:
+        """Does what is due."""
+        now = time.monotonic()
+        self._send(self.node.tick(now))
+        self._report(now)
+
+    def leave(self) -> None:
+        """Begins a planned stop: notifies the other routers at once."""
         now = time.monotonic()
-        self._send(self.fellow.tick(now))
-        self._settle(now)
+        self._send(self.node.leave(now))
+        self._report(now)
+
+    def health_view(self) -> dict[str, Any]:
+        """The view as `health` returns it and `peers show` prints it: texts and lists of texts."""
+        invalid = sum(sum(causes.values()) for causes in self.invalid_datagrams.values())
+        return render_view(self.node, self.role, invalid, time.monotonic())
 
-    def _settle(self, now: float) -> None:
-        """Says what changed, and rings again when it is time."""
-        changes = self.fellow.changes()
+    def _send(self, outgoing: Iterable[OutgoingMessage]) -> None:
+        for to, message in outgoing:
+            self._send_datagram(encode(self.group, message), to)
+
+    def _report(self, now: float) -> None:
+        """Logs and passes on what changed, and sets the timer."""
+        changes = self.node.take_changes()
         for change in changes:
-            if change.number == self.me and change.state is State.GONE:
-                LOG.error("peer name taken", number=change.number, start=change.start, cause=change.cause)
-            else:
-                LOG.info(
-                    EVENTS[change.state],
-                    number=change.number,
-                    start=change.start,
-                    cause=change.cause,
-                    view=self.members.view,
-                    digest=f"{self.members.digest:08x}",
-                )
+            self._log_change(change)
         if changes:
-            living = {n: self.members.members[n].news.start for n in self.members.living()}
-            for told in self.viewed:
-                told(living)
-        standing = self.fellow.standing(now)
-        right = "divides" if standing.may_divide else "has a part" if standing.place >= 0 else "keeps"
-        if standing.cut.value != self.cut or right != self.right:
-            self.cut, self.right = standing.cut.value, right
-            LOG.info(
-                "peers standing",
-                cut=self.cut,
-                right=right,
-                sure=round(standing.sure, 2),
-                part=round(standing.part, 4),
-                among=standing.among,
+            self._notify_view_listeners()
+        status = self.node.partition_status(now)
+        self._report_status(status)
+        self._report_share(status, now)
+        self._report_leader(now)
+        due = min(self.node.next_due(), status.valid_until)
+        self.wake_at = clock() + max(due - now, MIN_TICK_INTERVAL_S)
+
+    def _log_change(self, change: MemberChange) -> None:
+        if change.router == self.router_index and change.state is MemberState.DEAD:
+            LOG.error(
+                "member superseded", router=change.router, generation=change.generation, cause=change.cause
             )
-        stood = standing.part, standing.among, standing.place, standing.until
-        if stood != self.stood:
-            self.stood = stood
-            self.divided(*stood[:3], clock() + (standing.until - now), self.kept)
-        heed = self.fellow.heed(now)
-        if heed != self.heed:
-            self.heed = heed
-            told_heed = replace(heed, right_until=clock() + (heed.right_until - now))
-            for heeds in self.heeds:
-                heeds(told_heed)
-        self.wake_at = clock() + max(min(self.fellow.due(), standing.until) - now, SOONEST)
-
-    def _send(self, out: Out) -> None:
-        for to, message in out:
-            self.tell(encode(self.group, message), to)
+            return
+        view = self.failure_detector.view
+        LOG.info(
+            STATE_EVENTS[change.state],
+            router=change.router,
+            generation=change.generation,
+            cause=change.cause,
+            view_version=view.version,
+            view_digest=f"{view.digest:08x}",
+        )
 
-    def leave(self) -> None:
-        """A planned stop begins: the peers are told at once."""
-        now = time.monotonic()
-        self._send(self.fellow.leave(now))
-        self._settle(now)
+    def _notify_view_listeners(self) -> None:
+        view = self.failure_detector.view
+        generations = {router: view.members[router].update.generation for router in view.alive_routers()}
+        for listener in self.view_listeners:
+            listener(generations)
 
-    def shown(self) -> dict[str, Any]:
-        """The view as `peers show` prints it: texts and lists of texts."""
-        now = time.monotonic()
-        m, standing = self.members, self.fellow.standing(now)
-        rows = []
-        for number, member in sorted(m.members.items()):
-            agrees = "itself" if number == self.me else "agrees" if member.digest == m.digest else "differs"
-            if agrees == "differs" and member.differs_since is not None:
-                agrees += f" for {now - member.differs_since:.1f} s"
-            rows.append(
-                [
-                    str(number),
-                    str(member.news.start),
-                    str(member.news.incarnation),
-                    member.news.state.name.lower(),
-                    f"{now - member.since:.1f} s",
-                    agrees,
-                    "-"
-                    if number == self.me
-                    else f"{now - member.reached:.1f} s ago"
-                    if member.reached > 0
-                    else "never",
-                ]
-            )
-        return {
-            "me": str(self.me),
-            "view": str(m.view),
-            "digest": f"{m.digest:08x}",
-            "cut": standing.cut.value,
-            "sure": f"{standing.sure:.2f}",
-            "health": str(m.health),
-            "right": self.right,
-            "part": f"{standing.part:.4f}",
-            "among": str(standing.among),
-            "place": str(standing.place),
-            "yielded": "yes" if m.yielded else "no",
-            "divider": str(self.rights.divider[0]),
-            "forged": str(m.forged),
-            "unreadable": str(sum(sum(why.values()) for why in self.unreadable.values())),
-            "rows": rows,
-        }
+    def _report_status(self, status: PartitionStatus) -> None:
+        if status.quorum is self.quorum and status.role is self.role:
+            return
+        self.quorum = status.quorum
+        self.role = status.role
+        LOG.info(
+            "quorum status changed",
+            quorum=status.quorum.value,
+            role=status.role.value,
+            confirmed_share=round(status.confirmed_share, 2),
+            quota_share=round(status.quota_share, 4),
+            divisor=status.divisor,
+        )
+
+    def _report_share(self, status: PartitionStatus, now: float) -> None:
+        share = self._quota_share(status.quota_share, status.divisor, status.index, status.valid_until)
+        if share != self._share:
+            self._share = share
+            self._on_share(replace(share, valid_until=clock() + (status.valid_until - now)))
+
+    def _quota_share(self, share: float, divisor: int, index: int, valid_until: float) -> QuotaShare:
+        return QuotaShare(share, divisor, index, valid_until, self._reserved_share)
+
+    def _report_leader(self, now: float) -> None:
+        leader = self.node.leader_ref(now)
+        if leader == self._leader:
+            return
+        self._leader = leader
+        shifted = replace(leader, leader_until=clock() + (leader.leader_until - now))
+        for listener in self.leader_listeners:
+            listener(shifted)
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -11,11 +11,11 @@
 from marbleworks.background.options import BACKGROUND
 from marbleworks.budgets.options import BUDGETS
 from marbleworks.fair_queue.options import DOOR
-from marbleworks.membership.options import PEERS
+from marbleworks.membership.options import MEMBERSHIP_SECTION
 from marbleworks.operator_config import document as book
 from marbleworks.spool.options import SPOOL
 
-SECTIONS = {section.name: section for section in (BACKGROUND, SPOOL, DOOR, PEERS, BUDGETS)}
+SECTIONS = {section.name: section for section in (BACKGROUND, SPOOL, DOOR, MEMBERSHIP_SECTION, BUDGETS)}
 read_book = partial(book.OperatorConfig.read, SECTIONS)  # raises OperatorError
 sections_of = partial(book.sections_of, SECTIONS)
 described = partial(book.described, SECTIONS)
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -41,12 +41,22 @@
     def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
         """Starts what the file names; raises DeploymentError in a line where that can't be done."""
         if self.book.has("peers") and deployment.rules.allows_peer_messages:
-            from marbleworks.membership.service import MembershipService
-
-            def divided(*told: float) -> None:
-                desk.post(desk.scheduler.set_router_share, *told)
-
-            self.steward = MembershipService(self.book["peers"], peers, desk.scheduler.seed, divided)
+            from marbleworks.membership.options import MembershipOptions
+            from marbleworks.membership.service import MembershipService, QuotaShare
+
+            def on_share(share: QuotaShare) -> None:
+                desk.post(
+                    desk.scheduler.set_router_share,
+                    share.share,
+                    share.divisor,
+                    share.index,
+                    share.valid_until,
+                    share.reserved_share,
+                )
+
+            self.steward = MembershipService(
+                MembershipOptions.from_section(self.book["peers"]), peers, desk.scheduler.seed, on_share
+            )
             self.about = self._about
         if self.book.has("budgets"):
             self._budgets(desk, deployment, peers)
@@ -56,7 +66,7 @@
             desk.admission = self.porter = FairQueueService(self.book["door"], desk, deployment, peers)
             if self.steward is not None:
                 shares = self.porter.door.shares
-                self.steward.viewed.append(lambda starts: desk.post(shares.viewed, starts))
+                self.steward.view_listeners.append(lambda starts: desk.post(shares.viewed, starts))
         if not self.book.has("spool"):
             return
         from marbleworks.background.task_runner import BEHIND, TaskRunner
@@ -96,7 +106,7 @@
             desk.make_engine_client = counted
         self.replan = lambda: desk.post(holder.replan, self._plan(deployment))
         if self.steward is not None:
-            self.steward.heeds.append(lambda heed: treasurer.post(treasurer.heeds, heed))
+            self.steward.leader_listeners.append(lambda heed: treasurer.post(treasurer.heeds, heed))
         self.about = self._about
 
     def _plan(self, deployment: Settings) -> BudgetCatalog:
@@ -144,7 +154,7 @@
         """What `health` tells besides, of the subsystem that it names."""
         if what == "budgets" and self.treasurer is not None:
             return self.treasurer.shown()
-        return self.steward.shown() if what == "peers" and self.steward is not None else {}
+        return self.steward.health_view() if what == "peers" and self.steward is not None else {}
 
     def close(self) -> None:
         if self.chores is not None:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -29,7 +29,7 @@
 from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
-from marbleworks.membership.codec import MOST, DatagramDecodeError
+from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
 from marbleworks.scheduling.scheduler import Scheduler
@@ -65,9 +65,12 @@
     for some in told:
         report = Report(n, n, n, n, n, n, leaving, n, some)
         data = encode_report(7, report)
-        assert len(data) <= MOST and decode(7, data) == report
+        assert len(data) <= MAX_DATAGRAM_BYTES and decode(7, data) == report
         answer = Answer(n, n, n, tuple(Grant(e.number, e.serial, e.used, e.whole) for e in some))
-        assert len(encode_answer(7, answer)) <= MOST and decode(7, encode_answer(7, answer)) == answer
+        assert (
+            len(encode_answer(7, answer)) <= MAX_DATAGRAM_BYTES
+            and decode(7, encode_answer(7, answer)) == answer
+        )
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -28,7 +28,7 @@
 from marbleworks.lab import levels
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.levels import World, begun, exhaust, stroll, warm
-from marbleworks.membership.codec import MOST, DatagramDecodeError
+from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 
 WALKS, ACTS = 400, 300
 
@@ -331,7 +331,7 @@
         (welcome, encode_welcome(7, welcome)),
         (report, encode_report(7, report)),
     ):
-        assert decode(7, data) == said and len(data) <= MOST
+        assert decode(7, data) == said and len(data) <= MAX_DATAGRAM_BYTES
         torn = bytearray(data)
         torn[at % len(data)] ^= flip
         for bad in (bytes(torn), data[: at % len(data)], noise):
--- a/tests/cells/test_home_leases.py
+++ b/tests/cells/test_home_leases.py
@@ -279,7 +279,7 @@
 
 GUARDS = [
     ("settle", Granter, "_over", lambda self, account: account.until, moves_without_a_word),
-    ("bound on clocks", homes, "DRIFT", -0.02, moves_without_a_word),
+    ("bound on clocks", homes, "MAX_CLOCK_DRIFT", -0.02, moves_without_a_word),
     (
         "no longer than its own lease",
         Granter,
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -21,8 +21,8 @@
 from marbleworks.lab.page import OFF, OVER, UNRUN, Book, PageError, Results, problems, written
 from marbleworks.lab.slopes import Slope, Slopes
 from marbleworks.lab.target import Allowance, Use, Variant, cell_size, worked
-from marbleworks.membership.leader_election import DRIFT
-from marbleworks.membership.options import PEERS
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
+from marbleworks.membership.options import MEMBERSHIP_SECTION
 from marbleworks.net.discovery import ASK_EVERY, MOST_ANSWER, TOLD_AFTER
 from marbleworks.scheduling.scheduler import MAX_HOME_SETS
 
@@ -342,8 +342,8 @@
     assert (told["lease"], told["settle"]) == (target.LEASE, target.SETTLE)
     assert (target.ASKS, target.ANSWER, target.TOLD) == (1 / ASK_EVERY, MOST_ANSWER, TOLD_AFTER)
     assert target.HOMES == MAX_HOME_SETS
-    peers = {s.name: s.default for s in PEERS.settings}
-    assert (peers["term"], DRIFT) == (target.TERM, target.DRIFT)
+    peers = {s.name: s.default for s in MEMBERSHIP_SECTION.settings}
+    assert (peers["term"], MAX_CLOCK_DRIFT) == (target.TERM, target.DRIFT)
     assert (target.REPORTS, target.QUIET) == (1 / EVERY, DOUBT)
     most = 2**16 - 1
     widest = Entry(2**32 - 1, 2**32 - 1, most, most, most, most / 100, most, most, most)
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -30,8 +30,8 @@
 from marbleworks.lab.hollow_process import KINDS, Wire
 from marbleworks.lab.stage import free_port, settings, until
 from marbleworks.lab.standins import HOST, configuration
-from marbleworks.membership.codec import State
-from marbleworks.membership.failure_detector import Change
+from marbleworks.membership.failure_detector import MemberChange
+from marbleworks.membership.messages import MemberState
 
 FAST = "(peers (period 100 ms) (suspicion 400 ms) (term 1 s) (lease 600 ms)) (budgets)"
 COUNT, WITHIN = 5, 30.0  # seconds for anything: a busy machine is slow, and the verdict is the same
@@ -182,7 +182,7 @@
 def test_a_simulated_death_is_known_to_all_the_living_and_then_undone() -> None:
     group = Group(6, 1)
     group.run(6.0)
-    another = Change(4, 1, State.GONE, "another's")
+    another = MemberChange(4, 1, MemberState.DEAD, "another's")
     group.at(group.now + 0.01, group.changed, 0, another)
     known = simulated_death(group, 2)
     assert len(known) == 5 and 0.1 < min(known) <= max(known) < 8.0
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -278,12 +278,12 @@
 
     group.send = seen  # type: ignore[method-assign]
     group.run(0.5)
-    told = [decode(GROUP, 40, data).news for data in wires]
+    told = [decode(GROUP, 40, data).updates for data in wires]
     assert any(told)  # so soon after a start
     flat.settled(group)
     wires.clear()
     group.run(2.0)
-    assert len(wires) > 40 and not any(decode(GROUP, 40, data).news for data in wires)
+    assert len(wires) > 40 and not any(decode(GROUP, 40, data).updates for data in wires)
 
 
 def test_a_division_that_counts_one_that_is_dead_is_not_the_one_anew() -> None:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -15,21 +15,23 @@
 from marbleworks.lab.group import GROUP, Group, Weather
 from marbleworks.membership import leader_election as rights_module
 from marbleworks.membership.codec import (
-    MOST,
+    MAX_DATAGRAM_BYTES,
     DatagramDecodeError,
-    Division,
+    MemberState,
+    MemberUpdate,
     Message,
     MessageType,
-    News,
-    State,
+    QuotaDivision,
     decode,
     encode,
 )
-from marbleworks.membership.failure_detector import AHEAD, FailureDetector
-from marbleworks.membership.leader_election import Cut, LeaderElection
+from marbleworks.membership.evidence import MAX_COUNTER_JUMP
+from marbleworks.membership.failure_detector import FailureDetector
+from marbleworks.membership.leader_election import LeaderElection
+from marbleworks.membership.status import QuorumStatus
 
 COUNT = st.integers(0, (1 << 40) - 1)
-NEWS = st.builds(News, COUNT, COUNT, st.sampled_from(State), st.integers(0, 6))
+NEWS = st.builds(MemberUpdate, COUNT, COUNT, st.sampled_from(MemberState), st.integers(0, 6))
 MESSAGES = st.builds(
     Message,
     st.sampled_from(MessageType),
@@ -40,7 +42,7 @@
     COUNT,
     COUNT,
     st.booleans(),
-    st.none() | st.builds(Division, COUNT, st.just(7), st.integers(-1, 6), st.booleans(), COUNT),
+    st.none() | st.builds(QuotaDivision, COUNT, st.just(7), st.integers(-1, 6), st.booleans(), COUNT),
     COUNT,
     st.lists(NEWS, max_size=12).map(tuple),
 )
@@ -51,8 +53,8 @@
 def test_a_message_comes_back_as_it_was_but_for_the_news_that_did_not_fit(message: Message) -> None:
     data = encode(GROUP, message)
     back = decode(GROUP, 7, data)
-    assert len(data) <= MOST and back.news == message.news[: len(back.news)]
-    assert len(back.news) == len(message.news) or len(data) > MOST - 30
+    assert len(data) <= MAX_DATAGRAM_BYTES and back.updates == message.updates[: len(back.updates)]
+    assert len(back.updates) == len(message.updates) or len(data) > MAX_DATAGRAM_BYTES - 30
     assert encode(GROUP, back) == data
 
 
@@ -80,7 +82,7 @@
         return struct.pack("<BBII", 0xD1, version, GROUP, zlib.crc32(body, version)) + body
 
     later = decode(GROUP, 7, sealed(9, {0: 3, 1: 5, 9: [[2, 1, 0, 1, "more"]], 77: {"new": 1}}))
-    assert later == Message(MessageType.PING, 5, news=(News(1, 0, State.SUSPECTED, 2),))
+    assert later == Message(MessageType.PING, 5, updates=(MemberUpdate(1, 0, MemberState.SUSPECT, 2),))
     for version, fields in (
         (0, {0: 3, 1: 5}),
         (1, {0: 99, 1: 5}),
@@ -108,7 +110,7 @@
     """When each router believed first that it is gone, after that moment."""
     found: dict[int, float] = {}
     for at, by, change in g.changes:
-        if at > since and change.number == number and change.state in (State.GONE, State.LEFT):
+        if at > since and change.router == number and change.state in (MemberState.DEAD, MemberState.LEFT):
             found.setdefault(by, at - since)
     return found
 
@@ -116,10 +118,10 @@
 def test_a_whole_group_is_divided_evenly_by_one_and_costs_little() -> None:
     g = group()
     assert g.dividers() == [0] and g.used() == pytest.approx(1.0)
-    assert {r.standing().cut for r in g.routers} == {Cut.WHOLE}
+    assert {r.standing().quorum for r in g.routers} == {QuorumStatus.COMPLETE}
     before = list(g.sent_bytes)
     g.run(10.0)
-    assert not [c for c in g.changes if c[2].state is not State.UP]
+    assert not [c for c in g.changes if c[2].state is not MemberState.ALIVE]
     assert max(b - a for a, b in zip(before, g.sent_bytes, strict=True)) < 8_000  # in ten seconds
 
 
@@ -161,7 +163,11 @@
         g.kill(number)
     g.run(12.0, lambda: object_to(g))
     stands = g.routers[0].standing()
-    assert stands.cut is Cut.ALONE and not stands.may_divide and stands.part == pytest.approx(0.25 / 7)
+    assert (
+        stands.quorum is QuorumStatus.ISOLATED
+        and not stands.is_leader
+        and stands.quota_share == pytest.approx(0.25 / 7)
+    )
 
 
 def test_one_that_stood_still_doubts_itself_and_removes_nobody() -> None:
@@ -170,9 +176,9 @@
         g.pause(5, seconds)
         at = g.now
         g.run(seconds + 4.0, partial(object_to, g))
-        by_it = [c for c in g.changes if c[1] == 5 and c[0] > at and c[2].state is State.GONE]
+        by_it = [c for c in g.changes if c[1] == 5 and c[0] > at and c[2].state is MemberState.DEAD]
         assert not by_it and g.agreed(), by_it
-        assert g.routers[5].members.start == 1  # it is the same one, and refuted
+        assert g.routers[5].members.generation == 1  # it is the same one, and refuted
 
 
 @pytest.mark.parametrize(
@@ -187,10 +193,10 @@
     assert g.dividers() == divides
     for part in parts:
         for n in part:
-            assert g.routers[n].members.living() == list(part)
+            assert g.routers[n].members.view.alive_routers() == list(part)
             stands = g.routers[n].standing()
-            assert stands.cut is (Cut.MOST if len(part) > 3 else Cut.FEW)
-            assert (stands.place >= 0) == (len(part) > 3)
+            assert stands.quorum is (QuorumStatus.MAJORITY if len(part) > 3 else QuorumStatus.MINORITY)
+            assert (stands.index >= 0) == (len(part) > 3)
     g.weather.cut = lambda a, b: False
     g.run(6.0, lambda: object_to(g))
     assert g.agreed()
@@ -204,7 +210,9 @@
     g.run(20.0, lambda: object_to(g))
     g.kill(0)
     g.run(15.0, lambda: object_to(g))
-    assert all(r.standing().cut is Cut.ALONE for r in g.living()) and g.used() == pytest.approx(0.25 * 6 / 7)
+    assert all(
+        r.standing().quorum is QuorumStatus.ISOLATED for r in g.living()
+    ) and g.used() == pytest.approx(0.25 * 6 / 7)
     g.weather.cut = lambda a, b: False
     g.run(20.0, lambda: object_to(g))
     assert g.agreed() and g.used() == pytest.approx(0.75 + 0.25 * 6 / 7)
@@ -222,7 +230,7 @@
     at = g.now
     g.weather.cut = lambda a, b: (a, b) == (1, 2)  # 2 never hears 1
     g.run(30.0, lambda: object_to(g))
-    assert not [c for c in g.changes if c[0] > at and c[2].state is State.GONE] and g.agreed()
+    assert not [c for c in g.changes if c[0] > at and c[2].state is MemberState.DEAD] and g.agreed()
 
 
 def test_one_that_hears_all_and_is_heard_by_nobody_is_out_and_says_so_no_more_than_it_must() -> None:
@@ -230,9 +238,9 @@
     at = g.now
     g.weather.cut = lambda a, b: a == 6
     g.run(30.0, lambda: object_to(g))
-    assert all(r.members.living() == [0, 1, 2, 3, 4, 5] for r in g.routers[:6])
-    assert not g.routers[6].standing().may_divide and g.routers[6].part() == pytest.approx(0.25 / 7)
-    assert sum(c[0] > at and c[2].number == 6 for c in g.changes if c[1] < 6) <= 12  # no ping-pong
+    assert all(r.members.view.alive_routers() == [0, 1, 2, 3, 4, 5] for r in g.routers[:6])
+    assert not g.routers[6].standing().is_leader and g.routers[6].part() == pytest.approx(0.25 / 7)
+    assert sum(c[0] > at and c[2].router == 6 for c in g.changes if c[1] < 6) <= 12  # no ping-pong
     g.weather.cut = lambda a, b: False
     g.run(12.0)
     assert g.agreed()
@@ -243,18 +251,20 @@
     at = g.now
     g.weather.cut = lambda a, b: {a, b} == {2, 5}
     g.run(30.0)
-    assert not [c for c in g.changes if c[0] > at and c[2].state is State.GONE]
+    assert not [c for c in g.changes if c[0] > at and c[2].state is MemberState.DEAD]
 
 
 def test_a_refutation_that_got_lost_is_told_again() -> None:
     g = group()
     accused, accuser = g.routers[4].members, g.routers[1].members
-    accuser._believe(News(1, 0, State.SUSPECTED, 4), "by hand", g.routers[1].clock())
-    accuser.spread.clear()  # nobody hears of it
-    accused._accused(News(1, 0, State.SUSPECTED, 4), g.routers[4].clock())
-    accused.spread.clear()  # nor of the answer, which was lost
+    accuser._record(MemberUpdate(1, 0, MemberState.SUSPECT, 4), "by hand", g.routers[1].clock())
+    accuser.gossip.transmissions.clear()  # nobody hears of it
+    accused._on_accused(MemberUpdate(1, 0, MemberState.SUSPECT, 4), g.routers[4].clock())
+    accused.gossip.transmissions.clear()  # nor of the answer, which was lost
     g.run(6.0)
-    assert all(r.members.members[4].news == News(1, 1, State.UP, 4) for r in g.routers)
+    assert all(
+        r.members.view.members[4].update == MemberUpdate(1, 1, MemberState.ALIVE, 4) for r in g.routers
+    )
 
 
 def test_news_of_a_router_that_went_and_came_back_twice_since_change_nothing() -> None:
@@ -264,10 +274,14 @@
         g.run(4.0)
         g.start(4)
         g.run(4.0)
-    assert g.agreed() and g.routers[4].members.start == 3
-    for old in (News(1, 0, State.GONE, 4), News(2, 9, State.LEFT, 4), News(1, 5, State.UP, 4)):
-        g.routers[1].members._told(old, 2, g.routers[1].clock())
-    assert g.agreed() and g.routers[1].members.members[4].news.start == 3
+    assert g.agreed() and g.routers[4].members.generation == 3
+    for old in (
+        MemberUpdate(1, 0, MemberState.DEAD, 4),
+        MemberUpdate(2, 9, MemberState.LEFT, 4),
+        MemberUpdate(1, 5, MemberState.ALIVE, 4),
+    ):
+        g.routers[1].members._apply_update(old, 2, g.routers[1].clock())
+    assert g.agreed() and g.routers[1].members.view.members[4].update.generation == 3
 
 
 def test_a_start_without_a_disk_takes_a_higher_number_and_an_older_process_of_the_name_yields() -> None:
@@ -277,15 +291,15 @@
     twin = g.routers[2] = type(zombie)(g, 2, 1.0)  # started beside it, under its name
     twin.ring()
     g.run(5.0)
-    assert twin.members.start == 2 and not twin.members.yielded
+    assert twin.members.generation == 2 and not twin.members.superseded
     zombie.paused_until = 0.0
     for other in (0, 1):  # what it says is answered by what others have seen
-        for to, said in g.routers[other].members.heard(
-            2, Message(MessageType.PING, 1, no=5), g.routers[other].clock()
+        for to, said in g.routers[other].members.receive(
+            2, Message(MessageType.PING, 1, sequence=5), g.routers[other].clock()
         ):
-            zombie.members.heard(other, said, zombie.clock())
-            assert to == 2 and said.what is MessageType.SEEN
-    assert zombie.members.yielded and zombie.members.tick(zombie.clock()) == []
+            zombie.members.receive(other, said, zombie.clock())
+            assert to == 2 and said.message_type is MessageType.JOIN_REPLY
+    assert zombie.members.superseded and zombie.members.tick(zombie.clock()) == []
     assert g.agreed()
 
 
@@ -296,15 +310,15 @@
         g.run(4.0)
         g.start(3)
         g.run(6.0)
-    assert g.agreed() and g.routers[3].members.start == 3
+    assert g.agreed() and g.routers[3].members.generation == 3
     g.weather.cut = lambda a, b: 3 in (a, b)
     g.kill(3)
     g.start(3)
     g.run(10.0, lambda: object_to(g))
-    assert g.routers[3].members.start == 1 and g.routers[3].standing().cut is Cut.ALONE
+    assert g.routers[3].members.generation == 1 and g.routers[3].standing().quorum is QuorumStatus.ISOLATED
     g.weather.cut = lambda a, b: False
     g.run(12.0, lambda: object_to(g))
-    assert g.agreed() and g.routers[3].members.start == 4 and not g.routers[3].members.yielded
+    assert g.agreed() and g.routers[3].members.generation == 4 and not g.routers[3].members.superseded
 
 
 def test_a_liar_costs_itself_alone() -> None:
@@ -313,19 +327,28 @@
 
     def lie() -> None:
         to, about = chance.randrange(6), chance.randrange(6)
-        start, inc = chance.choice([1, 1, 1, 7, AHEAD * 3]), chance.choice([0, 1, 5, AHEAD * 2])
-        news = News(start, inc, chance.choice([State.GONE, State.SUSPECTED, State.LEFT]), about)
-        said = Message(MessageType.PING, 1, no=9, digest=chance.getrandbits(32), news=(news,))
+        start, inc = (
+            chance.choice([1, 1, 1, 7, MAX_COUNTER_JUMP * 3]),
+            chance.choice([0, 1, 5, MAX_COUNTER_JUMP * 2]),
+        )
+        news = MemberUpdate(
+            start, inc, chance.choice([MemberState.DEAD, MemberState.SUSPECT, MemberState.LEFT]), about
+        )
+        said = Message(MessageType.PING, 1, sequence=9, view_digest=chance.getrandbits(32), updates=(news,))
         g.routers[to].heard(6, encode(GROUP, said))
         g.at(g.now + 0.05, lie)
 
     g.at(g.now, lie)
     g.run(20.0, lambda: object_to(g))
     removed = [
-        c for c in g.changes if c[0] > at and c[2].state in (State.GONE, State.LEFT) and c[2].number != 6
+        c
+        for c in g.changes
+        if c[0] > at and c[2].state in (MemberState.DEAD, MemberState.LEFT) and c[2].router != 6
     ]
     assert not removed
-    assert all(not r.members.yielded for r in g.routers) or sum(r.members.yielded for r in g.routers) == 0
+    assert (
+        all(not r.members.superseded for r in g.routers) or sum(r.members.superseded for r in g.routers) == 0
+    )
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.3])
@@ -334,7 +357,7 @@
     g.weather = Weather(loss=loss, delay=0.005, jitter=0.2 if loss > 0.1 else 0.02)
     at = g.now
     g.run(60.0, lambda: object_to(g))
-    removed = [c for c in g.changes if c[0] > at and c[2].state is State.GONE]
+    removed = [c for c in g.changes if c[0] > at and c[2].state is MemberState.DEAD]
     assert loss > 0.1 or not removed
     g.weather = Weather()
     g.run(10.0)
@@ -371,57 +394,59 @@
 
     def made(self: LeaderElection, *args: Any) -> None:
         begin(self, *args)
-        self.bound_until = -math.inf
+        self.voted_until = -math.inf
 
     monkeypatch.setattr(LeaderElection, "__init__", made)
 
 
 def parts_outlive_the_right(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = LeaderElection._told
+    told = LeaderElection._division_for
 
-    def longer(self: LeaderElection, number: int) -> Division | None:
+    def longer(self: LeaderElection, number: int) -> QuotaDivision | None:
         division = told(self, number)
-        return replace(division, span=round(1000 * self.lease)) if division else None
+        return replace(division, validity_ms=round(1000 * self.lease_s)) if division else None
 
-    monkeypatch.setattr(LeaderElection, "_told", longer)
+    monkeypatch.setattr(LeaderElection, "_division_for", longer)
 
 
 def a_start_is_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    grants = LeaderElection._grants
-    monkeypatch.setattr(LeaderElection, "_grants", lambda self, who, start, now: grants(self, who, 0, now))
+    grants = LeaderElection._grant_vote
+    monkeypatch.setattr(
+        LeaderElection, "_grant_vote", lambda self, who, start, now: grants(self, who, 0, now)
+    )
 
 
 def active_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = LeaderElection._begin
+    begin = LeaderElection._start_division
 
     def active(self: LeaderElection, living: list[int]) -> None:
         begin(self, living)
-        self.active = True
+        self.division_active = True
 
-    monkeypatch.setattr(LeaderElection, "_begin", active)
+    monkeypatch.setattr(LeaderElection, "_start_division", active)
 
 
 def lease_from_arrival(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = LeaderElection.heard
+    heard = LeaderElection.receive
 
     def late(self: LeaderElection, peer: int, m: Message, start: int, now: float) -> Any:
-        self.tokens[m.token] = now
+        self.holder.token_issued_at[m.token] = now
         return heard(self, peer, m, start, now)
 
-    monkeypatch.setattr(LeaderElection, "heard", late)
+    monkeypatch.setattr(LeaderElection, "receive", late)
 
 
 def fewer_than_most(monkeypatch: pytest.MonkeyPatch) -> None:
     def until(self: LeaderElection) -> float:
         votes = sorted(self.votes.values(), reverse=True)
-        most = max(self.count // 2, 1)
-        return votes[most - 1] + self.term if len(votes) >= most else -math.inf
+        most = max(self.router_count // 2, 1)
+        return votes[most - 1] + self.vote_duration_s if len(votes) >= most else -math.inf
 
-    monkeypatch.setattr(LeaderElection, "until", until)
+    monkeypatch.setattr(LeaderElection, "leader_until", until)
 
 
 def two_candidates(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(LeaderElection, "_grants", lambda self, candidate, start, now: True)
+    monkeypatch.setattr(LeaderElection, "_grant_vote", lambda self, candidate, start, now: True)
 
 
 @pytest.mark.parametrize(
@@ -444,7 +469,9 @@
 
 
 def test_clocks_that_run_more_unevenly_than_is_stated_are_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rights_module, "DRIFT", -0.3)  # as if they ran evenly, and the margins the wrong way
+    monkeypatch.setattr(
+        rights_module, "MAX_CLOCK_DRIFT", -0.3
+    )  # as if they ran evenly, and the margins the wrong way
     with pytest.raises(Broken):
         for seed in range(200):
             stroll(seed, 400)
@@ -452,7 +479,7 @@
 
 def test_members_alone_know_when_they_are_wanted_next() -> None:
     members = FailureDetector(0, 3, 1, 0.0, 0.2, 1.0)
-    assert members.due() == 0.0 and len(members.tick(0.0)) == 2 and not members.joined
+    assert members.next_due() == 0.0 and len(members.tick(0.0)) == 2 and not members.joined
     members.tick(0.7)
-    assert members.joined and members.start == 1 and members.living() == [0]
-    assert explore.DRIFT == rights_module.DRIFT
+    assert members.joined and members.generation == 1 and members.view.alive_routers() == [0]
+    assert explore.MAX_CLOCK_DRIFT == rights_module.MAX_CLOCK_DRIFT
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -13,8 +13,8 @@
 from marbleworks.lab.load import Caller
 from marbleworks.lab.stage import Stage
 from marbleworks.lab.standins import RpcClient
-from marbleworks.membership.codec import Message, MessageType, News, State, encode, group_of
-from marbleworks.membership.report import table
+from marbleworks.membership.codec import MemberState, MemberUpdate, Message, MessageType, encode, group_hash
+from marbleworks.membership.report import format_view
 
 ROUTERS, ALL = 5, range(5)
 OPERATOR = "(peers (period 100 ms) (suspicion 600 ms) (term 1500 ms) (lease 1 s))"
@@ -71,7 +71,7 @@
 
 
 def test_a_group_knows_itself_and_shows_it(group: Group) -> None:
-    lines = table(group.view(2))
+    lines = format_view(group.view(2))
     assert lines[0].startswith("router 2: whole") and len(lines) == 5 + ROUTERS
     assert sum(group.view(n)["right"] == "divides" for n in range(ROUTERS)) == 1
     assert all(group.view(n)["among"] == "5" for n in range(ROUTERS))
@@ -94,7 +94,7 @@
     gevent.sleep(5.0)  # the fault itself
     group.stage.routers[1].tell(signal.SIGCONT)
     group.until(lambda: group.agreed(range(ROUTERS)))
-    assert "peer gone" not in group.stage.routers[1].log()[before:]
+    assert "member dead" not in group.stage.routers[1].log()[before:]
     assert group.view(1)["rows"][1][1] == "1"  # the same one, which refuted
 
 
@@ -118,7 +118,7 @@
     router.tell(signal.SIGTERM)
     group.until(lambda: all(group.view(n)["rows"][2][3] == "left" for n in (0, 1, 3, 4)))
     router.end()
-    assert "it leaves" in group.stage.routers[0].log()
+    assert "planned stop" in group.stage.routers[0].log()
     router.start()
     group.until(group.whole)
 
@@ -127,21 +127,23 @@
 def test_loss_and_spread_and_a_liar_remove_no_healthy_router_for_good(
     loss: float, jitter: float, group: Group
 ) -> None:
-    chance, sealed = random.Random(5), group_of("routers 5")
+    chance, sealed = random.Random(5), group_hash("routers 5")
     group.net.loss, group.net.jitter, group.net.doubled = loss, jitter, 0.2
     logs = [len(router.log()) for router in group.stage.routers]
     until = time.monotonic() + 4.0  # of load, not of waiting
     while time.monotonic() < until:
         to, about = chance.randrange(4), chance.randrange(4)
-        news = News(chance.choice([1, 2, 3, 1 << 30]), chance.choice([0, 9, 1 << 30]), State.GONE, about)
-        group.net.send(4, to, encode(sealed, Message(MessageType.PING, 1, digest=9, news=(news,))))
+        news = MemberUpdate(
+            chance.choice([1, 2, 3, 1 << 30]), chance.choice([0, 9, 1 << 30]), MemberState.DEAD, about
+        )
+        group.net.send(4, to, encode(sealed, Message(MessageType.PING, 1, view_digest=9, updates=(news,))))
         group.net.send(4, to, chance.randbytes(chance.randrange(1, 256)))
         group.net.send(4, to, b"\xd1" + chance.randbytes(60))
         gevent.sleep(0.02)
     group.net.loss = group.net.jitter = group.net.doubled = 0.0
     group.until(lambda: group.agreed(range(ROUTERS)))
     for router, start in zip(group.stage.routers[:4], logs, strict=False):
-        assert '"event": "failed"' not in router.log() and "name taken" not in router.log()[start:]
+        assert '"event": "failed"' not in router.log() and "member superseded" not in router.log()[start:]
     assert int(group.view(0)["unreadable"]) > 0
 
 
@@ -160,8 +162,8 @@
     try:
         group.until(lambda: group.view(3)["yielded"] == "yes")
         group.until(lambda: all(group.view(n)["rows"][3][1] == str(start + 1) for n in (0, 1, 2, 4)))
-        assert group.stage.routers[3].log().count("peer name taken") == 1
-        assert "peer name taken" not in twin.log()
+        assert group.stage.routers[3].log().count("member superseded") == 1
+        assert "member superseded" not in twin.log()
     finally:
         del group.net.twins[3]
         twin.end(signal.SIGKILL)
@@ -187,7 +189,9 @@
     told = [
         line for r, at in zip(group.stage.routers, logs, strict=True) for line in r.log()[at:].splitlines()
     ]
-    assert [line for line in told if '"event": "peer gone"' in line or '"event": "peer up"' in line] == []
+    assert [
+        line for line in told if '"event": "member dead"' in line or '"event": "member alive"' in line
+    ] == []
 
 
 def test_a_router_cut_from_its_engines_answers_each_command_and_stays_in_the_group(group: Group) -> None:
@@ -209,7 +213,7 @@
     before = group.net.passed
     group.until(lambda: group.net.passed > before + 800)
     assert group.agreed(range(ROUTERS)) and group.parts() == pytest.approx(1.0, abs=1e-3)
-    assert not any("peer gone" in r.log()[at:] for r, at in zip(group.stage.routers, logs, strict=True))
+    assert not any("member dead" in r.log()[at:] for r, at in zip(group.stage.routers, logs, strict=True))
     group.stage.routers[0].end(signal.SIGKILL)
     group.until(lambda: all(group.view(n)["cut"] == "alone" for n in (1, 2, 3, 4)))
     assert group.parts([1, 2, 3, 4]) == pytest.approx(0.2, abs=1e-3)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -162,10 +162,10 @@
 def message(what: int) -> peers.Message:
     """With a value other than the usual one in each field."""
     news = (
-        peers.News(1_022_000_000_123, 0, peers.State(0), 3),
-        peers.News(1_022_000_000_456, 1, peers.State(1), 39),
-        peers.News(5, 70_000, peers.State(2), 0),
-        peers.News(6, 2, peers.State(3), 17),
+        peers.MemberUpdate(1_022_000_000_123, 0, peers.MemberState(0), 3),
+        peers.MemberUpdate(1_022_000_000_456, 1, peers.MemberState(1), 39),
+        peers.MemberUpdate(5, 70_000, peers.MemberState(2), 0),
+        peers.MemberUpdate(6, 2, peers.MemberState(3), 17),
     )
     return peers.Message(
         peers.MessageType(what),
@@ -176,7 +176,7 @@
         1_099_511_627_775,
         42,
         True,
-        peers.Division(43, 40, 39, True, 1500),
+        peers.QuotaDivision(43, 40, 39, True, 1500),
         250,
         news,
     )
@@ -284,7 +284,7 @@
 def test_nothing_golden_is_left_out() -> None:
     assert list(written()) == list(GOLD)
     assert [int(what) for what in peers.MessageType] == list(range(1, 10))
-    assert [int(state) for state in peers.State] == [0, 1, 2, 3]
+    assert [int(state) for state in peers.MemberState] == [0, 1, 2, 3]
     assert [int(kind) for kind in record.Kind] == [1, 2, 3]
 
 
@@ -297,7 +297,7 @@
     for what in range(1, 10):
         assert peers.decode(GROUP, ROUTERS, golden(f"membership {what}")) == message(what)
     assert peers.decode(GROUP, ROUTERS, golden("membership bare")) == BARE
-    assert peers.group_of("hall-a 7") == GROUP_OF_TEXT
+    assert peers.group_hash("hall-a 7") == GROUP_OF_TEXT
 
 
 def test_budgets_are_read_as_ever() -> None:
