--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -22,7 +22,7 @@
 from marbleworks.budgets.budget_catalog import MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetGrant, BudgetReport, BudgetUsage
 from marbleworks.budgets.fair_division import divide
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 DIVISION_INTERVAL_S = 0.1  # of one budget
 REPORT_TIMEOUT_S = 1.0  # without a report, after which a member's demand no longer counts
@@ -126,7 +126,7 @@
 
     def _settled_at(self, allocation: BudgetAllocation, now: float) -> float:
         """When all has ended that is granted by `now` and not renewed."""
-        return now + (self.lease_s + allocation.settle_s) * (1 + DRIFT)
+        return now + (self.lease_s + allocation.settle_s) * (1 + MAX_CLOCK_DRIFT)
 
     def free_units(self, allocation: BudgetAllocation, now: float) -> int:
         """Units that may be granted; negative where the total has shrunk."""
--- a/marbleworks/budgets/allocation_policy.py
+++ b/marbleworks/budgets/allocation_policy.py
@@ -10,7 +10,7 @@
 from marbleworks.budgets.allocation import BudgetAllocation, MemberAccount
 from marbleworks.budgets.codec import BudgetReport, BudgetUsage
 from marbleworks.budgets.fair_division import Demand
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 
 class MemberPolicy:
@@ -58,13 +58,13 @@
 
     def predecessor_settled_at(self, allocation: BudgetAllocation, lease_s: float, now: float) -> float:
         """When all has ended that a member had which another follows `now`."""
-        return now + allocation.orphan_timeout_s * (1 + DRIFT)
+        return now + allocation.orphan_timeout_s * (1 + MAX_CLOCK_DRIFT)
 
     def predecessors_settled_at(
         self, allocation: BudgetAllocation, lease_s: float, age_s: float, now: float
     ) -> float:
         """When all has ended that the predecessors of a member had which is that old."""
-        return self.predecessor_settled_at(allocation, lease_s, now) - age_s * (1 - DRIFT)
+        return self.predecessor_settled_at(allocation, lease_s, now) - age_s * (1 - MAX_CLOCK_DRIFT)
 
     def on_new_incarnation(
         self,
--- a/marbleworks/budgets/codec.py
+++ b/marbleworks/budgets/codec.py
@@ -11,9 +11,16 @@
 
 import msgpack
 
-from marbleworks.membership.codec import MOST, Format, count, read_strictly, seal, unseal
-
-FORMAT = Format(0xD2, 1, 1)
+from marbleworks.membership.codec import (
+    MAX_DATAGRAM_BYTES,
+    DatagramFormat,
+    checked_counter,
+    seal,
+    unseal,
+    wrap_decode_errors,
+)
+
+FORMAT = DatagramFormat(0xD2, 1, 1)
 MAX_REPORT_ENTRIES = 14
 TYPICAL_HEAD_BYTES = 72  # of a report without usages; larger numbers than usual may need more
 PRIORITY_WEIGHT_SCALE = 100.0  # a priority weight is sent as hundredths
@@ -156,29 +163,29 @@
         DatagramDecodeError: it is not a report or an answer for that group.
     """
     fields = unseal(FORMAT, group, data)
-    with read_strictly():
+    with wrap_decode_errors():
         rows = fields.get(9, ())
         if len(rows) > MAX_REPORT_ENTRIES:
             raise ValueError
         if fields[0] == 1:
             return BudgetAnswer(
-                leader_incarnation=count(fields[1]),
-                leader_term=count(fields[6]),
-                token=count(fields[2]),
-                grants=tuple(BudgetGrant(*(count(value) for value in row[:4])) for row in rows),
+                leader_incarnation=checked_counter(fields[1]),
+                leader_term=checked_counter(fields[6]),
+                token=checked_counter(fields[2]),
+                grants=tuple(BudgetGrant(*(checked_counter(value) for value in row[:4])) for row in rows),
             )
         if fields[0] != 0:
             raise ValueError
-        usages = tuple(_read_usage([count(value) for value in row[:9]]) for row in rows)
+        usages = tuple(_read_usage([checked_counter(value) for value in row[:9]]) for row in rows)
         return BudgetReport(
-            incarnation=count(fields[1]),
-            leader_incarnation=count(fields[3]),
-            leader_term=count(fields[6]),
-            token=count(fields[2]),
-            config_version=count(fields[4]),
-            config_digest=count(fields[5]),
+            incarnation=checked_counter(fields[1]),
+            leader_incarnation=checked_counter(fields[3]),
+            leader_term=checked_counter(fields[6]),
+            token=checked_counter(fields[2]),
+            config_version=checked_counter(fields[4]),
+            config_digest=checked_counter(fields[5]),
             is_leaving=bool(fields.get(7)),
-            age_ms=count(fields[8]),
+            age_ms=checked_counter(fields[8]),
             usages=usages,
         )
 
@@ -207,7 +214,7 @@
         usages: of all budgets.
         head_bytes: of each report without usages; counted as the typical number at least.
     """
-    room = MOST - max(head_bytes, TYPICAL_HEAD_BYTES)
+    room = MAX_DATAGRAM_BYTES - max(head_bytes, TYPICAL_HEAD_BYTES)
     part: list[BudgetUsage] = []
     size = 0
     for usage in usages:
--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -16,7 +16,7 @@
 
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport, BudgetUsage, encode_report, split_usages
-from marbleworks.membership.leader_election import DRIFT
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 RELEASE_RATE_WINDOW_S = 2.0
 ARRIVAL_RATE_WINDOW_S = 0.3
@@ -239,7 +239,7 @@
             local = self.budgets.get(budget_id)
             if local is None:
                 guaranteed = self._guaranteed_units(budget, budget.units)
-                guaranteed_from = self.started_at + budget.orphan_timeout_s * (1 + DRIFT)
+                guaranteed_from = self.started_at + budget.orphan_timeout_s * (1 + MAX_CLOCK_DRIFT)
                 self.budgets[budget_id] = self.BUDGET_TYPE(budget, budget.units, guaranteed, guaranteed_from)
             elif local.budget != budget:
                 local.budget = budget
@@ -267,7 +267,7 @@
         window_s = local.budget.window_s
         if window_s:
             for _ in range(units):
-                heapq.heappush(local.release_times, now + window_s * (1 + DRIFT))
+                heapq.heappush(local.release_times, now + window_s * (1 + MAX_CLOCK_DRIFT))
                 local.recent_releases.append(now + window_s)
         else:
             local.in_flight += 1
@@ -293,7 +293,7 @@
         found = []
         for local in self.budgets.values():
             excess = local.in_flight - local.guaranteed_units
-            grace_s = (local.budget.settle_s - ABANDONED_ATTEMPT_TIMEOUT_S) * (1 - 2 * DRIFT)
+            grace_s = (local.budget.settle_s - ABANDONED_ATTEMPT_TIMEOUT_S) * (1 - 2 * MAX_CLOCK_DRIFT)
             if excess > 0 and not local.budget.window_s and now >= local.lease_expires_at + grace_s:
                 found.append((local, excess))
         return found
@@ -379,7 +379,7 @@
         weight = local.waiting_weight / len(local.waiting) if local.waiting else 1.0
         wanted = 0 if is_leaving else local.estimate_demand(now, now - self.reported_at, engine_count)
         # An earlier granter counted an expired lease for that long at least.
-        is_counted = now < local.lease_expires_at + local.budget.settle_s * (1 - 2 * DRIFT)
+        is_counted = now < local.lease_expires_at + local.budget.settle_s * (1 - 2 * MAX_CLOCK_DRIFT)
         lapsed = local.lapsed_units if is_counted and not local.leased_units else 0
         return BudgetUsage(
             budget_id=budget_id,
@@ -424,7 +424,7 @@
             self.granter_term = answer.leader_term
             self._reset_grants()
             return True
-        expires_at = sent_at + self.lease_s * (1 - DRIFT)
+        expires_at = sent_at + self.lease_s * (1 - MAX_CLOCK_DRIFT)
         for grant in answer.grants:
             local = self.budgets.get(grant.budget_id)
             if local is None or grant.serial < local.grant_serial:
--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -14,7 +14,7 @@
 from marbleworks.budgets.enforcement import BudgetEnforcer, allocation_rows
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.budgets.options import BudgetOptions
-from marbleworks.membership.codec import DatagramDecodeError, group_of
+from marbleworks.membership.codec import DatagramDecodeError, group_hash
 from marbleworks.membership.node import LeaderRef
 from marbleworks.net.actor import LOG, Actor, clock
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
@@ -69,8 +69,8 @@
         self.enforcer = BudgetEnforcer(dispatcher, catalog, local_budgets, self._request_report)
         if peers is None:
             return
-        self.group = group_of(f"budgets {self.router_count}")
-        kind = DatagramKind("budgets", FORMAT.mark, options.max_bytes_per_s)
+        self.group = group_hash(f"budgets {self.router_count}")
+        kind = DatagramKind("budgets", FORMAT.magic, options.max_bytes_per_s)
         self.send_datagram = peers.register(kind, self._on_datagram)
         self.post(self.on_timer)
 
@@ -87,14 +87,14 @@
 
     def set_leader(self, leader: LeaderRef) -> None:
         """Takes over who leads the group, which is who grants units, and whether that is us."""
-        if leader.right_until <= clock():
+        if leader.leader_until <= clock():
             self.ledger = None
-        elif self.ledger is None or leader.reign != self.leader.reign:
+        elif self.ledger is None or leader.term != self.leader.term:
             self.ledger_count += 1  # the term by which routers tell one ledger from the next
             self.ledger = AllocationLedger(
                 self.router_index,
                 self.router_count,
-                leader.start,
+                leader.generation,
                 self.ledger_count,
                 self.options.guaranteed_ratio,
                 self.options.lease_s,
@@ -102,7 +102,7 @@
                 self.known_totals,
             )
             self.ledger.set_budgets(self.budgets)
-        if leader.yielded and not self.leader.yielded:
+        if leader.superseded and not self.leader.superseded:
             self.dispatcher.post(self.enforcer.leave)
         self.leader = leader
 
@@ -115,14 +115,14 @@
     # In the dispatcher's greenlet.
 
     def _send_reports(self, leader: LeaderRef) -> None:
-        if leader.start == 0 or leader.divider < 0 or leader.yielded:
+        if leader.generation == 0 or leader.leader < 0 or leader.superseded:
             return
         self.post(self._set_budgets, self.enforcer.budgets())
-        for report in self.enforcer.make_reports(leader.divider, leader.divider_start, leader.start):
-            if leader.divider == self.router_index:
+        for report in self.enforcer.make_reports(leader.leader, leader.leader_generation, leader.generation):
+            if leader.leader == self.router_index:
                 self.post(self._handle_report, self.router_index, report)
             else:
-                self.send_datagram(encode_report(self.group, report), leader.divider)
+                self.send_datagram(encode_report(self.group, report), leader.leader)
 
     # In our own greenlet.
 
@@ -156,7 +156,7 @@
 
     def _handle_report(self, peer: int, report: BudgetReport) -> None:
         now = clock()
-        if self.ledger is None or now >= self.leader.right_until:
+        if self.ledger is None or now >= self.leader.leader_until:
             return
         answer = self.ledger.handle_report(peer, report, now)
         if answer is not None:
@@ -189,11 +189,11 @@
     def snapshot(self) -> dict[str, Any]:
         """As `health` answers and `budgets show` prints it: texts and lists of texts."""
         leader = self.leader
-        ledger = self.ledger if clock() < leader.right_until else None
+        ledger = self.ledger if clock() < leader.leader_until else None
         snapshots = ledger.snapshots(clock()) if ledger is not None else {}
         return {
             "me": str(self.router_index),
-            "divider": str(leader.divider),
+            "divider": str(leader.leader),
             "divides": "yes" if ledger is not None else "no",
             "version": str(self.enforcer.catalog.config_version),
             "refused": str(self.enforcer.refused_count),
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -11,11 +11,14 @@
 from marbleworks.background.options import BACKGROUND_SECTION
 from marbleworks.budgets.options import BUDGETS_SECTION
 from marbleworks.fair_queue.options import DOOR
-from marbleworks.membership.options import PEERS
+from marbleworks.membership.options import MEMBERSHIP_SECTION
 from marbleworks.operator_config import document as book
 from marbleworks.spool.options import SPOOL
 
-SECTIONS = {section.name: section for section in (BACKGROUND_SECTION, SPOOL, DOOR, PEERS, BUDGETS_SECTION)}
+SECTIONS = {
+    section.name: section
+    for section in (BACKGROUND_SECTION, SPOOL, DOOR, MEMBERSHIP_SECTION, BUDGETS_SECTION)
+}
 read_operator_config = partial(book.OperatorConfig.read, SECTIONS)  # raises OperatorError
 parse_sections = partial(book.parse_sections, SECTIONS)
 describe_settings = partial(book.describe_settings, SECTIONS)
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -33,7 +33,7 @@
 from marbleworks.budgets.options import BudgetOptions
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
-from marbleworks.membership.codec import MOST, DatagramDecodeError
+from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
 from marbleworks.scheduling.scheduler import Scheduler
@@ -74,14 +74,17 @@
     for some in told:
         report = BudgetReport(n, n, n, n, n, n, leaving, n, some)
         data = encode_report(7, report)
-        assert len(data) <= MOST and decode(7, data) == report
+        assert len(data) <= MAX_DATAGRAM_BYTES and decode(7, data) == report
         answer = BudgetAnswer(
             n,
             n,
             n,
             tuple(BudgetGrant(e.budget_id, e.grant_serial, e.used_units, e.total_units) for e in some),
         )
-        assert len(encode_answer(7, answer)) <= MOST and decode(7, encode_answer(7, answer)) == answer
+        assert (
+            len(encode_answer(7, answer)) <= MAX_DATAGRAM_BYTES
+            and decode(7, encode_answer(7, answer)) == answer
+        )
 
 
 @pytest.mark.parametrize("entry", [WIDEST, FILLS_184_BYTES])
@@ -104,7 +107,7 @@
     told = router.make_reports(0, most, most, most / 1000.0, 1, True)
     assert sum(len(report.usages) for report in told) == 40
     assert max(report.age_ms for report in told) >= 1 << 32
-    assert all(len(encode_report(7, report)) <= MOST for report in told)
+    assert all(len(encode_report(7, report)) <= MAX_DATAGRAM_BYTES for report in told)
 
 
 def test_the_entries_of_an_ordinary_report_have_the_room_that_they_had() -> None:
