--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -21,8 +21,8 @@
 from marbleworks.lab.page import OFF, OVER, UNRUN, Book, PageError, Results, problems, written
 from marbleworks.lab.slopes import Slope, Slopes
 from marbleworks.lab.target import Allowance, Use, Variant, cell_size, worked
-from marbleworks.membership.leader_election import DRIFT
-from marbleworks.membership.options import PEERS
+from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
+from marbleworks.membership.options import MEMBERSHIP_SECTION
 from marbleworks.net.discovery import QUERY_INTERVAL_S
 from marbleworks.net.engine_protocol import LISTING_PROPAGATION_S, MAX_DNS_RESPONSE_BYTES
 from marbleworks.scheduling.placement import MAX_HOME_SETS
@@ -347,8 +347,8 @@
         LISTING_PROPAGATION_S,
     )
     assert target.HOMES == MAX_HOME_SETS
-    peers = {s.name: s.default for s in PEERS.settings}
-    assert (peers["term"], DRIFT) == (target.TERM, target.DRIFT)
+    peers = {s.name: s.default for s in MEMBERSHIP_SECTION.settings}
+    assert (peers["term"], MAX_CLOCK_DRIFT) == (target.TERM, target.MAX_CLOCK_DRIFT)
     assert (target.REPORTS, target.QUIET) == (1 / REPORT_INTERVAL_S, ABANDONED_ATTEMPT_TIMEOUT_S)
     most = 2**16 - 1
     widest = BudgetUsage(2**32 - 1, 2**32 - 1, most, most, most, most / 100, most, most, most)
