--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -166,12 +166,12 @@
 RAMPED = Carried(
     "sponsors by hash, more as it warms, or a budget for each cold engine",
     Status.WORKS,
-    ("scheduling/scheduler.py", *BOOKS),
+    ("scheduling/slow_start.py", *BOOKS),
     "the same in each cell",
 )
 RAMPED_CELL = Carried("the same in the engine's cell", Status.MISSING, (), "cells")
 RETRIED = Carried(
-    "the settings' ratio, or one budget", Status.WORKS, ("scheduling/scheduler.py", *BOOKS), "cells"
+    "the settings' ratio, or one budget", Status.WORKS, ("scheduling/retry_budget.py", *BOOKS), "cells"
 )
 RETRIED_CELL = Carried("one budget, leased down the levels", Status.MISSING, (), "the levels")
 RELOADED = Carried("a file and SIGHUP read anew", Status.WORKS, ("net/server.py",))
@@ -180,7 +180,7 @@
 HOMES = Carried(
     "homes of a table group by hash over the list, the same at each router; none named, no move by plan",
     Status.MISSING,
-    ("scheduling/scheduler.py",),
+    ("scheduling/placement.py",),
     NAMED,
 )
 HOMES_CELL = Carried(
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -141,7 +141,8 @@
                 stands = router.standing()
                 gate.set_router_share(stands.part, stands.among, stands.place)
             living = [gates[r.number] for r in group.living()]
-            return [g.fleet.router_index for g in living if g.slow_start.share_of(g.engines[0], g.port.now())]
+            senders = [g for g in living if g.parts.slow_start.share_of(g.engines[0], g.port.now())]
+            return [g.fleet.router_index for g in senders]
 
         for number in range(1000):
             started = 1000.0 + group.now
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -137,7 +137,7 @@
 
     def new(self) -> float:
         """The same of one not seen before."""
-        self.gateway.placement.home_sets.clear()
+        self.gateway.parts.placement.home_sets.clear()
         return self._batch(lambda n: self.groups + n)
 
     def _batch(self, group: Callable[[int], int]) -> float:
@@ -226,7 +226,7 @@
 def _review(desk: Desk) -> float:
     there = len(desk.gateway.pending)
     desk.port.clock += 0.02  # so that it is due
-    desk.gateway.timers.reviewed_at = -1.0
+    desk.gateway.parts.timers.reviewed_at = -1.0
     took = yards(desk.gateway.review)
     if len(desk.gateway.pending) != there:
         raise RuntimeError("a command that was held has gone: the size is not what it was")
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -12,30 +12,16 @@
 from typing import TYPE_CHECKING
 
 from marbleworks.model import AttemptOutcome
-from marbleworks.scheduling.attempt_start import AttemptStarter
-from marbleworks.scheduling.attempt_watch import AttemptWatch
-from marbleworks.scheduling.engine_state import EnginePool
-from marbleworks.scheduling.history import TICK_S, TIME_MARGIN_S
-from marbleworks.scheduling.key_order import KeyOrder
-from marbleworks.scheduling.latency import LatencyMonitor
-from marbleworks.scheduling.load_reports import LoadProbes, LoadReports
-from marbleworks.scheduling.load_shedding import LoadShedder
-from marbleworks.scheduling.outcomes import OutcomeRecorder
-from marbleworks.scheduling.outlier_detection import OutlierDetector
-from marbleworks.scheduling.placement import Placement
+from marbleworks.scheduling.history import TICK_S
 from marbleworks.scheduling.request_state import RequestState
-from marbleworks.scheduling.retry_budget import RetryBudget
-from marbleworks.scheduling.router_share import RouterShare
-from marbleworks.scheduling.slow_start import SlowStart
-from marbleworks.scheduling.table_groups import TableGroups
-from marbleworks.scheduling.tenant_quotas import TenantQuotas
-from marbleworks.scheduling.timers import MIN_REVIEW_INTERVAL_S, TIMER_EARLINESS_S, WATCH_INTERVAL_S, Timers
-from marbleworks.scheduling.work_estimates import Cost, WorkEstimates
+from marbleworks.scheduling.timers import MIN_REVIEW_INTERVAL_S, TIMER_EARLINESS_S, WATCH_INTERVAL_S
+from marbleworks.scheduling.wiring import SchedulerParts
 
 if TYPE_CHECKING:
     from marbleworks.model import DeploymentRules, EngineEntry, FleetInfo, LoadReport, RequestClass
     from marbleworks.ports import SchedulerPort, SharedBudgets
     from marbleworks.scheduling.engine_state import Attempt, EngineState
+    from marbleworks.scheduling.work_estimates import Cost
 
 LAG_DECAY = 0.999  # of the longest recent lag, with each request
 
@@ -56,64 +42,15 @@
         self.request_classes = request_classes
         self.rules = rules
         self.fleet = fleet
-        self.start_slack_s = rules.connect_timeout_s + TIME_MARGIN_S  # an attempt may leave so much later
-        self.share = RouterShare(fleet)
-        self.estimates = WorkEstimates(len(request_classes))
-        self.pool = EnginePool(request_classes, fleet.cores_by_kind)
-        self.engines = self.pool.engines
-        self.latency = LatencyMonitor(self.pool)
-        self.outliers = OutlierDetector(port, self.latency)
-        self.load_reports = LoadReports(port, rules, self.pool)
-        self.load_probes = LoadProbes(port, rules, self.estimates)
-        self.load_shedder = LoadShedder(port, rules, self.latency)
-        self.tenant_quotas = TenantQuotas(rules, self.share.divisor)
-        self.retry_budget = RetryBudget(rules, self.start_slack_s)
-        self.slow_start = SlowStart(rules, self.share, self.estimates, self.start_slack_s, port.now())
-        self.placement = Placement(
-            seed,
-            rules,
-            fleet,
-            self.pool,
-            self.share,
-            self.slow_start,
-            self.latency,
-            self.estimates,
-            self.outliers,
-        )
-        self.table_groups = TableGroups()
-        self.key_order = KeyOrder()
-        self.timers = Timers(port)
-        self.attempt_starter = AttemptStarter(
-            port,
-            rules,
-            self.pool,
-            self.placement,
-            self.retry_budget,
-            self.slow_start,
-            self.estimates,
-            self.key_order,
-            self.start_slack_s,
-        )
-        self.outcomes = OutcomeRecorder(
-            port,
-            rules,
-            self.pool,
-            self.estimates,
-            self.latency,
-            self.outliers,
-            self.load_reports,
-            self.retry_budget,
-            self.slow_start,
-        )
-        self.attempt_watch = AttemptWatch(
-            port,
-            rules,
-            self.pool,
-            self.placement,
-            self.retry_budget,
-            self.outliers,
-            self.attempt_starter.start,
-        )
+        self.parts = parts = SchedulerParts(port, seed, request_classes, rules, fleet)
+        self.engines = parts.pool.engines
+        self._placement = parts.placement
+        self._estimates = parts.estimates
+        self._retry_budget = parts.retry_budget
+        self._table_groups = parts.table_groups
+        self._key_order = parts.key_order
+        self._load_shedder = parts.load_shedder
+        self._timers = parts.timers
         self.pending: dict[int, RequestState] = {}  # by sequence
         self._shared_budgets: SharedBudgets | None = None
         self._kinds_without_room = set[tuple[int, bool]]()  # class index and cheapness, since the last review
@@ -124,22 +61,22 @@
     @property
     def up(self) -> list[EngineState]:
         """The engines that may be used."""
-        return self.pool.up
+        return self.parts.pool.up
 
     @property
     def cores(self) -> int:
         """The cores of the engines that may be used."""
-        return self.pool.cores
+        return self.parts.pool.cores
 
     @property
     def routers(self) -> float:
         """What the fleet's capacity is divided by for our share."""
-        return self.share.divisor
+        return self.parts.share.divisor
 
     @property
     def estimate_bias(self) -> list[Cost]:
         """By class index: what requests took over their estimates."""
-        return self.estimates.bias
+        return self._estimates.bias
 
     @property
     def shared_budgets(self) -> SharedBudgets | None:
@@ -149,12 +86,7 @@
     @shared_budgets.setter
     def shared_budgets(self, budgets: SharedBudgets | None) -> None:
         self._shared_budgets = budgets
-        self.placement.shared_budgets = budgets
-        self.retry_budget.shared_budgets = budgets
-        self.slow_start.shared_budgets = budgets
-        self.tenant_quotas.shared_budgets = budgets
-        self.attempt_starter.shared_budgets = budgets
-        self.outcomes.shared_budgets = budgets
+        self.parts.use_shared_budgets(budgets)
 
     def now(self) -> float:
         """Returns the time in seconds."""
@@ -162,16 +94,16 @@
 
     def mean_work(self, class_index: int) -> float:
         """Returns the mean work of recent requests of the class."""
-        return self.estimates.mean_work(class_index)
+        return self._estimates.mean_work(class_index)
 
     def may_retry(self, request: RequestState, now: float) -> bool:
         """Returns whether one more attempt of the request is allowed."""
-        return self.retry_budget.may_retry(request, now)
+        return self._retry_budget.may_retry(request, now)
 
     def update_engines(self, entries: list[EngineEntry], complete: bool) -> None:
         """Applies the engine list; complete: engines that are not among the entries are gone."""
-        self.placement.home_sets.clear()
-        self.pool.update(entries, complete, self.share.slow_start_rank)
+        self._placement.home_sets.clear()
+        self.parts.pool.update(entries, complete, self.parts.share.slow_start_rank)
         self.review()
 
     def set_router_share(
@@ -186,14 +118,10 @@
 
         router_index: -1 for no place, for now. guaranteed: the share from `until` on, notified or not.
         """
-        self.share.valid_until = until
-        self.share.guaranteed = guaranteed
-        if not self.share.assign(share, router_count, router_index if router_index >= 0 else None):
-            return
-        for engine in self.engines.values():
-            engine.slow_start_rank = self.share.slow_start_rank(engine.entry)
-        self.tenant_quotas.resize(share)
-        self._schedule_review()
+        self.parts.share.valid_until = until
+        self.parts.share.guaranteed = guaranteed
+        if self.parts.assign_share(share, router_count, router_index if router_index >= 0 else None):
+            self._schedule_review()
 
     def submit(  # noqa: PLR0913 - a request has these parts, and an object for them would cost on each
         self,
@@ -223,20 +151,20 @@
             table_group,
             tenant,
             estimate,
-            self.estimates.estimate(class_index, estimate),
+            self._estimates.estimate(class_index, estimate),
             received_at,
             now + time_left_s,
             self.rules.max_attempts,
         )
         request.reserve_answer_time(time_left_s, self._recent_lag_s)
-        request.priority_weight *= self.tenant_quotas.weight(ref, tenant, received_at)
+        request.priority_weight *= self.parts.tenant_quotas.weight(ref, tenant, received_at)
         if retry_after_s is None and self._shared_budgets is not None:
             wait_budget_s = request.target_at - now - request.solo_time_s()
             retry_after_s = self._shared_budgets.admission_wait(ref, class_index, tenant, wait_budget_s)
-        self.estimates.record_request(class_index, request.work)
-        self.retry_budget.record_request(now)
+        self._estimates.record_request(class_index, request.work)
+        self._retry_budget.record_request(now)
         if request.request_class.ordered_by_key and ordering_key:
-            self.key_order.add(request, ordering_key)
+            self._key_order.add(request, ordering_key)
         self.pending[request.sequence] = request
         # In a router short of CPU a request may have spent most of the time to its target waiting in it.
         if retry_after_s is not None or request.close_call(now):
@@ -250,37 +178,39 @@
         """The ordinary path of a pending request to an engine."""
         now = self.port.now()
         self._refresh(now)
-        if self.load_shedder.is_too_late(request, now):
+        if self._load_shedder.is_too_late(request, now):
             self.give_up(request)
             return
-        self.timers.request_expiry(request.answer_by)
-        kind = (request.class_index, request.work <= self.estimates.cheap_threshold)
-        if kind in self._kinds_without_room or not self.key_order.has_turn(request, now):
+        self._timers.request_expiry(request.answer_by)
+        kind = (request.class_index, request.work <= self._estimates.cheap_threshold)
+        if kind in self._kinds_without_room or not self._key_order.has_turn(request, now):
             return
-        if not self.retry_budget.may_retry(request, now):
+        if not self._retry_budget.may_retry(request, now):
             return
-        candidates = self.placement.candidates(request, now)
+        candidates = self._placement.candidates(request, now)
         if not candidates:
             return
-        preferred = self.table_groups.grant(request, self.placement.prefer_by_home(request, candidates), now)
+        preferred = self._table_groups.grant(
+            request, self._placement.prefer_by_home(request, candidates), now
+        )
         if not preferred:
             return
-        preferred = self.placement.prefer_zone(request, preferred)
+        preferred = self._placement.prefer_zone(request, preferred)
         two = [e for e in request.probed_engines if e in preferred]
-        two = two or self.placement.two_choices(request, preferred, now)
-        if self.load_probes.awaits_answer(request, two, now):
+        two = two or self._placement.two_choices(request, preferred, now)
+        if self.parts.load_probes.awaits_answer(request, two, now):
             return
-        engine = self.placement.less_loaded(two, now)
-        if not self.placement.has_room(request, engine, now):
+        engine = self._placement.less_loaded(two, now)
+        if not self._placement.has_room(request, engine, now):
             self._kinds_without_room.add(kind)
-        elif self.attempt_starter.start(request, engine, now):
+        elif self.parts.attempt_starter.start(request, engine, now):
             self.pending.pop(request.sequence, None)
 
     def on_attempt_answered(
         self, request: RequestState, attempt: Attempt, cost: Cost | None, report: LoadReport | None
     ) -> None:
         """Learns from an answer and completes the request."""
-        self.outcomes.record_answer(attempt, cost, report)
+        self.parts.outcomes.record_answer(attempt, cost, report)
         self.complete(request)
         self.review()
 
@@ -289,11 +219,11 @@
     ) -> None:
         """Learns from an attempt without an answer; tries again or gives up."""
         now = self.port.now()
-        self.outcomes.record_failure(attempt, outcome, now)
+        self.parts.outcomes.record_failure(attempt, outcome, now)
         if already_completed:
             self.complete(request)
         elif not request.completed and not request.in_flight:
-            if outcome is not AttemptOutcome.UNSENT and self.retry_budget.may_retry(request, now):
+            if outcome is not AttemptOutcome.UNSENT and self._retry_budget.may_retry(request, now):
                 self.pending[request.sequence] = request
                 self.try_schedule(request)
             else:
@@ -302,7 +232,7 @@
 
     def give_up(self, request: RequestState, retry_after_s: float | None = None) -> None:
         """Answers finally, at once; retry_after_s: when another try may find what this one lacked."""
-        self.load_shedder.answer(request, retry_after_s)
+        self._load_shedder.answer(request, retry_after_s)
         self.complete(request)
 
     def complete(self, request: RequestState) -> None:
@@ -311,7 +241,7 @@
         self.pending.pop(request.sequence, None)
         if self._shared_budgets is not None:
             self._shared_budgets.stop_waiting(request.ref)
-        self.table_groups.leave(request)
+        self._table_groups.leave(request)
         if not self.rules.allows_cancel:
             return
         for attempt in [a for a in request.in_flight if not a.is_cancelled]:
@@ -322,66 +252,61 @@
         """Applies the answer to a probe of an engine, which may be gone meanwhile."""
         engine = self.engines.get(engine_id)
         if engine is not None and not is_reachable:
-            self.outliers.on_failure(engine, AttemptOutcome.UNREACHABLE, self.port.now())
+            self.parts.outliers.on_failure(engine, AttemptOutcome.UNREACHABLE, self.port.now())
         elif engine is not None and report is not None:
-            self.load_reports.on_report(engine, report, self.port.now())
+            self.parts.load_reports.on_report(engine, report, self.port.now())
         self.review()
 
     def receive_load_update(self, peer: int, data: bytes) -> None:
         """Applies a load update of another router."""
-        self.load_reports.on_peer_update(data, self.port.now())
+        self.parts.load_reports.on_peer_update(data, self.port.now())
 
     def review(self) -> None:
         """Tries to schedule all pending requests: cheapest per priority weight first, with ageing."""
         now = self.port.now()
-        if self.pending and self.timers.may_review(now):
+        if self.pending and self._timers.may_review(now):
             self._kinds_without_room.clear()
             for request in sorted(self.pending.values(), key=lambda r: r.queue_rank(now)):
                 if request.sequence in self.pending:
                     self.try_schedule(request)
-            self.timers.reviewed_at = (
-                2.0 * self.port.now() - now
-            )  # a long review leaves as much time to all else
+            # A long review leaves as much time to all else.
+            self._timers.reviewed_at = 2.0 * self.port.now() - now
         elif self.pending:
             if self._shared_budgets is not None:  # what was just released is used at once
                 self.try_schedule(min(self.pending.values(), key=lambda r: r.queue_rank(now)))
-            self.timers.request_review(self.timers.reviewed_at + MIN_REVIEW_INTERVAL_S)
+            self._timers.request_review(self._timers.reviewed_at + MIN_REVIEW_INTERVAL_S)
         self._schedule_review()
 
     def on_timer(self) -> None:
         """Gives up what has expired, reviews what is pending and watches what is in flight."""
         now = self.port.now()
-        if self.timers.is_expiry_due(now):
+        if self._timers.is_expiry_due(now):
             self._expire_pending(now)
-        if self.timers.take_review(now):
+        if self._timers.take_review(now):
             self._refresh(self.port.now())
             now = self.port.now()
-            if self.timers.take_watch(now):
-                self.attempt_watch.check(now)
+            if self._timers.take_watch(now):
+                self.parts.attempt_watch.check(now)
             self.review()
-        self.timers.repeat()
+        self._timers.repeat()
 
     def _expire_pending(self, now: float) -> None:
         for request in [r for r in self.pending.values() if now >= r.answer_by - TIMER_EARLINESS_S / 2]:
             self.give_up(request)
-        self.timers.next_expiry_at = min((r.answer_by for r in self.pending.values()), default=math.inf)
+        self._timers.next_expiry_at = min((r.answer_by for r in self.pending.values()), default=math.inf)
 
     def _refresh(self, now: float) -> None:
         """Works derived figures out anew, once in a tick."""
-        if now >= self.share.valid_until:  # others may have our share by now
-            guaranteed = self.share.guaranteed
-            self.set_router_share(guaranteed, self.share.sender_count, -1, guaranteed=guaranteed)
+        share = self.parts.share
+        if now >= share.valid_until:  # others may have our share by now
+            self.set_router_share(share.guaranteed, share.sender_count, -1, guaranteed=share.guaranteed)
         if now < self._refreshed_at + TICK_S:
             return
         self._refreshed_at = now
-        self.latency.refresh(now)
-        self.estimates.refresh()
-        self.table_groups.prune()
-        self.key_order.prune(now)
-        self.placement.refresh()
+        self.parts.refresh(now)
 
     def _schedule_review(self) -> None:
         if self.pending:
-            self.timers.request_review(self.port.now() + TICK_S)
-        elif self.pool.in_flight:
-            self.timers.request_review(self.port.now() + WATCH_INTERVAL_S)
+            self._timers.request_review(self.port.now() + TICK_S)
+        elif self.parts.pool.in_flight:
+            self._timers.request_review(self.port.now() + WATCH_INTERVAL_S)
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -530,7 +530,7 @@
 
 def test_what_a_fresh_engine_bears_is_divided_and_no_lottery(still: None) -> None:
     desk = Desk("(budgets (cold on) (tenants off))", engines=0)
-    desk.scheduler.slow_start.router_started_at = 0.0
+    desk.scheduler.parts.slow_start.router_started_at = 0.0
     desk.scheduler.update_engines([EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, desk.clock - 0.1)], True)
     desk.holder.engines_changed()
     assert desk.holder.slow_start_share(0) == 1.0  # alone it has all of it
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -313,14 +313,14 @@
 def test_a_new_table_group_finds_its_homes_and_a_known_one_has_them() -> None:
     desk = sizes.Desk(30)
     desk.warm()
-    homes = dict(desk.gateway.placement.home_sets)
+    homes = dict(desk.gateway.parts.placement.home_sets)
     assert len(homes) == sizes.GROUPS
     desk.known()
-    assert desk.gateway.placement.home_sets == homes
+    assert desk.gateway.parts.placement.home_sets == homes
     desk.new()
     assert (
-        len(desk.gateway.placement.home_sets) == sizes.BATCH
-        and not desk.gateway.placement.home_sets.keys() & homes.keys()
+        len(desk.gateway.parts.placement.home_sets) == sizes.BATCH
+        and not desk.gateway.parts.placement.home_sets.keys() & homes.keys()
     )
 
 
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -141,7 +141,7 @@
     def take(self, profile: int, key: int, work: float, left: float) -> None:
         ref, model = f"c{len(model_takes := self.model.takes)}", self.model
         usual = [
-            *(w for q, w in self.gateway.estimates.recent_work if q == profile),
+            *(w for q, w in self.gateway.parts.estimates.recent_work if q == profile),
             work or self.gateway.mean_work(profile),
         ]
         model_takes[ref] = {
@@ -183,7 +183,7 @@
         end = self.model.clock + seconds
         while True:
             cut = {id(s): self.model.takes[s["ref"]]["deadline"] - 0.01 for s in self.out()}
-            wakes = min(self.gateway.timers.next_review_at, self.gateway.timers.next_expiry_at)
+            wakes = min(self.gateway.parts.timers.next_review_at, self.gateway.parts.timers.next_expiry_at)
             at = min([wakes, *cut.values(), end])
             self.model.clock = max(at, self.model.clock)
             due = [s for s in self.out() if cut.get(id(s), end) <= self.model.clock]
@@ -233,7 +233,7 @@
         profile, key, work, deadline = self.held.pop(ref)
         take, gateway = self.model.takes[ref], self.gateway
         usual = [
-            *(w for q, w in gateway.estimates.recent_work if q == profile),
+            *(w for q, w in gateway.parts.estimates.recent_work if q == profile),
             work or gateway.mean_work(profile),
         ]
         take["usual"], left = sum(usual[-128:]) / len(usual[-128:]), deadline - self.model.clock
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -113,9 +113,9 @@
     cmd = stage.take(FREE)
     cmd.on_attempt_end(0, how, False, None)
     cmd.on_attempt_end(1, AttemptOutcome.ERROR, False, None)  # the first that left: the next is a retry
-    assert len(stage.port.sent(cmd.ref)) == 3 and len(stage.gateway.retry_budget.retries) == 1
+    assert len(stage.port.sent(cmd.ref)) == 3 and len(stage.gateway.parts.retry_budget.retries) == 1
     cmd.on_attempt_end(2, how, False, None)  # and is none after all
-    assert len(stage.port.sent(cmd.ref)) == 4 and len(stage.gateway.retry_budget.retries) == 1
+    assert len(stage.port.sent(cmd.ref)) == 4 and len(stage.gateway.parts.retry_budget.retries) == 1
     cmd.on_attempt_end(3, AttemptOutcome.ERROR, False, None)
     assert stage.port.finals(cmd.ref) == ["shed"]
     spent = stage.take(FREE)
@@ -148,14 +148,14 @@
     stage = Stage(5)
     for be in range(3):
         for _ in range(2):
-            stage.gateway.outliers.on_failure(
+            stage.gateway.parts.outliers.on_failure(
                 stage.gateway.engines[be], AttemptOutcome.CONNECTION_REFUSED, stage.port.clock
             )
     for n in range(12):
         answer(stage, stage.take(FREE, group=n))
     assert set(stage.port.sent()) == {3, 4}
     for be in (3, 4):
-        stage.gateway.outliers.on_failure(
+        stage.gateway.parts.outliers.on_failure(
             stage.gateway.engines[be], AttemptOutcome.CONNECTION_REFUSED, stage.port.clock
         )
     assert stage.take(FREE).in_flight  # with nobody left, somebody is asked all the same
@@ -266,7 +266,7 @@
         load = stage.take(LOAD, group=n)
         loads = {stage.port.sent(load.ref)[0]}
         load.on_answer(0, None, None)
-        homes = {e.entry.engine_id for e in stage.gateway.placement.homes(n)}
+        homes = {e.entry.engine_id for e in stage.gateway.parts.placement.homes(n)}
         readers = {stage.port.sent(stage.take(group=n).ref)[0] for _ in range(3)}
         assert loads <= homes and not readers & homes
 
@@ -458,8 +458,8 @@
     def begin(me: int, at: float) -> Stage:
         stage = Stage(0, rules, FleetInfo(routers, -1 if me % 10 == 9 else me, 0, (8, 8), (16384.0, 16384.0)))
         stage.port.clock = at
-        stage.gateway.slow_start.router_started_at = at
-        stage.gateway.placement.seed = seed * 1000 + me
+        stage.gateway.parts.slow_start.router_started_at = at
+        stage.gateway.parts.placement.seed = seed * 1000 + me
         return stage
 
     stages = [begin(me, 100.0) for me in range(routers)]
@@ -477,7 +477,7 @@
                 for no, be in enumerate(stage.port.sent(cmd.ref)):
                     if be == 0:
                         sent.append(
-                            (stage.port.clock + chance.choice((0.0, stage.gateway.start_slack_s)), work)
+                            (stage.port.clock + chance.choice((0.0, stage.gateway.parts.start_slack_s)), work)
                         )
                     if chance.random() < 0.3:
                         cmd.on_attempt_end(no, AttemptOutcome.ERROR, False, None)
@@ -501,8 +501,10 @@
     for stage in stages:
         stage.gateway.update_engines([engine(0, started=100.0)], complete=True)
     for at in range(101, 110):
-        parts = [stage.gateway.slow_start.share_of(stage.gateway.engines[0], float(at)) for stage in stages]
-        grown = bears(at - stages[0].gateway.start_slack_s, 100.0) / RULES.slow_start_floor
+        parts = [
+            stage.gateway.parts.slow_start.share_of(stage.gateway.engines[0], float(at)) for stage in stages
+        ]
+        grown = bears(at - stages[0].gateway.parts.start_slack_s, 100.0) / RULES.slow_start_floor
         assert grown - 0.25 <= sum(parts) <= grown + 1e-9
         begun.append(sum(part > 0 for part in parts))
     assert begun == sorted(begun) and begun[0] == min(4, routers) and begun[-1] == min(10, routers)
@@ -524,7 +526,7 @@
         # What is listed later goes by the division as well.
         stage.gateway.update_engines([engine(be, started=99.5) for be in range(50, 100)], complete=False)
     for be in range(100):
-        shares = [s.gateway.slow_start.share_of(s.gateway.engines[be], s.port.clock) for s in stages]
+        shares = [s.gateway.parts.slow_start.share_of(s.gateway.engines[be], s.port.clock) for s in stages]
         assert sum(shares) == pytest.approx(1.0) and sum(share > 0 for share in shares) == min(4, len(among))
         assert not any(share for me, share in enumerate(shares) if me not in among)
 
@@ -532,15 +534,15 @@
 def test_parts_of_threads_memory_and_rates_follow_the_division() -> None:
     rules = replace(RULES, tenant_rates_per_s=(8.0,), retry_budget_ratio=None)
     gateway = Stage(1, rules, FleetInfo(4, 1, 0, (8, 8), (16384.0, 16384.0))).gateway
-    assert gateway.tenant_quotas.request_times[0].maxlen == 20
-    gateway.tenant_quotas.request_times[0].extend([1.0, 2.0, 3.0])
+    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 20
+    gateway.parts.tenant_quotas.request_times[0].extend([1.0, 2.0, 3.0])
     gateway.set_router_share(0.5, 2, 0)
-    assert gateway.tenant_quotas.request_times[0].maxlen == 40 and list(
-        gateway.tenant_quotas.request_times[0]
+    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 40 and list(
+        gateway.parts.tenant_quotas.request_times[0]
     ) == [1.0, 2.0, 3.0]
     assert gateway.routers == pytest.approx(2.0)
     gateway.set_router_share(0.25 / 4, 4, -1)
-    assert gateway.tenant_quotas.request_times[0].maxlen == 5 and gateway.routers == pytest.approx(16.0)
+    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 5 and gateway.routers == pytest.approx(16.0)
 
 
 def test_a_part_ends_at_its_time_though_nobody_says_so() -> None:
@@ -549,9 +551,9 @@
     stage.gateway.set_router_share(0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1)
     stage.gateway.update_engines([engine(9, started=stage.port.clock - 5.0)], complete=False)
     fresh = stage.gateway.engines[9]
-    assert stage.gateway.slow_start.share_of(fresh, 95.0) == 0.5 and stage.gateway.routers == pytest.approx(
-        2.0
-    )
+    assert stage.gateway.parts.slow_start.share_of(
+        fresh, 95.0
+    ) == 0.5 and stage.gateway.routers == pytest.approx(2.0)
     stage.port.clock += 0.9
     stage.gateway.set_router_share(
         0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1
@@ -561,9 +563,9 @@
     assert stage.gateway.routers == pytest.approx(2.0)
     stage.port.clock += 0.2
     stage.take(FREE)
-    assert stage.gateway.slow_start.share_of(fresh, 95.0) == 0.0 and stage.gateway.routers == pytest.approx(
-        10.0
-    )
+    assert stage.gateway.parts.slow_start.share_of(
+        fresh, 95.0
+    ) == 0.0 and stage.gateway.routers == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize("fleet", [(0, -1), (0, 0), (1, 0), (1, 9), (5, -1), (5, 99)])
@@ -571,7 +573,7 @@
     stage = Stage(1, RULES, FleetInfo(*fleet, zone=-1, cores_by_kind=(8,), memory_mb_by_kind=(16384.0,)))
     stage.gateway.update_engines([engine(be, started=99.0) for be in range(400)], complete=False)
     now, gateway = stage.port.clock, stage.gateway
-    assert all(0 <= gateway.slow_start.share_of(e, now) <= 1 for e in gateway.engines.values())
+    assert all(0 <= gateway.parts.slow_start.share_of(e, now) <= 1 for e in gateway.engines.values())
     stage.port.clock += 1e6
     assert stage.take(FREE).in_flight
     stage.gateway.update_engines([], complete=True)
@@ -636,7 +638,9 @@
         cmd.on_answer(0, None, None)
     stage.pass_time(RULES.key_settle_s + 1.0)
     stage.take()
-    assert len(stage.gateway.key_order.queues) <= 1 and len(stage.gateway.table_groups.members) <= 1
+    assert (
+        len(stage.gateway.parts.key_order.queues) <= 1 and len(stage.gateway.parts.table_groups.members) <= 1
+    )
 
 
 def test_a_send_that_hangs_untold_is_moved_while_half_of_the_budget_is_left() -> None:
@@ -655,11 +659,11 @@
 def test_readers_do_not_crowd_the_one_engine_that_is_left_outside_the_homes() -> None:
     """Found on a busy day of reloads: one engine was ejected, and all look-ups of a hot group went to one."""
     stage = Stage(engines=4)
-    away = [e for e in stage.gateway.up if e not in stage.gateway.placement.homes(1)]
+    away = [e for e in stage.gateway.up if e not in stage.gateway.parts.placement.homes(1)]
     for _ in range(8):
         stage.take(work=0.05)
     assert set(stage.port.sent()) <= {e.entry.engine_id for e in away}
-    stage.gateway.outliers.on_failure(away[0], AttemptOutcome.UNREACHABLE, stage.port.clock)
+    stage.gateway.parts.outliers.on_failure(away[0], AttemptOutcome.UNREACHABLE, stage.port.clock)
     before = len(stage.port.sent())
     for _ in range(8):
         stage.take(work=0.05)
