--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -12,10 +12,10 @@
 
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.budgets.allocation import AllocationSnapshot
 from marbleworks.budgets.budget_catalog import SLOW_START_UNITS, Budget, BudgetCatalog
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport
-from marbleworks.budgets.local_budget import MAX_TRACKED_WAITERS, LocalBudget, LocalBudgets
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.budgets.local_budget_state import MAX_TRACKED_WAITERS, LocalBudget
 from marbleworks.net.actor import LOG, clock
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.scheduling.scheduler import SLOW_START_TRUST
@@ -386,25 +386,3 @@
         """Gives both back."""
         self.limit.release()
         self.enforcer.release_connection(self.engine_name)
-
-
-def allocation_rows(snapshots: dict[int, AllocationSnapshot], budgets: list[Budget]) -> list[list[str]]:
-    """The ledger as rows: name, total, held, used, free, unreachable, units by member.
-
-    Args:
-        snapshots: by budget id.
-        budgets: of our own configuration; others are shown by their number.
-    """
-    names = {budget.budget_id: budget.name for budget in budgets}
-    rows = []
-    for budget_id, one in sorted(snapshots.items(), key=lambda item: names.get(item[0], "")):
-        by_member = " ".join(f"{member}:{units}" for member, units in one.member_units.items() if units)
-        figures = (
-            one.total_units,
-            one.guaranteed_units + one.committed_units,
-            one.used_units,
-            one.free_units,
-            one.unreachable_units,
-        )
-        rows.append([names.get(budget_id, f"{budget_id:08x}"), *map(str, figures), by_member])
-    return rows
--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -8,10 +8,11 @@
 
 from typing import Any
 
+from marbleworks.budgets.allocation import AllocationSnapshot
 from marbleworks.budgets.allocation_ledger import AllocationLedger
 from marbleworks.budgets.budget_catalog import Budget, BudgetCatalog
 from marbleworks.budgets.codec import FORMAT, BudgetAnswer, BudgetReport, decode, encode_answer, encode_report
-from marbleworks.budgets.enforcement import BudgetEnforcer, allocation_rows
+from marbleworks.budgets.enforcement import BudgetEnforcer
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.budgets.options import BudgetOptions
 from marbleworks.membership.codec import DatagramDecodeError, group_of
@@ -201,3 +202,25 @@
             "rows": self.enforcer.table_rows(),
             "books": allocation_rows(snapshots, self.budgets),
         }
+
+
+def allocation_rows(snapshots: dict[int, AllocationSnapshot], budgets: list[Budget]) -> list[list[str]]:
+    """The ledger as rows: name, total, held, used, free, unreachable, units by member.
+
+    Args:
+        snapshots: by budget id.
+        budgets: of our own configuration; others are shown by their number.
+    """
+    names = {budget.budget_id: budget.name for budget in budgets}
+    rows = []
+    for budget_id, one in sorted(snapshots.items(), key=lambda item: names.get(item[0], "")):
+        by_member = " ".join(f"{member}:{units}" for member, units in one.member_units.items() if units)
+        figures = (
+            one.total_units,
+            one.guaranteed_units + one.committed_units,
+            one.used_units,
+            one.free_units,
+            one.unreachable_units,
+        )
+        rows.append([names.get(budget_id, f"{budget_id:08x}"), *map(str, figures), by_member])
+    return rows
--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -20,7 +20,8 @@
 from marbleworks.budgets.budget_catalog import MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import FORMAT, BudgetAnswer, BudgetReport, BudgetUsage
 from marbleworks.budgets.codec import decode as decode_budgets
-from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.membership.codec import count, read_strictly, seal, unseal
 from marbleworks.membership.leader_election import DRIFT
 
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -16,7 +16,8 @@
 from marbleworks.budgets.allocation_ledger import AllocationLedger
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport
-from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.lab.explore import Broken, every_order
 from marbleworks.membership.leader_election import DRIFT
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -29,7 +29,8 @@
 )
 from marbleworks.budgets.enforcement import BudgetedConnectionLimit, BudgetEnforcer
 from marbleworks.budgets.fair_division import Demand, divide
-from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.budgets.options import BudgetOptions
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
