--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -29,7 +29,8 @@
 )
 from marbleworks.budgets.enforcement import BudgetedConnectionLimit, BudgetEnforcer
 from marbleworks.budgets.fair_division import Demand, divide
-from marbleworks.budgets.local_budget import LocalBudget, LocalBudgets
+from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.budgets.options import BudgetOptions
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.purses import World, exhaust, stroll
@@ -601,7 +602,7 @@
 
 def test_what_a_fresh_engine_bears_is_divided_and_no_lottery(still: None) -> None:
     dispatcher = StandInDispatcher("(budgets (cold on) (tenants off))", engines=0)
-    dispatcher.scheduler.slow_start.router_started_at = 0.0
+    dispatcher.scheduler.parts.slow_start.router_started_at = 0.0
     dispatcher.scheduler.update_engines(
         [EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, dispatcher.clock - 0.1)], True
     )
