--- a/marbleworks/scheduling/attempt_watch.py
+++ b/marbleworks/scheduling/attempt_watch.py
@@ -78,8 +78,13 @@
             return False
         if not self._rules.allows_cancel or not self._retry_budget.may_retry(request, now):
             return False
-        elsewhere = [e for e in self._placement.candidates(request, now) if e is not attempt.engine]
-        if not elsewhere or not self._retry_budget.may_retry(request, now, MOVE_SPARE):
+        # A shared retry budget learns from each question how much is wanted: it is asked for every engine.
+        elsewhere = [
+            e
+            for e in self._placement.candidates(request, now)
+            if e is not attempt.engine and self._retry_budget.may_retry(request, now, MOVE_SPARE)
+        ]
+        if not elsewhere:
             return False
         self._start_attempt(request, self._placement.two_choices(request, elsewhere, now)[0], now)
         attempt.is_cancelled = True
