--- a/marbleworks/cli/router.py
+++ b/marbleworks/cli/router.py
@@ -49,7 +49,7 @@
     router_config = _read_config(config)
     subsystems = _read_subsystems(operator)
     if subsystems is not None:
-        sections = ", ".join(subsystems.book.sections) or "no section"
+        sections = ", ".join(subsystems.config.sections) or "no section"
         typer.echo(f"{operator}: {sections}: fit to serve")
     classes = len(router_config.settings.class_index)
     typer.echo(f"{router_config.name}: {classes} profiles, {config}: fit to serve")
--- a/marbleworks/fair_queue/options.py
+++ b/marbleworks/fair_queue/options.py
@@ -13,7 +13,7 @@
     return None
 
 
-DOOR = Section(
+FAIR_QUEUE_SECTION = Section(
     "door",
     "fair queues in front of the decisions, and times to come back that are kept",
     (
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -132,7 +132,7 @@
             self.fitted.join(self.desk, deployment, self.peers, station.name)
         self.living: dict[int, int] = {}  # as the view has them, with their starts
         self.removed: list[tuple[int, float]] = []  # who left the view, and when by the machine's clock
-        steward = self.fitted.steward if self.fitted is not None else None
+        steward = self.fitted.membership if self.fitted is not None else None
         self.steward = steward
         if steward is not None:
             steward.view_listeners.append(self._viewed)
@@ -179,7 +179,7 @@
         told = {"at": at, **self.counted()}
         actors: list[Any] = [self.peers, self.directory, self.desk, *self.desk.engine_clients.values()]
         if self.fitted is not None:
-            actors += [a for a in (self.fitted.steward, self.fitted.treasurer) if a is not None]
+            actors += [a for a in (self.fitted.membership, self.fitted.budgets) if a is not None]
         going = [actor.greenlet for actor in actors]
         for heeded in (self.peers, self.directory):
             heeded.over = True
--- a/marbleworks/simulation/__init__.py
+++ b/marbleworks/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: plays the decisions against a simulated deployment, over standard input and output."""
+"""The simulation: the scheduler behind the simulator's wire, over standard input and output."""
--- a/marbleworks/spool/options.py
+++ b/marbleworks/spool/options.py
@@ -7,7 +7,7 @@
     return None if text.startswith("/") and "\0" not in text else "a path that begins with '/'"
 
 
-SPOOL = Section(
+SPOOL_SECTION = Section(
     "spool",
     "results kept on disk and read page by page",
     (
--- a/marbleworks/subsystems/__init__.py
+++ b/marbleworks/subsystems/__init__.py
@@ -1,2 +1,1 @@
-"""What stands above all subsystems: the sections of the operator's file, and how a router is fitted with
-them."""
+"""The subsystems that the operator's file turns on: its sections, and how they are wired to a router."""
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -1,6 +1,6 @@
-"""The subsystems that the operator's file turns on, joined to a router.
+"""Starts the subsystems that the operator's file turns on, and wires them to a router.
 
-It owns their start, reload and end, and must never import one whose section the file does not have.
+A subsystem is imported only where the file has its section.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 if TYPE_CHECKING:
     from marbleworks.background.task_runner import TaskRunner
     from marbleworks.budgets.budget_catalog import BudgetCatalog
+    from marbleworks.budgets.enforcement import BudgetEnforcer
     from marbleworks.budgets.service import BudgetService
     from marbleworks.fair_queue.service import FairQueueService
-    from marbleworks.membership.service import MembershipService
+    from marbleworks.membership.service import MembershipService, QuotaShare
     from marbleworks.net.datagrams import DatagramTransport
     from marbleworks.net.dispatcher import Dispatcher
     from marbleworks.net.messages import EnginePort
@@ -28,142 +29,187 @@
 
 
 class Subsystems:
-    def __init__(self, book: OperatorConfig) -> None:
-        self.book = book
-        self.chores: TaskRunner | None = None
-        self.keeper: SpoolService | None = None
-        self.porter: FairQueueService | None = None
-        self.steward: MembershipService | None = None
-        self.treasurer: BudgetService | None = None
-        self.replan: Callable[[], None] | None = None  # the wholes as the file has them now
+    """The subsystems of one router.
+
+    Args:
+        config: the operator's file.
+
+    Attributes:
+        result_store: where results are stored; None without the spool.
+        health_details: what `health` answers of a subsystem by its name; None where none answers.
+    """
+
+    def __init__(self, config: OperatorConfig) -> None:
+        self.config = config
+        self.task_runner: TaskRunner | None = None
+        self.spool: SpoolService | None = None
+        self.fair_queue: FairQueueService | None = None
+        self.membership: MembershipService | None = None
+        self.budgets: BudgetService | None = None
+        self.reload_catalog: Callable[[], None] | None = None
         self.result_store: ResultStore | None = None
         self.health_details: Callable[[str], dict[str, Any]] | None = None
 
-    def join(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport, name: str) -> None:
-        """Starts what the file names; raises DeploymentError in a line where that can't be done."""
-        if self.book.has_section("peers") and deployment.rules.allows_peer_messages:
-            from marbleworks.membership.options import MembershipOptions
-            from marbleworks.membership.service import MembershipService, QuotaShare
-
-            def on_share(share: QuotaShare) -> None:
-                desk.post(
-                    desk.scheduler.set_router_share,
-                    share.share,
-                    share.divisor,
-                    share.index,
-                    share.valid_until,
-                    share.reserved_share,
-                )
-
-            self.steward = MembershipService(
-                MembershipOptions.from_section(self.book["peers"]), peers, desk.scheduler.seed, on_share
+    def join(
+        self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
+    ) -> None:
+        """Starts what the file has a section for, before the router accepts clients.
+
+        Raises:
+            SettingsError: a subsystem cannot be started, in one line.
+        """
+        if self.config.has_section("peers") and settings.rules.allows_peer_messages:
+            self._start_membership(dispatcher, transport)
+        if self.config.has_section("budgets"):
+            self._start_budgets(dispatcher, settings, transport)
+        if self.config.has_section("door"):
+            self._start_fair_queue(dispatcher, settings, transport)
+        if self.config.has_section("spool"):
+            self._start_spool(dispatcher, settings)
+
+    def _start_membership(self, dispatcher: Dispatcher, transport: DatagramTransport) -> None:
+        from marbleworks.membership.options import MembershipOptions
+        from marbleworks.membership.service import MembershipService
+
+        def on_share(share: QuotaShare) -> None:
+            dispatcher.post(
+                dispatcher.scheduler.set_router_share,
+                share.share,
+                share.divisor,
+                share.index,
+                share.valid_until,
+                share.reserved_share,
             )
-            self.health_details = self._about
-        if self.book.has_section("budgets"):
-            self._budgets(desk, deployment, peers)
-        if self.book.has_section("door"):
-            from marbleworks.fair_queue.service import FairQueueService
-
-            desk.admission = self.porter = FairQueueService(self.book["door"], desk, deployment, peers)
-            if self.steward is not None:
-                shares = self.porter.door.shares
-                self.steward.view_listeners.append(lambda starts: desk.post(shares.viewed, starts))
-        if not self.book.has_section("spool"):
-            return
-        from marbleworks.background.task_runner import BACKLOG_THRESHOLD, TaskRunner
-        from marbleworks.spool.service import FolderLockedError, SpoolService
 
-        self.chores = TaskRunner(
-            BackgroundOptions.from_section(self.book["background"]),
-            lambda: desk.mailbox.qsize() > BACKLOG_THRESHOLD,
-        )
-        try:
-            self.result_store = self.keeper = SpoolService(
-                self.book["spool"], deployment.rules.max_retry_after_s, self.chores
-            )
-        except FolderLockedError as err:
-            raise SettingsError(str(err)) from None
-        except OSError as err:
-            raise SettingsError(f"{self.book['spool']['folder']}: {err.strerror}") from None
+        options = MembershipOptions.from_section(self.config["peers"])
+        self.membership = MembershipService(options, transport, dispatcher.scheduler.seed, on_share)
+        self.health_details = self._health_details
 
-    def _budgets(self, desk: Dispatcher, deployment: Settings, peers: DatagramTransport) -> None:
-        from marbleworks.budgets.enforcement import BudgetedConnectionLimit
+    def _start_budgets(
+        self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport
+    ) -> None:
         from marbleworks.budgets.options import BudgetOptions
         from marbleworks.budgets.service import BudgetService
 
-        fleet, plan = deployment.fleet, self._plan(deployment)
-        group = peers if self.steward is not None else None
-        options = BudgetOptions.from_section(self.book["budgets"])
-        treasurer = self.treasurer = BudgetService(
-            options, plan, desk, group, fleet.router_index, fleet.router_count
+        options = BudgetOptions.from_section(self.config["budgets"])
+        budgets = BudgetService(
+            options,
+            self._budget_catalog(settings),
+            dispatcher,
+            transport if self.membership is not None else None,
+            settings.fleet.router_index,
+            settings.fleet.router_count,
         )
-        desk.scheduler.shared_budgets = holder = treasurer.enforcer
-        make = desk.make_engine_client
-
-        def counted(desk: Dispatcher, name: str, address: tuple[str, int]) -> EnginePort:
-            client: Any = make(desk, name, address)
-            client.pool.descriptor_quota = BudgetedConnectionLimit(client.pool.descriptor_quota, holder, name)
-            return cast("EnginePort", client)
-
+        self.budgets = budgets
+        enforcer = budgets.enforcer
+        dispatcher.scheduler.shared_budgets = enforcer
         if options.max_connections_per_core:
-            desk.make_engine_client = counted
-        self.replan = lambda: desk.post(holder.set_catalog, self._plan(deployment))
-        if self.steward is not None:
-            self.steward.leader_listeners.append(lambda heed: treasurer.post(treasurer.set_leader, heed))
-        self.health_details = self._about
+            _limit_connections(dispatcher, enforcer)
+        self.reload_catalog = lambda: dispatcher.post(enforcer.set_catalog, self._budget_catalog(settings))
+        if self.membership is not None:
+            self.membership.leader_listeners.append(lambda leader: budgets.post(budgets.set_leader, leader))
+        self.health_details = self._health_details
 
-    def _plan(self, deployment: Settings) -> BudgetCatalog:
+    def _budget_catalog(self, settings: Settings) -> BudgetCatalog:
         from marbleworks.budgets.budget_catalog import BudgetCatalog
         from marbleworks.budgets.options import BudgetOptions
 
-        options = BudgetOptions.from_section(self.book["budgets"])
-        plan = BudgetCatalog(
-            options, deployment.class_index, deployment.tenant_index, deployment.rules.tenant_rates_per_s
+        options = BudgetOptions.from_section(self.config["budgets"])
+        catalog = BudgetCatalog(
+            options, settings.class_index, settings.tenant_index, settings.rules.tenant_rates_per_s
         )
-        for name in plan.unmatched_names:
+        for name in catalog.unmatched_names:
             scoped = options.scoped_budgets[name]
             LOG.warning(
                 "budget scope unknown", name=name, request_class=scoped.request_class, tenant=scoped.tenant
             )
-        return plan
+        return catalog
+
+    def _start_fair_queue(
+        self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport
+    ) -> None:
+        from marbleworks.fair_queue.service import FairQueueService
+
+        self.fair_queue = FairQueueService(self.config["door"], dispatcher, settings, transport)
+        dispatcher.admission = self.fair_queue
+        if self.membership is not None:
+            usage = self.fair_queue.door.shares
+            self.membership.view_listeners.append(lambda view: dispatcher.post(usage.viewed, view))
+
+    def _start_spool(self, dispatcher: Dispatcher, settings: Settings) -> None:
+        from marbleworks.background.task_runner import BACKLOG_THRESHOLD, TaskRunner
+        from marbleworks.spool.service import FolderLockedError, SpoolService
+
+        self.task_runner = TaskRunner(
+            BackgroundOptions.from_section(self.config["background"]),
+            lambda: dispatcher.mailbox.qsize() > BACKLOG_THRESHOLD,
+        )
+        section = self.config["spool"]
+        try:
+            self.spool = SpoolService(section, settings.rules.max_retry_after_s, self.task_runner)
+        except FolderLockedError as error:
+            raise SettingsError(str(error)) from None
+        except OSError as error:
+            raise SettingsError(f"{section['folder']}: {error.strerror}") from None
+        self.result_store = self.spool
 
     def reload(self) -> None:
-        """At SIGHUP: takes over what may change, names what needs a restart; an unfit file changes
-        nothing."""
+        """Takes over what may change of the file, and logs what needs a restart.
+
+        A file that is not right changes nothing.
+        """
         try:
-            new = read_operator_config(self.book.path)
-        except OperatorConfigError as err:
-            LOG.warning("operator file not reloaded", error=str(err))
+            new = read_operator_config(self.config.path)
+        except OperatorConfigError as error:
+            LOG.warning("operator file not reloaded", error=str(error))
             return
-        live, restart = find_changes(self.book, new)
-        if "background" in live and self.chores is not None:
-            self.chores.configure(BackgroundOptions.from_section(new["background"]))
-        if "spool" in live and self.keeper is not None:
-            self.keeper.change(live["spool"])
-        if "door" in live and self.porter is not None:
-            self.porter.change(live["door"])
+        live, needs_restart = find_changes(self.config, new)
+        if "background" in live and self.task_runner is not None:
+            self.task_runner.configure(BackgroundOptions.from_section(new["background"]))
+        if "spool" in live and self.spool is not None:
+            self.spool.change(live["spool"])
+        if "door" in live and self.fair_queue is not None:
+            self.fair_queue.change(live["door"])
         for name, values in live.items():
-            self.book.sections[name].update(values)
-        if "budgets" in live and self.replan is not None:
-            self.replan()
+            self.config.sections[name].update(values)
+        if "budgets" in live and self.reload_catalog is not None:
+            self.reload_catalog()
         changed = [f"{name} {setting}" for name, values in live.items() for setting in values]
-        LOG.info("operator file reloaded", changed=changed, needs_restart=restart)
+        LOG.info("operator file reloaded", changed=changed, needs_restart=needs_restart)
 
     def stopping(self) -> None:
-        """A planned stop has begun."""
-        if self.treasurer is not None:
-            self.treasurer.leave()
-        if self.steward is not None:
-            self.steward.post(self.steward.leave)
-
-    def _about(self, what: str) -> dict[str, Any]:
-        """What `health` tells besides, of the subsystem that it names."""
-        if what == "budgets" and self.treasurer is not None:
-            return self.treasurer.snapshot()
-        return self.steward.health_view() if what == "peers" and self.steward is not None else {}
+        """Has subsystems leave their groups: a planned stop has begun."""
+        if self.budgets is not None:
+            self.budgets.leave()
+        if self.membership is not None:
+            self.membership.post(self.membership.leave)
+
+    def _health_details(self, subsystem: str) -> dict[str, Any]:
+        """What `health` answers of the subsystem that it names."""
+        if subsystem == "budgets" and self.budgets is not None:
+            return self.budgets.snapshot()
+        if subsystem == "peers" and self.membership is not None:
+            return self.membership.health_view()
+        return {}
 
     def close(self) -> None:
-        if self.chores is not None:
-            self.chores.stop()
-        if self.keeper is not None:
-            self.keeper.close()
+        """Stops what runs, once the router has answered everything."""
+        if self.task_runner is not None:
+            self.task_runner.stop()
+        if self.spool is not None:
+            self.spool.close()
+
+
+def _limit_connections(dispatcher: Dispatcher, enforcer: BudgetEnforcer) -> None:
+    """Counts each engine's connections in its budget too."""
+    from marbleworks.budgets.enforcement import BudgetedConnectionLimit
+
+    make_client = dispatcher.make_engine_client
+
+    def make_limited_client(dispatcher: Dispatcher, name: str, address: tuple[str, int]) -> EnginePort:
+        client: Any = make_client(dispatcher, name, address)
+        quota = client.pool.descriptor_quota
+        client.pool.descriptor_quota = BudgetedConnectionLimit(quota, enforcer, name)
+        return cast("EnginePort", client)
+
+    dispatcher.make_engine_client = make_limited_client
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from marbleworks.simulation.__main__ import Simulation
-from marbleworks.simulation.wire import batches
+from marbleworks.simulation.adapter import Simulation
+from marbleworks.simulation.wire import read_batches
 from tests.support.stand_ins import SETTINGS
 
 
@@ -51,8 +51,8 @@
 
     def play(at: float, body: str) -> None:
         text = f"batch\tsim_time_ms={1000.0 * at}\tframe=1\ncontext\trouter=0\n{body}flush\n"
-        for now, frame, events in batches(text.splitlines(keepends=True)):
-            said = router.answer(now, frame, events)
+        for batch in read_batches(text.splitlines(keepends=True)):
+            said = router.handle(batch)
             asked = [line.split("due_at_ms=")[1] for line in said if line.startswith("wake_me")]
             timers.extend(float(due) / 1000.0 for due in asked)
 
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -517,7 +517,7 @@
     path.write_text("(background (core 5 %))")
     fitted = Subsystems(read_operator_config(str(path)))
     fitted.join(None, DEPLOYMENT, None, "n1")  # type: ignore[arg-type]
-    assert fitted.keeper is None and fitted.chores is None
+    assert fitted.spool is None and fitted.task_runner is None
     fitted.close()
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -28,7 +28,7 @@
 from marbleworks.spool.catalog import Catalog, Lifetimes, Result, digest
 from marbleworks.spool.disk import Disk
 from marbleworks.spool.maintenance import checked, listed
-from marbleworks.spool.options import SPOOL
+from marbleworks.spool.options import SPOOL_SECTION
 from marbleworks.spool.recovery import State, end_of
 from marbleworks.spool.segment_store import SegmentStore
 from marbleworks.spool.service import SpoolService
@@ -369,7 +369,7 @@
     """As a router's start makes it, but no chore runs and no result ever ends."""
     chores = TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False)
     chores.stop()
-    terms: dict[str, Any] = {setting.name: setting.default for setting in SPOOL.settings}
+    terms: dict[str, Any] = {setting.name: setting.default for setting in SPOOL_SECTION.settings}
     terms |= {name: WHOLE_FOLDER_LIVES for name in ("keep", "unread", "longest")}
     terms |= {"folder": str(folder), "room": 640e3, "segment": 20e3, "page": 6e3, "expect": 1e4, "quota": {}}
     return SpoolService(terms, 2.0, chores)
