--- a/marbleworks/simulation/wire.py
+++ b/marbleworks/simulation/wire.py
@@ -1,7 +1,7 @@
 """The simulator's wire, and the only place that knows its words and units.
 
-Lines of `name<TAB>field=value...` are read into the types of `model.py`, and what a scheduler asks for is written
-as lines. Times on the wire are milliseconds.
+Lines of `name<TAB>field=value...` are read into the types of `model.py`, and what a scheduler asks for is
+written as lines. Times on the wire are milliseconds.
 """
 
 from __future__ import annotations
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -20,6 +20,7 @@
 from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_runner import TaskRunner
 from marbleworks.budgets import codec as budgets
+from marbleworks.cells import budget_leases
 from marbleworks.cells.plan import Cell, Loan, Part, Plan
 from marbleworks.fair_queue.peer_usage import PeerUsage, name_hash
 from marbleworks.membership import codec as peers
@@ -309,6 +310,18 @@
     assert budgets.decode(GROUP, golden("budgets answer")) == ANSWER
 
 
+def test_the_first_messages_between_levels_are_written_and_read_as_ever() -> None:
+    """Bytes written by 90fb536."""
+    hello = budget_leases.Hello(3, 2, 1000000000001, 7, 65537)
+    welcome = budget_leases.Welcome(1000000000002, 8, 65537, 5)
+    hello_bytes = bytes.fromhex("d2012900000095fb45f086000201cf000000e8d4a5100102ce00010001030304020607")
+    welcome_bytes = bytes.fromhex("d201290000005dc04f5185000301cf000000e8d4a5100202ce0001000105050608")
+    assert budget_leases.encode_hello(41, hello) == hello_bytes
+    assert budget_leases.encode_welcome(41, welcome) == welcome_bytes
+    assert budget_leases.decode(41, hello_bytes) == hello
+    assert budget_leases.decode(41, welcome_bytes) == welcome
+
+
 def test_a_door_summary_is_read_as_ever() -> None:
     shares = PeerUsage()
     told = shares.heard(2, golden("door summary"), 1e9, 10.0)
