--- a/marbleworks/budgets/local_budget.py
+++ b/marbleworks/budgets/local_budget.py
@@ -224,7 +224,7 @@
             local.leased_units = 0
         used = local.used_units(now)
         held = local.held_units(now)
-        if not local.has_news(held, used):
+        if not local.has_changed(held, used):
             return None
         weight = local.waiting_weight / len(local.waiting) if local.waiting else 1.0
         wanted = 0 if is_leaving else local.estimate_demand(now, now - self.reported_at, engine_count)
--- a/marbleworks/budgets/local_budget_state.py
+++ b/marbleworks/budgets/local_budget_state.py
@@ -152,7 +152,7 @@
         self.waiting.clear()
         self.waiting_weight = 0.0
 
-    def has_news(self, held: int, used: int) -> bool:
+    def has_changed(self, held: int, used: int) -> bool:
         """Whether the granter has to hear of this budget."""
         return bool(
             held
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -75,13 +75,13 @@
     # What the desk tells.
 
     def enqueue(
-        self, ref: str, new: OpenRequest, group: int, key: str, told: tuple[float, float], tenant: int
+        self, ref: str, new: OpenRequest, group: int, key: str, estimate: tuple[float, float], tenant: int
     ) -> None:
         index = self.deployment.class_index[new.class_name]
         profile, now = self.deployment.request_classes[index], clock()
-        work = told[0] * self.gateway.estimate_bias[index][0] or self.gateway.mean_work(index)
+        work = estimate[0] * self.gateway.estimate_bias[index][0] or self.gateway.mean_work(index)
         alone, waited, left = work / profile.threads, now - new.received_at, new.deadline - now
-        self.held[ref] = new, group, key, told, tenant
+        self.held[ref] = new, group, key, estimate, tenant
         self.alone[ref] = alone
         name = self.names[tenant] if tenant >= 0 else ""
         address = new.client.stream.peer.rpartition(":")[0]
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -69,8 +69,8 @@
         try:
             self.admission.enqueue(ref, request, group, key, declared, tenant)
         except Exception:
-            is_still_ours = self.open_requests.get(ref) is request and request.handle is None
-            if is_still_ours and not request.completed:
+            is_undecided = self.open_requests.get(ref) is request and request.handle is None
+            if is_undecided and not request.completed:
                 self._drop_failed(ref, request)  # a mistake in the admission costs this request alone
             raise
 
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -121,7 +121,7 @@
     """
 
     def enqueue(
-        self, ref: str, new: Any, group: int, key: str, told: tuple[float, float], tenant: int
+        self, ref: str, new: Any, group: int, key: str, estimate: tuple[float, float], tenant: int
     ) -> None:
         """Takes a new request."""
 
--- a/marbleworks/scheduling/attempt_watch.py
+++ b/marbleworks/scheduling/attempt_watch.py
@@ -67,7 +67,7 @@
         for attempt in overdue:
             engine = attempt.engine
             groups = {a.request.table_group for a in overdue if a.engine is engine}
-            if len(groups) >= MIN_OVERDUE_GROUPS and now - engine.last_heard_at > SILENCE_S:
+            if len(groups) >= MIN_OVERDUE_GROUPS and now - engine.last_contact_at > SILENCE_S:
                 self._outliers.eject(engine, now, "silent")
                 self._move(attempt, now)
 
@@ -79,14 +79,14 @@
         if not self._rules.allows_cancel or not self._retry_budget.may_retry(request, now):
             return False
         # A shared retry budget learns from each question how much is wanted: it is asked for every engine.
-        elsewhere = [
+        alternatives = [
             e
             for e in self._placement.candidates(request, now)
             if e is not attempt.engine and self._retry_budget.may_retry(request, now, MOVE_SPARE)
         ]
-        if not elsewhere:
+        if not alternatives:
             return False
-        self._start_attempt(request, self._placement.two_choices(request, elsewhere, now)[0], now)
+        self._start_attempt(request, self._placement.two_choices(request, alternatives, now)[0], now)
         attempt.is_cancelled = True
         self._port.cancel_attempt(request.ref, attempt.number)
         return True
--- a/marbleworks/scheduling/engine_state.py
+++ b/marbleworks/scheduling/engine_state.py
@@ -46,7 +46,7 @@
         self.reported_at = -math.inf
         self.answer_count = 0
         self.slow_start_work = deque[TimedValue]()  # work sent while it was warming up
-        self.last_heard_at = -math.inf
+        self.last_contact_at = -math.inf
         self.ejected_until = -math.inf
         self.next_ejection_s = FIRST_EJECTION_S
         self.refuses_connections = False
--- a/marbleworks/scheduling/load_reports.py
+++ b/marbleworks/scheduling/load_reports.py
@@ -41,7 +41,7 @@
         engine.reported_load = load
         engine.reported_full = is_full
         engine.reported_at = now
-        engine.last_heard_at = now
+        engine.last_contact_at = now
 
     def on_peer_update(self, data: bytes, now: float) -> None:
         """Applies another router's update; one that can't be read or names no known engine is ignored."""
--- a/marbleworks/scheduling/outlier_detection.py
+++ b/marbleworks/scheduling/outlier_detection.py
@@ -15,7 +15,7 @@
 
 MAX_EJECTION_S = 8.0
 MAX_FAILURES = 3  # among the last outcomes of an engine
-RECENTLY_HEARD_S = 1.0  # an engine heard within it is alive, whatever one attempt shows
+RECENT_CONTACT_S = 1.0  # an engine heard within it is alive, whatever one attempt shows
 
 NO_FAULT = (AttemptOutcome.CANCELLED, AttemptOutcome.UNSENT, AttemptOutcome.WITHHELD)
 
@@ -29,7 +29,7 @@
 
     def on_answer(self, engine: EngineState, now: float) -> None:
         """The engine has answered a request."""
-        engine.last_heard_at = now
+        engine.last_contact_at = now
         engine.refuses_connections = False
         engine.answer_count += 1
         engine.recent_failures.append(False)
@@ -46,12 +46,12 @@
         # On an engine heard a moment ago it is the request that waits, or one connection among others.
         is_alive = (
             outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECT_TIMEOUT)
-            and now < engine.last_heard_at + RECENTLY_HEARD_S
+            and now < engine.last_contact_at + RECENT_CONTACT_S
         )
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.REJECTED):
-            engine.last_heard_at = now
+            engine.last_contact_at = now
         engine.refuses_connections = outcome is AttemptOutcome.CONNECTION_REFUSED or (
-            engine.refuses_connections and engine.last_heard_at < now
+            engine.refuses_connections and engine.last_contact_at < now
         )
         if outcome is AttemptOutcome.ERROR and request is not None:
             had_failed = request.has_erred
--- a/marbleworks/scheduling/request_state.py
+++ b/marbleworks/scheduling/request_state.py
@@ -163,13 +163,13 @@
             if progress is not None:
                 attempt.progress = progress
             attempt.is_stalled = is_stalled
-            attempt.engine.last_heard_at = self._owner.now()
+            attempt.engine.last_contact_at = self._owner.now()
 
     def on_result_reading(self, attempt_no: int) -> None:
         """The engine is done and its result is being read: that takes none of its threads."""
         self.on_progress(attempt_no, 1.0, is_stalled=True)
         for attempt in self._numbered(attempt_no):
-            attempt.finished_at = attempt.finished_at or attempt.engine.last_heard_at
+            attempt.finished_at = attempt.finished_at or attempt.engine.last_contact_at
 
     def _numbered(self, attempt_no: int) -> list[Attempt]:
         return [attempt for attempt in self.in_flight if attempt.number == attempt_no]
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -167,7 +167,7 @@
 ) -> None:
     stage = Stage(1)
     cmd, there = stage.take(FREE), stage.gateway.engines[0]
-    there.last_heard_at = stage.port.clock - heard
+    there.last_contact_at = stage.port.clock - heard
     cmd.on_attempt_end(0, AttemptOutcome.CONNECT_TIMEOUT, False, None)
     assert (there.ejected_until > stage.port.clock) is ejected
 
