--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -348,7 +348,7 @@
     )
     assert target.HOMES == MAX_HOME_SETS
     peers = {s.name: s.default for s in MEMBERSHIP_SECTION.settings}
-    assert (peers["term"], MAX_CLOCK_DRIFT) == (target.TERM, target.MAX_CLOCK_DRIFT)
+    assert (peers["term"], MAX_CLOCK_DRIFT) == (target.TERM, target.DRIFT)
     assert (target.REPORTS, target.QUIET) == (1 / REPORT_INTERVAL_S, ABANDONED_ATTEMPT_TIMEOUT_S)
     most = 2**16 - 1
     widest = BudgetUsage(2**32 - 1, 2**32 - 1, most, most, most, most / 100, most, most, most)
