--- a/marbleworks/budgets/__init__.py
+++ b/marbleworks/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets of the whole fleet, divided among routers by demand."""
+"""Fleet-wide budgets, divided among routers by demand."""
--- a/marbleworks/budgets/allocation.py
+++ b/marbleworks/budgets/allocation.py
@@ -1,6 +1,6 @@
-"""What a ledger records of each budget: one account for each member. No I/O, no clock.
+"""Records of the allocation ledger: one account per member for each budget.
 
-Units are whole numbers, times are seconds of one clock.
+The module does no I/O and reads no clock. Units are whole numbers; times are seconds on one clock.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 @dataclass(eq=False, slots=True)
 class MemberAccount:
-    """What one member has of one budget, beyond its guaranteed units.
+    """Units of one budget that one member has beyond its guaranteed units.
 
     Attributes:
-        held_units: by its last report.
-        unconfirmed_grants: units by serial of grants that its reports have not shown yet.
-        grant_serial: of the last grant; 0: none.
-        granted_units: by the last grant.
-        expires_at: from then on it holds nothing.
-        report_token: of its last report; None: none of this incarnation.
-        used_units: by its last report.
-        guaranteed_units: that it may count on.
-        reported_total: the budget's total by its configuration.
-        demand: by its reports.
-        reported_at: time of its last report.
+        held_units: Units beyond the guaranteed ones that its last report showed as held.
+        unconfirmed_grants: Units of the grants that its reports have not shown yet, keyed by grant serial.
+        grant_serial: Serial of the last grant; 0 if there was none.
+        granted_units: Units of the last grant.
+        expires_at: Time from which the member holds no units.
+        report_token: Token of its last report; None if this incarnation has not reported.
+        used_units: Units in use by its last report.
+        guaranteed_units: Units that the member may use without a grant.
+        reported_total: Total of the budget in the member's configuration.
+        demand: Estimate of its demand, from its reports.
+        reported_at: Time of its last report.
     """
 
     held_units: int = 0
@@ -43,18 +43,18 @@
 
     @property
     def max_units(self) -> int:
-        """The most that the member may believe it holds."""
+        """Maximum number of units that the member may believe it holds."""
         if not self.unconfirmed_grants:
             return self.held_units
         return max(self.held_units, *self.unconfirmed_grants.values())
 
     def clear(self) -> None:
-        """Ends all that it held."""
+        """Removes the held units and all grants."""
         self.held_units = 0
         self.clear_grants()
 
     def clear_grants(self) -> None:
-        """Ends what it was granted; what it reports to hold stays."""
+        """Removes all grants; units that the member reported as held stay."""
         self.granted_units = 0
         self.grant_serial = 0
         self.unconfirmed_grants.clear()
@@ -62,22 +62,24 @@
 
 @dataclass(eq=False, slots=True)
 class BudgetAllocation:
-    """One budget of a ledger; derived figures are refreshed at each division and by reports that change them.
+    """One budget in a ledger.
+
+    Derived values are recalculated at each division and by reports that change them.
 
     Attributes:
-        settle_s: time after a lease by which everything beyond the guaranteed units has ended.
-        orphan_timeout_s: time after the end of a process by which its units are no longer in use.
-        known_totals: totals that any member reported lately.
-        budget_id: of the budget.
-        total_units: the smallest total that any member reports; derived.
-        guaranteed_units: of all members together; derived.
-        committed_units: by all accounts together; derived.
-        accounts: by member.
-        former_accounts: of processes that another of their name has followed.
-        initially_held_units: reported as held by all members in their first reports of this term.
-        predecessors_settled_at: when everything has ended that the processes before those had.
-        shares: units by member, by the last division.
-        divided_at: time of the last division.
+        settle_s: Time after the end of a lease by which all use beyond the guaranteed units has ended.
+        orphan_timeout_s: Time after the end of a process by which its units are no longer in use.
+        known_totals: Totals that members reported recently.
+        budget_id: Identifier of the budget.
+        total_units: Smallest total that any member reports; derived.
+        guaranteed_units: Guaranteed units of all members together; derived.
+        committed_units: Sum of the maximum units of all accounts, former ones included; derived.
+        accounts: Accounts keyed by member.
+        former_accounts: Accounts of processes that were replaced by a newer process of the same member.
+        initially_held_units: Sum of the units that members held by their first reports of this term.
+        predecessors_settled_at: Time by which all units of the members' earlier processes are free.
+        shares: Units by member, from the last division.
+        divided_at: Time of the last division.
     """
 
     settle_s: float
@@ -97,15 +99,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationSummary:
-    """One budget, all members together, as the level above is told of it.
+    """One budget summed over all members, as reported to the level above.
 
     Attributes:
-        committed_units: beyond the guaranteed ones, by all accounts.
-        unreported_units: that members may hold besides which have not reported.
-        used_units: beyond the guaranteed ones.
-        wanted_units: beyond the guaranteed ones.
-        priority_weight: the mean of the units that are wanted.
-        max_guaranteed_units: the most that one member may have.
+        committed_units: Units beyond the guaranteed ones that all accounts together may hold.
+        unreported_units: Further units that members may hold that have not reported.
+        used_units: Units in use beyond the guaranteed ones.
+        wanted_units: Units wanted beyond the guaranteed ones.
+        priority_weight: Mean priority weight of the wanted units.
+        max_guaranteed_units: Largest number of guaranteed units that one member may have.
     """
 
     committed_units: int
@@ -118,17 +120,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationSnapshot:
-    """One budget for an operator who looks at the ledger.
+    """State of one budget in the ledger, as shown to operators.
 
     Attributes:
-        total_units: of the budget.
-        guaranteed_units: of all members together.
-        committed_units: beyond those, by all accounts.
-        used_units: by members that report.
-        free_units: that may be granted.
-        unreported_units: that members may hold which have not reported.
-        unreachable_units: held by members that do not report and by processes that have ended.
-        member_units: the most that each member may hold, by member.
+        total_units: Total of the budget.
+        guaranteed_units: Guaranteed units of all members together.
+        committed_units: Units beyond the guaranteed ones that all accounts together may hold.
+        used_units: Units in use by members that report.
+        free_units: Units that may be granted.
+        unreported_units: Units that members may hold that have not reported.
+        unreachable_units: Units held by members that no longer report and by processes that have ended.
+        member_units: Maximum number of units that each member may hold, keyed by member.
     """
 
     total_units: int
--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -1,9 +1,10 @@
-"""The granter's ledger: what each member has of each budget at most. No I/O, no clock.
+"""The granter's allocation ledger: the maximum that each member may hold of each budget.
 
-A ledger lasts for one term of its router as the group's leader and has an account for each member and budget.
-An account is the most that the member may believe it holds: what it reported, and each later grant that it
-may have received. All accounts together, with what members may hold that have not reported, are never more
-than what is divided. docs/design/budgets.md has the proof. Times are seconds of one clock.
+A ledger lasts for one term of its router as the group's leader and has one account per member and budget.
+An account is an upper bound on what the member may believe it holds: the units it reported and each later
+grant that it may have received. The sum of all accounts and of the units that members may hold that have not
+reported never exceeds the units that are divided; docs/design/budgets.md has the proof. The module does no
+I/O and reads no clock; times are seconds on one clock.
 """
 
 from __future__ import annotations
@@ -24,33 +25,35 @@
 from marbleworks.budgets.fair_division import divide
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-DIVISION_INTERVAL_S = 0.1  # of one budget
-REPORT_TIMEOUT_S = 1.0  # without a report, after which a member's demand no longer counts
+DIVISION_INTERVAL_S = 0.1  # minimum time between two divisions of one budget
+REPORT_TIMEOUT_S = 1.0  # a member without a report for this long no longer counts as present
 MAX_BUDGETS = 4096
-MAX_FOREIGN_BUDGETS = 64  # beyond twice our own; then those are forgotten of which nothing is held
+# Allocations above twice the number of configured budgets that are kept before the ones without committed
+# units that are not configured here are dropped.
+MAX_FOREIGN_BUDGETS = 64
 MAX_KNOWN_TOTALS = 7  # earlier totals of one budget that are remembered
-UNKNOWN_BUDGET_SETTLE_S = 60.0  # for a budget that our configuration does not have
-TOKEN_MASK = 0xFFFFFF  # the part of a report's token that counts up
-MAX_TOKEN_STEP = 1 << 23  # beyond it a token is an older one
+UNKNOWN_BUDGET_SETTLE_S = 60.0  # settle time of a budget that is not configured at this router
+TOKEN_MASK = 0xFFFFFF  # bits of a report's token that hold its sequence number
+MAX_TOKEN_STEP = 1 << 23  # a token that is ahead by this many steps or more counts as an older one
 
 
 class AllocationLedger:
     """Accounts of one term of a granter.
 
     Args:
-        member_index: of our router.
-        member_count: by the settings.
-        incarnation: of our process.
-        term: counts the terms of this incarnation, from 1.
-        guaranteed_ratio: the part of each total of which each member always has an even share.
-        lease_s: how long a grant lasts.
-        now: when the term began.
-        known_totals: totals of each budget that our configuration had lately, by budget id.
-        member_policy: by default that of routers.
-        source: what is divided; by default the totals.
+        member_index: Index of this router among the members.
+        member_count: Number of members, by the settings.
+        incarnation: Incarnation of this process.
+        term: Number of the term within this incarnation, counted from 1.
+        guaranteed_ratio: Part of each total that is guaranteed; each member has an even share of it.
+        lease_s: Duration of a lease, in seconds.
+        now: Start of the term, in seconds.
+        known_totals: Totals that this router's configuration had recently, keyed by budget id.
+        member_policy: Policy for the members; by default that for routers.
+        source: Source of the units that are divided; by default the totals of the operator's file.
     """
 
-    def __init__(  # noqa: PLR0913 - the facts of one term, which no caller has together otherwise
+    def __init__(  # noqa: PLR0913 - all of them describe one term; no caller has an object that groups them
         self,
         member_index: int,
         member_count: int,
@@ -74,12 +77,12 @@
         self.source = source or BudgetSource()
         self.allocations: dict[int, BudgetAllocation] = {}
         self.budgets: dict[int, Budget] = {}
-        self.incarnations: dict[int, int] = {}  # by member
-        self.config_versions: dict[int, tuple[int, int]] = {}  # version and digest by member
+        self.incarnations: dict[int, int] = {}  # keyed by member
+        self.config_versions: dict[int, tuple[int, int]] = {}  # version and digest, keyed by member
         self.last_serial = 0
 
     def set_budgets(self, budgets: list[Budget]) -> None:
-        """Takes over the budgets that our own configuration has now."""
+        """Replaces the configured budgets of this router."""
         self.budgets = {budget.budget_id: budget for budget in budgets}
         for budget_id, allocation in self.allocations.items():
             budget = self.budgets.get(budget_id)
@@ -89,13 +92,13 @@
                 allocation.orphan_timeout_s = budget.orphan_timeout_s
             allocation.divided_at = -math.inf
 
-    # What is free.
+    # Free units.
 
     def _refresh(self, allocation: BudgetAllocation, now: float) -> None:
-        """Drops what has expired and derives the sums.
+        """Removes expired units and recalculates the derived values.
 
-        The total is the smallest that any present member reports: a smaller one holds as soon as one member
-        has it, a larger one once all do.
+        The total is the smallest one that any present member reports, so a smaller total applies as soon as
+        one member has it and a larger one once all members have it.
         """
         allocation.former_accounts = [a for a in allocation.former_accounts if now < a.expires_at]
         accounts = allocation.accounts.values()
@@ -103,46 +106,46 @@
             if now >= account.expires_at:
                 account.clear()
         totals = [a.reported_total for a in accounts if now < a.reported_at + REPORT_TIMEOUT_S]
-        own = self.budgets.get(allocation.budget_id)
-        if own is not None:
-            totals.append(own.units)
+        own_budget = self.budgets.get(allocation.budget_id)
+        if own_budget is not None:
+            totals.append(own_budget.units)
         allocation.total_units = min(totals, default=allocation.total_units)
         allocation.guaranteed_units = self.member_policy.all_guaranteed_units(allocation)
         former_units = sum(a.max_units for a in allocation.former_accounts)
         allocation.committed_units = sum(a.max_units for a in accounts) + former_units
 
     def _unreported_units(self, allocation: BudgetAllocation, now: float) -> int:
-        """What members may hold that have not reported in this term.
+        """Maximum number of units held by members that have not reported in this term.
 
-        No more than earlier granters divided, less what the others reported to hold; nothing once all of that
-        must have expired.
+        This is what earlier granters may have granted, less the units that the other members reported as
+        held. It is 0 once all earlier grants must have expired.
         """
         if now >= self._settled_at(allocation, self.started_at):
             return 0
         if len(allocation.accounts) == self.member_count and now >= allocation.predecessors_settled_at:
-            return 0  # all have reported, for themselves and for those that they have followed
-        earlier = self.source.max_earlier_grants(allocation, self.member_policy)
-        return max(earlier - allocation.initially_held_units, 0)
+            return 0  # all members have reported, and the units of their earlier processes are free
+        earlier_grants = self.source.max_earlier_grants(allocation, self.member_policy)
+        return max(earlier_grants - allocation.initially_held_units, 0)
 
     def _settled_at(self, allocation: BudgetAllocation, now: float) -> float:
-        """When all has ended that is granted by `now` and not renewed."""
+        """Time by which all units granted up to `now` are free unless they are renewed."""
         return now + (self.lease_s + allocation.settle_s) * (1 + MAX_CLOCK_DRIFT)
 
     def free_units(self, allocation: BudgetAllocation, now: float) -> int:
-        """Units that may be granted; negative where the total has shrunk."""
+        """Units that may be granted; negative after the total was reduced."""
         leasable = self.source.leasable_units(allocation, now)
         return leasable - self._unreported_units(allocation, now) - allocation.committed_units
 
     def summarize(self, allocation: BudgetAllocation, now: float) -> AllocationSummary:
-        """All members of a budget together, for the level above."""
+        """Sums up one budget over all members, for the level above."""
         self._refresh(allocation, now)
         accounts = allocation.accounts.values()
         present = [a for a in accounts if now < a.reported_at + REPORT_TIMEOUT_S]
-        wants = [
+        weighted_demands = [
             (max(a.demand.units - a.demand.guaranteed_units, 0.0), a.demand.priority_weight) for a in present
         ]
-        wanted = sum(units for units, _ in wants)
-        weight = sum(units * weight for units, weight in wants) / wanted if wanted else 1.0
+        wanted = sum(units for units, _ in weighted_demands)
+        mean_weight = sum(units * weight for units, weight in weighted_demands) / wanted if wanted else 1.0
         guarantees = [self.member_policy.guaranteed_units(self.source.agreed_total(allocation))]
         if len(accounts) < self.member_count:
             guarantees.append(self.member_policy.max_unreported_guarantee(allocation))
@@ -152,23 +155,34 @@
             unreported_units=self._unreported_units(allocation, now),
             used_units=sum(max(a.used_units - a.demand.guaranteed_units, 0) for a in present),
             wanted_units=math.ceil(wanted),
-            priority_weight=weight,
+            priority_weight=mean_weight,
             max_guaranteed_units=max(0, *guarantees),
         )
 
     # Reports and grants.
 
     def handle_report(self, member: int, report: BudgetReport, now: float) -> BudgetAnswer | None:
-        """Returns what a member is granted; None where the report is outdated or not meant for us."""
+        """Updates a member's accounts from its report and grants it units.
+
+        Args:
+            member: Index of the member that sent the report.
+            report: The report.
+            now: Current time, in seconds.
+
+        Returns:
+            The answer with the grants; None if the report is outdated or not meant for this granter, or if
+            the budgets of this router are not known yet.
+        """
         known_incarnation = self.incarnations.get(member, 0)
         if not 0 <= member < self.member_count or report.incarnation < max(known_incarnation, 1):
             return None
         if not self.budgets:
-            return None  # it is not known yet how long anything takes to end
+            return None  # the settle times of the budgets are not known yet
         if report.leader_incarnation != self.incarnation:
             return None
         if report.leader_term != self.term:
-            # From this answer on it accepts no older one; its next report counts.
+            # The answer tells the member the current term. It then rejects answers of older terms, and its
+            # next report is accepted.
             return BudgetAnswer(self.incarnation, self.term, report.token, ())
         if report.incarnation > known_incarnation:
             self._on_new_incarnation(member, report.incarnation, now)
@@ -178,7 +192,10 @@
         return BudgetAnswer(self.incarnation, self.term, report.token, known_grants)
 
     def _on_new_incarnation(self, member: int, incarnation: int, now: float) -> None:
-        """Another process of its name: what the one before has in use ends without it."""
+        """Hands the accounts of a member over to its newer process.
+
+        The units that the earlier process had in use become free without further reports.
+        """
         has_reported = member in self.incarnations
         self.incarnations[member] = incarnation
         for allocation in self.allocations.values():
@@ -198,7 +215,7 @@
         account = allocation.accounts.get(member)
         if account is None:
             if is_use_unknown and now < self._settled_at(allocation, self.started_at):
-                return None  # neither side knows what it may have in use
+                return None  # neither the member nor this ledger knows how many units it has in use
             account = self._add_account(member, report, usage, allocation, now)
         elif not _is_newer(report.token, account.report_token):
             return None
@@ -208,13 +225,13 @@
         if now >= allocation.divided_at + DIVISION_INTERVAL_S:
             self._divide(allocation, now)
         if not can_renew:
-            return None  # its lease expires, and its requests beyond the guaranteed units end
+            return None  # the lease expires, and requests beyond the guaranteed units are cancelled
         return self._grant(member, account, allocation, usage, is_use_unknown, now)
 
     def _add_allocation(self, usage: BudgetUsage) -> BudgetAllocation | None:
-        """None where there are too many budgets."""
+        """Adds an allocation for the budget of a usage; returns None if there are too many budgets."""
         if len(self.allocations) > MAX_FOREIGN_BUDGETS + 2 * len(self.budgets):
-            # Mostly budgets of engines that have gone.
+            # Most of these are budgets of engines that were removed.
             self.allocations = {
                 budget_id: allocation
                 for budget_id, allocation in self.allocations.items()
@@ -250,7 +267,7 @@
     def _extend(
         self, account: MemberAccount, allocation: BudgetAllocation, can_renew: bool, now: float
     ) -> None:
-        """Keeps an account for as long as a lease that is granted now; an expired one begins anew."""
+        """Extends an account until a lease granted now must have ended; restarts an expired account."""
         is_expired = now >= account.expires_at
         if is_expired and not can_renew:
             account.clear_grants()
@@ -266,7 +283,7 @@
         is_use_unknown: bool,
         now: float,
     ) -> None:
-        """Takes a member's report into its account."""
+        """Updates a member's account from its reported usage."""
         reported = (usage.total_units, usage.guaranteed_units)
         if (
             reported != (account.reported_total, account.guaranteed_units)
@@ -302,7 +319,7 @@
         is_use_unknown: bool,
         now: float,
     ) -> BudgetGrant:
-        """Grants a member its share, as far as units are free."""
+        """Grants a member its share, limited to the free units."""
         units_before = account.max_units
         units = units_before
         if not is_use_unknown:
@@ -317,7 +334,7 @@
         agreed_total = self.source.agreed_total(allocation)
         guaranteed = self.member_policy.guaranteed_units(min(agreed_total, usage.total_units))
         if guaranteed > account.guaranteed_units:
-            # It may use them as soon as the answer arrives.
+            # The member may use them as soon as the answer arrives.
             account.guaranteed_units = guaranteed
             allocation.guaranteed_units = self.member_policy.all_guaranteed_units(allocation)
         allocation.committed_units += account.max_units - units_before
@@ -337,13 +354,13 @@
     # For operators.
 
     def disagreeing_members(self) -> list[int]:
-        """Members whose configuration differs from that of most, in version or content."""
+        """Members whose configuration version or digest differs from the most common one."""
         versions = list(self.config_versions.values())
-        usual = max(sorted(set(versions)), key=versions.count, default=(0, 0))
-        return sorted(member for member, version in self.config_versions.items() if version != usual)
+        most_common = max(sorted(set(versions)), key=versions.count, default=(0, 0))
+        return sorted(member for member, version in self.config_versions.items() if version != most_common)
 
     def snapshots(self, now: float) -> dict[int, AllocationSnapshot]:
-        """The state of each budget, by budget id."""
+        """State of each budget, keyed by budget id."""
         return {
             budget_id: self._snapshot(allocation, now) for budget_id, allocation in self.allocations.items()
         }
@@ -351,7 +368,7 @@
     def _snapshot(self, allocation: BudgetAllocation, now: float) -> AllocationSnapshot:
         self._refresh(allocation, now)
         accounts = allocation.accounts.values()
-        silent = [a for a in accounts if now >= a.reported_at + REPORT_TIMEOUT_S]
+        unreachable = [a for a in accounts if now >= a.reported_at + REPORT_TIMEOUT_S]
         present = [a for a in accounts if now < a.reported_at + REPORT_TIMEOUT_S]
         return AllocationSnapshot(
             total_units=allocation.total_units,
@@ -360,13 +377,13 @@
             used_units=sum(a.used_units for a in present),
             free_units=self.free_units(allocation, now),
             unreported_units=self._unreported_units(allocation, now),
-            unreachable_units=sum(a.max_units for a in [*silent, *allocation.former_accounts]),
+            unreachable_units=sum(a.max_units for a in [*unreachable, *allocation.former_accounts]),
             member_units={member: a.max_units for member, a in sorted(allocation.accounts.items())},
         )
 
 
 def _is_plausible(usage: BudgetUsage) -> bool:
-    """Whether no number of a usage is beyond what a budget can have."""
+    """Whether all numbers of a usage are within the limits of a budget."""
     largest = max(
         usage.held_units,
         usage.used_units,
@@ -377,6 +394,6 @@
     return 0 < usage.total_units <= MAX_BUDGET_UNITS and largest <= MAX_BUDGET_UNITS
 
 
-def _is_newer(token: int, last: int | None) -> bool:
-    """Whether a report was sent after the last one; tokens count up and wrap around."""
-    return last is None or 0 < (token - last) & TOKEN_MASK < MAX_TOKEN_STEP
+def _is_newer(token: int, last_token: int | None) -> bool:
+    """Whether a report was sent after the last one; the sequence numbers in tokens wrap around."""
+    return last_token is None or 0 < (token - last_token) & TOKEN_MASK < MAX_TOKEN_STEP
--- a/marbleworks/budgets/budget_catalog.py
+++ b/marbleworks/budgets/budget_catalog.py
@@ -1,7 +1,8 @@
-"""The budgets that a deployment has by the operator's file: names, totals and times. No I/O, no clock.
+"""Catalog of the budgets that the operator's file defines: names, totals and times.
 
-An amount is a whole number of units: a request in flight, a connection, a request within a rate's window, or
-a part of the work of a warming engine. Who holds how many units is not known here.
+Amounts are whole numbers of units. A unit is a request in flight, a connection, a request within the window
+of a rate, or a part of the work of an engine that is warming up. The catalog does not know who holds how many
+units. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 from marbleworks.budgets.options import BudgetOptions, ScopedBudgetOptions
 
-# An engine ends a request within 2 s after nobody waits for it, and checks every 0.1 s.
+# An engine ends a request within 2 s after nobody waits for its result, and checks every 0.1 s.
 ABANDONED_ATTEMPT_TIMEOUT_S = 2.3
 MAX_BUDGET_UNITS = 1 << 24
-SLOW_START_UNITS = 64  # into which the slow-start load of an engine is divided
+SLOW_START_UNITS = 64  # units of the slow-start budget of one engine
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,11 +25,11 @@
     """One budget of the fleet.
 
     Attributes:
-        name: unique within the fleet.
-        units: the total.
-        window_s: how long a unit of a rate is in use, which is also how long a burst may be saved up;
-            0: a concurrency budget, whose unit is in use until its request has ended.
-        settle_s: time after a lease expired by which everything beyond it has ended.
+        name: Name of the budget, unique within the fleet.
+        units: Total of the budget.
+        window_s: Time for which a unit of a rate budget is in use, which also limits the size of a burst;
+            0 for a concurrency budget, whose units are in use until their requests have ended.
+        settle_s: Time after the end of a lease by which all use beyond the guaranteed units has ended.
     """
 
     name: str
@@ -38,7 +39,7 @@
 
     @property
     def budget_id(self) -> int:
-        """The number that stands for the budget in datagrams."""
+        """Number that identifies the budget in datagrams."""
         return zlib.crc32(self.name.encode())
 
     @property
@@ -47,35 +48,41 @@
         return self.window_s or ABANDONED_ATTEMPT_TIMEOUT_S
 
     def guaranteed_units(self, guaranteed_ratio: float, router_count: int) -> int:
-        """Units that each router always may use: an even share of the guaranteed part."""
+        """Units that each router may always use: an even share of the guaranteed part of the total."""
         return int(guaranteed_ratio * self.units) // router_count
 
     def even_share(self, router_index: int, router_count: int) -> int:
-        """Units of a router that has no peers; the remainder goes to the lowest indices."""
+        """Units of a router without peers; the remainder goes to the routers with the lowest indices."""
         return self.units // router_count + (router_index < self.units % router_count)
 
 
 @dataclass(frozen=True, slots=True)
 class ScopedBudget:
-    """A budget for a request class, a tenant or both, by index; None: any."""
+    """A budget for a request class, a tenant or both.
+
+    Attributes:
+        budget: The budget.
+        class_index: Index of the request class; None for every class.
+        tenant_index: Index of the tenant; None for every tenant.
+    """
 
     budget: Budget
     class_index: int | None
     tenant_index: int | None
 
     def covers(self, class_index: int, tenant_index: int) -> bool:
-        """Whether requests of that class and tenant count against it."""
+        """Whether requests of that class and tenant count against the budget."""
         return self.class_index in (None, class_index) and self.tenant_index in (None, tenant_index)
 
 
 class BudgetCatalog:
-    """All budgets by the operator's file.
+    """All budgets that the operator's file defines.
 
     Args:
-        options: the section `budgets`.
-        class_index: indices of request classes by name.
-        tenant_index: indices of tenants by name.
-        tenant_rates_per_s: requests a second within each tenant's quota, by index; 0: no quota.
+        options: Options from the section `budgets`.
+        class_index: Indices of request classes, keyed by name.
+        tenant_index: Indices of tenants, keyed by name.
+        tenant_rates_per_s: Quotas of tenants in requests a second, by tenant index; 0 for no quota.
     """
 
     def __init__(
@@ -95,7 +102,7 @@
         if options.retries_per_s:
             self.retry_budget = self._rate_budget("further sends", options.retries_per_s)
         self.scoped_budgets: list[ScopedBudget] = []
-        self.unmatched_names: list[str] = []  # budgets whose class or tenant the deployment lacks
+        self.unmatched_names: list[str] = []  # budgets whose request class or tenant is not in the settings
         for name, scoped in options.scoped_budgets.items():
             self._add_scoped(name, scoped, class_index, tenant_index)
         self.tenant_budgets: dict[int, Budget] = {}
@@ -129,14 +136,14 @@
 
     def _rate_budget(self, name: str, rate_per_s: float) -> Budget:
         window_s = self.rate_window_s
-        while rate_per_s * window_s < 1.0:  # one unit must not be more than the rate gives in its window
+        while rate_per_s * window_s < 1.0:  # one unit per window must not exceed the rate
             window_s *= 2.0
         return Budget(
             name, min(math.floor(rate_per_s * window_s + 1e-9), MAX_BUDGET_UNITS), window_s, window_s
         )
 
     def engine_budget(self, engine: str, cores: int) -> Budget | None:
-        """Requests in flight at one engine; None where they have no budget."""
+        """Budget of requests in flight at one engine; None if they are not limited."""
         if not self.max_in_flight_per_core:
             return None
         return self._concurrency_budget(
@@ -144,7 +151,7 @@
         )
 
     def connection_budget(self, engine: str, cores: int) -> Budget | None:
-        """Connections to one engine; None where they have no budget."""
+        """Budget of connections to one engine; None if they are not limited."""
         if not self.max_connections_per_core:
             return None
         return self._concurrency_budget(
@@ -152,11 +159,11 @@
         )
 
     def slow_start_budget(self, engine: str, started_at: float, window_s: float) -> Budget:
-        """The work that a warming engine bears within the window, in parts of it."""
+        """Budget of the work that an engine in slow start may receive within the window."""
         return Budget(f"cold {engine}/{started_at:.3f}", SLOW_START_UNITS, window_s, window_s)
 
     def static_budgets(self) -> list[Budget]:
-        """All that do not come and go with engines."""
+        """Budgets that do not belong to an engine and so exist all the time."""
         budgets = [scoped.budget for scoped in self.scoped_budgets]
         budgets += self.tenant_budgets.values()
         if self.retry_budget is not None:
@@ -165,7 +172,10 @@
 
     @property
     def config_digest(self) -> int:
-        """Of all totals that the file names; routers with one version and two digests disagree."""
+        """Checksum of all totals in the file.
+
+        Routers with the same version and different digests have different files.
+        """
         facts = sorted((budget.name, budget.units, budget.window_s) for budget in self.static_budgets())
         per_core = (self.max_in_flight_per_core, self.max_connections_per_core)
         return zlib.crc32(repr((self.config_version, *per_core, facts)).encode())
--- a/marbleworks/budgets/codec.py
+++ b/marbleworks/budgets/codec.py
@@ -1,7 +1,8 @@
-"""Datagrams by which routers report their use of budgets and the granter answers. No I/O, no clock.
+"""Datagrams with which routers report their use of budgets and the granter answers.
 
-Each is sealed as the group's other datagrams are (`membership/codec.py`). A usage or a grant is a row of
-numbers; numbers that a later version adds behind them are ignored.
+They are sealed in the same way as the other datagrams of the group (`membership/codec.py`). A usage or a
+grant is encoded as a row of numbers; numbers that a later version appends are ignored. The module does no
+I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 
 FORMAT = DatagramFormat(0xD2, 1, 1)
 MAX_REPORT_ENTRIES = 14
-TYPICAL_HEAD_BYTES = 72  # of a report without usages; larger numbers than usual may need more
-PRIORITY_WEIGHT_SCALE = 100.0  # a priority weight is sent as hundredths
+TYPICAL_HEAD_BYTES = 72  # size of a report without usages; unusually large numbers need more
+PRIORITY_WEIGHT_SCALE = 100.0  # priority weights are sent in hundredths
 MAX_PRIORITY_WEIGHT = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetUsage:
-    """What a member reports of one budget.
+    """A member's report about one budget.
 
     Attributes:
-        budget_id: of the budget.
-        grant_serial: of the last grant that it has from the granter it reports to; 0: none.
-        held_units: beyond its guaranteed units: what it may use or still uses.
-        used_units: in use.
-        wanted_units: that it would use if it had them.
-        priority_weight: the mean of the requests that wait.
-        total_units: the budget's total by its own configuration.
-        guaranteed_units: by its own configuration.
-        held_or_lapsed_units: held_units, or those of a lease that expired just now if they are more.
+        budget_id: Identifier of the budget.
+        grant_serial: Serial of the last grant received from the granter it reports to; 0 if there was none.
+        held_units: Units beyond the guaranteed ones that the member may use or still uses.
+        used_units: Units in use.
+        wanted_units: Units that the member would use if it had them.
+        priority_weight: Mean priority weight of the waiting requests.
+        total_units: Total of the budget by the member's own configuration.
+        guaranteed_units: Guaranteed units by the member's own configuration.
+        held_or_lapsed_units: The larger of `held_units` and the units of a lease that expired recently.
     """
 
     budget_id: int
@@ -59,15 +60,15 @@
     """A member's report to the granter.
 
     Attributes:
-        incarnation: of the member.
-        leader_incarnation: of the granter that it is meant for.
-        leader_term: the granter's term as far as the member knows; 0: unknown.
-        token: comes back in the answer.
-        config_version: of the member's configuration.
-        config_digest: of the member's configuration.
-        is_leaving: the member wants nothing more.
-        age_ms: since the member began or joined.
-        usages: of the budgets that it has anything to report of.
+        incarnation: Incarnation of the member.
+        leader_incarnation: Incarnation of the granter that the report is meant for.
+        leader_term: Term of the granter as known to the member; 0 if unknown.
+        token: Identifies the report; the answer repeats it.
+        config_version: Version of the member's configuration.
+        config_digest: Digest of the member's configuration.
+        is_leaving: Whether the member is leaving and wants no more units.
+        age_ms: Time since the member started or joined the group, in milliseconds.
+        usages: Usages of the budgets that the member has something to report about.
     """
 
     incarnation: int
@@ -83,13 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetGrant:
-    """What a member may use of one budget beyond its guaranteed units, for the time of a lease.
+    """Units of one budget beyond the guaranteed ones that a member may use for the duration of a lease.
 
     Attributes:
-        budget_id: of the budget.
-        serial: larger than that of each earlier grant of the same term.
-        leased_units: in place of those of the grant before.
-        agreed_total: the smallest total that any member reports; guaranteed units follow no larger one.
+        budget_id: Identifier of the budget.
+        serial: Serial of the grant, larger than that of each earlier grant of the same term.
+        leased_units: Leased units; they replace those of the previous grant.
+        agreed_total: Smallest total that any member reports. Members calculate their guaranteed units from it
+            or from a smaller total.
     """
 
     budget_id: int
@@ -100,13 +102,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetAnswer:
-    """The granter's answer to a report; without grants where the report was not meant for this term.
+    """The granter's answer to a report; it has no grants if the report was meant for another term.
 
     Attributes:
-        leader_incarnation: of the granter.
-        leader_term: of the granter.
-        token: of the report.
-        grants: for the usages of the report.
+        leader_incarnation: Incarnation of the granter.
+        leader_term: Term of the granter.
+        token: Token of the report.
+        grants: Grants for the usages of the report.
     """
 
     leader_incarnation: int
@@ -130,7 +132,12 @@
 
 
 def encode_report(group: int, report: BudgetReport) -> bytes:
-    """The datagram of a report. group: the number of the group whose members read it."""
+    """Encodes a report as a datagram.
+
+    Args:
+        group: Number of the group whose members can read the datagram.
+        report: The report.
+    """
     fields = {
         8: report.age_ms,
         0: 0,
@@ -148,7 +155,12 @@
 
 
 def encode_answer(group: int, answer: BudgetAnswer) -> bytes:
-    """The datagram of an answer."""
+    """Encodes an answer as a datagram.
+
+    Args:
+        group: Number of the group whose members can read the datagram.
+        answer: The answer.
+    """
     rows = [
         [grant.budget_id, grant.serial, grant.leased_units, grant.agreed_total] for grant in answer.grants
     ]
@@ -157,10 +169,14 @@
 
 
 def decode(group: int, data: bytes) -> BudgetReport | BudgetAnswer:
-    """Reads a datagram.
+    """Decodes a datagram.
+
+    Args:
+        group: Number of the group that the datagram has to be for.
+        data: The datagram.
 
     Raises:
-        DatagramDecodeError: it is not a report or an answer for that group.
+        DatagramDecodeError: The datagram is not a report or an answer for that group.
     """
     fields = unseal(FORMAT, group, data)
     with wrap_decode_errors():
@@ -208,18 +224,21 @@
 def split_usages(
     usages: list[BudgetUsage], head_bytes: int = TYPICAL_HEAD_BYTES
 ) -> Iterator[tuple[BudgetUsage, ...]]:
-    """Divides usages, in order, among as few reports as fit datagrams.
+    """Divides usages, in order, among as few reports as possible that each fit a datagram.
 
     Args:
-        usages: of all budgets.
-        head_bytes: of each report without usages; counted as the typical number at least.
+        usages: Usages of all budgets.
+        head_bytes: Size of a report without usages; TYPICAL_HEAD_BYTES is assumed if it is smaller.
+
+    Yields:
+        The usages of one report.
     """
-    room = MAX_DATAGRAM_BYTES - max(head_bytes, TYPICAL_HEAD_BYTES)
+    available_bytes = MAX_DATAGRAM_BYTES - max(head_bytes, TYPICAL_HEAD_BYTES)
     part: list[BudgetUsage] = []
     size = 0
     for usage in usages:
         row_bytes = len(msgpack.packb(_usage_row(usage)))
-        if len(part) >= MAX_REPORT_ENTRIES or size + row_bytes > room:
+        if len(part) >= MAX_REPORT_ENTRIES or size + row_bytes > available_bytes:
             yield tuple(part)
             part = []
             size = 0
