--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -1,7 +1,7 @@
-"""Enforces budgets at a router: answers the scheduler before each attempt and counts what attempts use.
+"""Enforcement of budgets at a router: checks before each attempt, and accounting of the units in use.
 
-A `BudgetEnforcer` runs in the dispatcher's greenlet. It does not decide how much any router gets, and cancels
-requests only where a lease expired and was not renewed in time.
+A `BudgetEnforcer` runs in the dispatcher's greenlet. It does not decide how many units a router gets. It
+cancels requests only if a lease expired and was not renewed in time.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.scheduling.slow_start import SLOW_START_TRUST
 
-GRANT_ROUND_TRIP_S = 0.4  # within which a lease that is asked for mostly arrives
+GRANT_ROUND_TRIP_S = 0.4  # a lease that is requested usually arrives within this time
 MAX_RETRY_AFTER_S = 60.0
-CONNECTION_WAITER = "line"  # stands for all that wait for a connection
+CONNECTION_WAITER = "line"  # one entry in `LocalBudget.waiting` for all waiters for a connection
 
 
 @dataclass(frozen=True, slots=True)
 class EngineBudgets:
-    """What is budgeted for one engine; None: no such budget.
+    """Budgets of one engine.
 
     Attributes:
-        in_flight: requests in flight there.
-        slow_start: work that it bears while it is warming up.
-        work_per_unit: of the slow-start budget, in seconds on one thread.
+        in_flight: Budget of requests in flight at the engine; None if there is none.
+        slow_start: Budget of work sent to the engine while it is warming up; None if there is none.
+        work_per_unit: Work per unit of the slow-start budget, in seconds on one thread.
     """
 
     in_flight: LocalBudget | None = None
@@ -45,20 +45,20 @@
 
 @dataclass(eq=False, slots=True)
 class AcquiredUnits:
-    """Concurrency budgets of which an attempt has a unit, and since when."""
+    """The concurrency budgets of which an attempt holds a unit, and the time at which it acquired them."""
 
     budgets: list[LocalBudget]
     acquired_at: float
 
 
 class BudgetEnforcer:
-    """Implements `ports.SharedBudgets`.
+    """Enforces the budgets at this router; implements `ports.SharedBudgets`.
 
     Args:
-        dispatcher: in whose greenlet all of this runs.
-        catalog: the budgets of the operator's file.
-        local_budgets: ours.
-        request_report: called where something waits for a lease.
+        dispatcher: Dispatcher of this router; all methods run in its greenlet.
+        catalog: Budgets of the operator's file.
+        local_budgets: State of the budgets at this router.
+        request_report: Called when a request or connection waits for units.
     """
 
     def __init__(
@@ -73,28 +73,26 @@
         self.local_budgets = local_budgets
         self.request_report = request_report
         self.begin_by = math.inf
-        self.acquired: dict[tuple[str, int], AcquiredUnits] = {}  # by request and attempt
-        self.arrivals = 0  # requests since the last report; engines share them evenly
-        self.waiting_by_budget: dict[int, set[str]] = {}  # requests that were told to wait, by budget id
-        self.engine_budgets: dict[int, EngineBudgets] = {}  # by engine id
-        self.connection_budgets: dict[str, LocalBudget] = {}  # by engine name
-        self.scoped_budgets: dict[
-            tuple[int, int], list[LocalBudget]
-        ] = {}  # by class and tenant, as asked for
+        self.acquired: dict[tuple[str, int], AcquiredUnits] = {}  # keyed by request and attempt
+        self.arrivals = 0  # requests since the last report; counted evenly for all engines
+        self.waiting_by_budget: dict[int, set[str]] = {}  # refs of requests that wait, keyed by budget id
+        self.engine_budgets: dict[int, EngineBudgets] = {}  # keyed by engine id
+        self.connection_budgets: dict[str, LocalBudget] = {}  # keyed by engine name
+        self.scoped_budgets: dict[tuple[int, int], list[LocalBudget]] = {}  # cache, keyed by class and tenant
         self.refused_count = 0
         self.cancelled_count = 0
         self.is_leaving = False
         self.set_catalog(catalog)
 
     def set_catalog(self, catalog: BudgetCatalog) -> None:
-        """Takes over the budgets of a reloaded file."""
+        """Replaces the catalog after a reload of the operator's file."""
         self.catalog = catalog
         self.local_budgets.config_version = catalog.config_version
         self.local_budgets.config_digest = catalog.config_digest
         self.engines_changed()
 
     def engines_changed(self) -> None:
-        """Follows the list of engines with the budgets of each."""
+        """Updates the budgets of engines after a change of the engine list."""
         engines = self.scheduler.engines
         window_s = self.scheduler.rules.overload_window_s
         budgets = self.catalog.static_budgets()
@@ -124,11 +122,15 @@
             )
             for engine_id, engine in engines.items()
         }
-        local = self.local_budgets.budgets
-        self.connection_budgets = {name: local[budget.budget_id] for name, budget in connections.items()}
+        local_by_id = self.local_budgets.budgets
+        self.connection_budgets = {
+            name: local_by_id[budget.budget_id] for name, budget in connections.items()
+        }
         self.scoped_budgets.clear()
         self.waiting_by_budget = {
-            budget_id: waiting for budget_id, waiting in self.waiting_by_budget.items() if budget_id in local
+            budget_id: waiting
+            for budget_id, waiting in self.waiting_by_budget.items()
+            if budget_id in local_by_id
         }
 
     def _local(self, budget: Budget | None) -> LocalBudget | None:
@@ -141,21 +143,21 @@
         return SLOW_START_TRUST * work / SLOW_START_UNITS
 
     def budgets(self) -> list[Budget]:
-        """All budgets by our own configuration."""
+        """All budgets by this router's own configuration."""
         return [local.budget for local in self.local_budgets.budgets.values()]
 
-    # What the scheduler asks.
+    # Calls from the scheduler.
 
     def _budgets_covering(self, class_index: int, tenant_index: int) -> list[LocalBudget]:
-        found = self.scoped_budgets.get((class_index, tenant_index))
-        if found is None:
-            found = [
+        covering = self.scoped_budgets.get((class_index, tenant_index))
+        if covering is None:
+            covering = [
                 self.local_budgets.budgets[scoped.budget.budget_id]
                 for scoped in self.catalog.scoped_budgets
                 if scoped.covers(class_index, tenant_index)
             ]
-            self.scoped_budgets[class_index, tenant_index] = found
-        return found
+            self.scoped_budgets[class_index, tenant_index] = covering
+        return covering
 
     def _record_waiter(self, local: LocalBudget, ref: str, class_index: int) -> None:
         if ref not in local.waiting and len(local.waiting) < MAX_TRACKED_WAITERS:
@@ -164,7 +166,17 @@
             self.request_report()
 
     def admission_wait(self, ref: str, class_index: int, tenant: int, wait_budget_s: float) -> float | None:
-        """Counts a request that has arrived; see `ports.SharedBudgets`."""
+        """Counts a request that has arrived and estimates how long it has to wait.
+
+        Args:
+            ref: Ref of the request.
+            class_index: Index of its request class.
+            tenant: Index of its tenant.
+            wait_budget_s: Maximum time that the request may wait, in seconds.
+
+        Returns:
+            None if the request may be sent or wait; otherwise the seconds after which to retry.
+        """
         now = clock()
         self.arrivals += 1
         for local in self._budgets_covering(class_index, tenant):
@@ -174,8 +186,8 @@
                 continue
             self._record_waiter(local, ref, class_index)
             releases_per_s = local.releases_per_s(now)
-            turn = len(waiting) + 1
-            expected_s = turn / releases_per_s if releases_per_s else GRANT_ROUND_TRIP_S * turn
+            position = len(waiting) + 1
+            expected_s = position / releases_per_s if releases_per_s else GRANT_ROUND_TRIP_S * position
             if expected_s > wait_budget_s:
                 self.refused_count += 1
                 self.stop_waiting(ref)
@@ -184,7 +196,11 @@
         return None
 
     def is_within_quota(self, ref: str, tenant: int) -> bool | None:
-        """Takes a unit of the tenant's rate where there is one."""
+        """Acquires a unit of the tenant's rate.
+
+        Returns:
+            Whether there was a unit; None if the tenant has no budget.
+        """
         budget = self.catalog.tenant_budgets.get(tenant)
         if budget is None:
             return None
@@ -201,7 +217,10 @@
         return False
 
     def has_room(self, ref: str, class_index: int, tenant: int, engine_id: int) -> bool:
-        """Whether all budgets of an attempt at an engine have room; one that has not is asked for more."""
+        """Whether all budgets of an attempt at an engine have room.
+
+        The request is recorded as a waiter of the first budget without room.
+        """
         now = clock()
         for local in self._budgets_covering(class_index, tenant):
             if not local.has_room(now):
@@ -219,7 +238,7 @@
         return True
 
     def max_in_flight(self) -> float:
-        """Requests that may be in flight at all engines together."""
+        """Number of requests that may be in flight at all engines together."""
         now = clock()
         budgets = [
             engine.in_flight for engine in self.engine_budgets.values() if engine.in_flight is not None
@@ -234,7 +253,16 @@
         return max(math.ceil(self.scheduler.mean_work(class_index) / work_per_unit), 1)
 
     def retry_allowance(self, spare: float, earned: float) -> float:
-        """Infinite where the fleet's retry budget has room, negative where it has none."""
+        """Number of retries that are allowed now.
+
+        Args:
+            spare: Units of the retry budget that have to be free.
+            earned: Retries that this router earned by itself.
+
+        Returns:
+            `earned` without a fleet-wide retry budget; otherwise infinity if that budget has room, and a
+            negative number if it has none.
+        """
         if self.catalog.retry_budget is None:
             return earned
         local = self.local_budgets.budgets[self.catalog.retry_budget.budget_id]
@@ -246,12 +274,12 @@
         return -1.0
 
     def slow_start_share(self, engine_id: int) -> float | None:
-        """Our part of an engine's slow-start load."""
+        """This router's share of an engine's slow-start load; None if that load has no budget."""
         slow_start = self.engine_budgets.get(engine_id, NO_ENGINE_BUDGETS).slow_start
         return None if slow_start is None else slow_start.max_units(clock()) / SLOW_START_UNITS
 
     def acquire(self, ref: str, attempt_no: int, class_index: int, tenant: int, engine_id: int) -> None:
-        """Takes a unit of each budget of an attempt, and sets `begin_by`."""
+        """Acquires units of all budgets of an attempt and sets `begin_by`, the latest time of its start."""
         now = clock()
         self.begin_by = math.inf
         engine = self.engine_budgets.get(engine_id, NO_ENGINE_BUDGETS)
@@ -272,7 +300,13 @@
         self.stop_waiting(ref)
 
     def release(self, ref: str, attempt_no: int, may_still_run: bool) -> None:
-        """Releases the units of an attempt that has ended."""
+        """Releases the units of an attempt that has ended.
+
+        Args:
+            ref: Ref of the request.
+            attempt_no: Number of the attempt.
+            may_still_run: Whether the engine may still be executing the attempt.
+        """
         acquired = self.acquired.pop((ref, attempt_no), None)
         if acquired is None:
             return
@@ -282,14 +316,14 @@
             self.local_budgets.release(local, now, may_still_run)
 
     def stop_waiting(self, ref: str) -> None:
-        """A request waits no longer."""
+        """Removes a request from the waiters of all budgets."""
         for waiting in self.waiting_by_budget.values():
             waiting.discard(ref)
 
-    # Connections, for the engine clients.
+    # Calls from the engine clients, for connections.
 
     def acquire_connection(self, engine: str) -> bool:
-        """Takes a unit for one more connection to an engine; False where there is none."""
+        """Acquires a unit for one more connection to an engine; returns False if there is none."""
         local = self.connection_budgets.get(engine)
         if local is None:
             return True
@@ -302,7 +336,7 @@
         return True
 
     def release_connection(self, engine: str) -> None:
-        """Gives back the unit of a connection that has ended."""
+        """Releases the unit of a closed connection."""
         local = self.connection_budgets.get(engine)
         if local is not None and local.in_flight:
             self.local_budgets.release(local, clock(), False)
@@ -310,7 +344,13 @@
     # Reports to the granter and its answers.
 
     def make_reports(self, granter: int, granter_incarnation: int, incarnation: int) -> list[BudgetReport]:
-        """Cancels what is overdue, and reports the rest."""
+        """Cancels overdue requests and makes the reports to the granter.
+
+        Args:
+            granter: Index of the member that grants units.
+            granter_incarnation: Incarnation of that member.
+            incarnation: Incarnation of this process.
+        """
         self._cancel_overdue()
         engine_count = max(len(self.scheduler.up), 1)
         for engine in self.engine_budgets.values():
@@ -322,7 +362,7 @@
         )
 
     def handle_answer(self, sender: int, answer: BudgetAnswer) -> None:
-        """Takes over the grants of an answer, and has waiting requests and connections tried again."""
+        """Applies the grants of an answer, and retries waiting requests and connections."""
         if not self.local_budgets.handle_answer(sender, answer, clock()):
             return
         if self.connection_budgets:
@@ -343,29 +383,29 @@
                     self.scheduler.give_up(request.handle)
 
     def leave(self) -> None:
-        """Ends our leases for a planned stop, or where another process has our name."""
+        """Gives up all leases for a planned stop, or because another process has this router's identity."""
         self.is_leaving = True
         self.local_budgets.close()
 
     def table_rows(self) -> list[list[str]]:
-        """A row for each budget: name, total, guaranteed, leased, used, time that the lease still lasts."""
+        """One row for each budget: name, total, guaranteed, leased, used, remaining time of the lease."""
         now = clock()
         rows = []
-        for local in sorted(self.local_budgets.budgets.values(), key=lambda one: one.budget.name):
+        for local in sorted(self.local_budgets.budgets.values(), key=lambda item: item.budget.name):
             leased = local.valid_lease_units(now)
-            left = f"{local.lease_expires_at - now:.1f} s" if leased else "-"
-            units = (local.budget.units, local.guaranteed_units, leased, local.used_units(now))
-            rows.append([local.budget.name, *map(str, units), left])
+            lease_left = f"{local.lease_expires_at - now:.1f} s" if leased else "-"
+            figures = (local.budget.units, local.guaranteed_units, leased, local.used_units(now))
+            rows.append([local.budget.name, *map(str, figures), lease_left])
         return rows
 
 
 class BudgetedConnectionLimit:
-    """A semaphore of connections to one engine that counts each in the engine's budget too.
+    """A semaphore for connections to one engine that also counts them in the engine's budget.
 
     Args:
-        limit: the semaphore; it bounds descriptors.
-        enforcer: of the budgets.
-        engine_name: whose connections these are.
+        limit: Semaphore that limits the number of descriptors.
+        enforcer: Enforcer of the budgets.
+        engine_name: Name of the engine.
     """
 
     def __init__(self, limit: BoundedSemaphore, enforcer: BudgetEnforcer, engine_name: str) -> None:
@@ -374,7 +414,7 @@
         self.engine_name = engine_name
 
     def acquire(self, blocking: bool = True) -> bool:
-        """Takes a descriptor and a unit, or neither."""
+        """Acquires a descriptor and a unit of the budget, or neither."""
         if not self.limit.acquire(blocking=blocking):
             return False
         if self.enforcer.acquire_connection(self.engine_name):
@@ -383,6 +423,6 @@
         return False
 
     def release(self) -> None:
-        """Gives both back."""
+        """Releases the descriptor and the unit."""
         self.limit.release()
         self.enforcer.release_connection(self.engine_name)
