--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -1,6 +1,6 @@
-"""The section `budgets` of the operator's file and the typed options that it becomes.
+"""The section `budgets` of the operator's file, and the typed options that it is converted to.
 
-The keys of the section are part of the file's format; no other module knows them.
+The keys of the section are part of the file format; no other module uses them.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScopedBudgetOptions:
-    """A budget for a request class, a tenant or both; exactly one of the two amounts is not 0.
+    """A budget for a request class, a tenant or both; exactly one of the two limits is not 0.
 
     Attributes:
-        request_class: the class it applies to; empty: every class.
-        tenant: the tenant it applies to; empty: every tenant.
-        max_in_flight: requests in flight at the same time.
-        rate_per_s: requests a second.
+        request_class: Request class that the budget applies to; empty for every class.
+        tenant: Tenant that the budget applies to; empty for every tenant.
+        max_in_flight: Maximum number of requests in flight at the same time.
+        rate_per_s: Maximum number of requests a second.
     """
 
     request_class: str
@@ -31,21 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetOptions:
-    """The section `budgets` with the default where the file has no value.
+    """Options from the section `budgets`, with defaults for values that the file does not have.
 
     Attributes:
-        version: of the totals; the operator raises it at each change.
-        guaranteed_ratio: the part of each total that all routers together always have.
-        lease_s: how long a lease lasts without being renewed.
-        settle_s: how long requests beyond an expired lease may go on before they are cancelled.
-        rate_window_s: a rate's burst is what it gives in that time.
-        max_in_flight_per_core: requests in flight at one engine for each of its cores; 0: no budget.
-        max_connections_per_core: connections to one engine for each of its cores; 0: no budget.
-        retries_per_s: of the whole fleet; 0: no budget, each router earns its own.
-        divides_tenant_rates: whether tenants' rates are divided by demand.
-        divides_slow_start: whether the slow-start load of a new engine is divided by demand.
-        scoped_budgets: by name.
-        max_bytes_per_s: of budget datagrams, sent and accepted from each peer.
+        version: Version of the totals; the operator raises it at each change.
+        guaranteed_ratio: Part of each total that is guaranteed; each router has an even share of it.
+        lease_s: Duration of a lease that is not renewed, in seconds.
+        settle_s: Time after the end of a lease, in seconds, after which requests beyond the guaranteed units
+            are cancelled.
+        rate_window_s: Window of rate budgets, in seconds; a burst is limited to what the rate gives in it.
+        max_in_flight_per_core: Requests in flight at one engine per core; 0 for no budget.
+        max_connections_per_core: Connections to one engine per core; 0 for no budget.
+        retries_per_s: Retries a second of the whole fleet; 0 for no budget, each router then earns its own.
+        divides_tenant_rates: Whether the rates of tenants are divided among routers by demand.
+        divides_slow_start: Whether the slow-start load of a new engine is divided among routers by demand.
+        scoped_budgets: Budgets of request classes and tenants, keyed by name.
+        max_bytes_per_s: Rate limit of budget datagrams that this router sends, and of those from each peer.
     """
 
     version: int
@@ -63,7 +64,11 @@
 
     @classmethod
     def from_section(cls, terms: Mapping[str, Any]) -> BudgetOptions:
-        """Converts the values of the section, which the file's reader has checked."""
+        """Converts the values of the section.
+
+        Args:
+            terms: Values keyed by setting name, already validated by the parser of the file.
+        """
         scoped = {
             name: ScopedBudgetOptions(
                 request_class=budget["profile"],
@@ -90,7 +95,7 @@
 
 
 def _check_scope(budget: dict[str, Any]) -> str | None:
-    """Says what is wrong with a `budget` of the section; None where nothing is."""
+    """Returns what a `budget` of the section was expected to have; None if it is valid."""
     if bool(budget["out"]) == bool(budget["rate"]):
         return "either 'out' or 'rate'"
     if not budget["profile"] and not budget["tenant"]:
@@ -100,24 +105,29 @@
 
 BUDGETS_SECTION = Section(
     "budgets",
-    "budgets of the whole fleet, divided among routers by need",
+    "fleet-wide budgets, divided among routers by demand",
     (
         Setting(
             "version",
             ValueType.COUNT,
-            "Of these wholes: raise it at each change.",
+            "Version of the totals; raise it at each change.",
             1,
             0,
             1 << 30,
             reloadable=True,
         ),
         Setting(
-            "kept", ValueType.SHARE, "Of each whole what every router has an even part of.", 0.25, 0.0, 1.0
+            "kept",
+            ValueType.SHARE,
+            "Guaranteed part of each total, divided evenly among all routers.",
+            0.25,
+            0.0,
+            1.0,
         ),
         Setting(
             "lease",
             ValueType.DURATION,
-            "For which a part holds without the one that divides.",
+            "How long a router keeps leased units without a renewal by the granter.",
             3.0,
             0.5,
             60.0,
@@ -125,7 +135,7 @@
         Setting(
             "settle",
             ValueType.DURATION,
-            "After which what is out beyond a part that ran out is called off.",
+            "Time after an expired lease until requests beyond the guaranteed units are cancelled.",
             4.0,
             0.1,
             120.0,
@@ -133,7 +143,7 @@
         Setting(
             "window",
             ValueType.DURATION,
-            "Of a rate: as much as it gives so long may come at once.",
+            "Window of a rate; a burst is limited to what the rate gives in it.",
             1.0,
             0.1,
             60.0,
@@ -141,7 +151,7 @@
         Setting(
             "out-per-core",
             ValueType.NUMBER,
-            "Commands out at one engine for each of its cores; 0: any.",
+            "Maximum requests in flight at one engine, for each of its cores; 0: no limit.",
             0.0,
             0.0,
             1000.0,
@@ -150,7 +160,7 @@
         Setting(
             "lines-per-core",
             ValueType.NUMBER,
-            "Connections to one engine for each of its cores; 0: any.",
+            "Maximum connections to one engine, for each of its cores; 0: no limit.",
             0.0,
             0.0,
             1000.0,
@@ -158,18 +168,23 @@
         Setting(
             "further",
             ValueType.NUMBER,
-            "Further sends a second; 0: as the rules say.",
+            "Retries a second of the whole fleet; 0: each router has a retry budget of its own.",
             0.0,
             0.0,
             1e6,
             reloadable=True,
         ),
-        Setting("tenants", ValueType.SWITCH, "Whether tenants' rates are divided by need.", True),
-        Setting("cold", ValueType.SWITCH, "Whether what a fresh engine bears is divided by need.", False),
+        Setting("tenants", ValueType.SWITCH, "Whether the rates of tenants are divided by demand.", True),
+        Setting(
+            "cold",
+            ValueType.SWITCH,
+            "Whether the slow-start load of a new engine is divided by demand.",
+            False,
+        ),
         Setting(
             "budget",
             ValueType.GROUP,
-            "Commands out, or commands a second, of a profile or a tenant.",
+            "Maximum requests in flight, or requests a second, of a profile, a tenant or both.",
             reloadable=True,
             keyed_by="budget",
             check_group=_check_scope,
@@ -181,7 +196,12 @@
             ),
         ),
         Setting(
-            "pace", ValueType.RATE, "Bytes a second that this may send, and each peer.", 32000.0, 500.0, 1e7
+            "pace",
+            ValueType.RATE,
+            "Rate limit of budget datagrams that this router sends, and of those from each peer.",
+            32000.0,
+            500.0,
+            1e7,
         ),
     ),
 )
--- a/marbleworks/budgets/report.py
+++ b/marbleworks/budgets/report.py
@@ -1,6 +1,6 @@
-"""Prints `budgets show`: what routers have of each budget and what the granter has allocated.
+"""Output of `budgets show`: the units of each router and the granter's allocation ledger.
 
-It asks each router's `health` and changes nothing there.
+It reads the `health` of each router and changes nothing there.
 """
 
 from __future__ import annotations
@@ -15,10 +15,16 @@
 
 
 def render(addresses: list[str]) -> Iterator[str]:
-    """Lines for each router, those of the ledger last.
+    """Renders the state of each router, and then the allocation ledger.
+
+    Args:
+        addresses: Addresses of the routers to query.
+
+    Yields:
+        Lines of text.
 
     Raises:
-        HealthQueryError: no router answers.
+        HealthQueryError: No router answered.
     """
     views: list[dict[str, Any]] = []
     for address in addresses:
@@ -27,17 +33,17 @@
         except HealthQueryError as err:
             yield f"{address}: {err}"
     if not views:
-        raise HealthQueryError("no router answers")
+        raise HealthQueryError("no router answered")
     for view in views:
         yield (
-            f"router {view['me']}: version {view['version']}, asks router {view['divider']};"
+            f"router {view['me']}: version {view['version']}, granter: router {view['divider']};"
             f" refused {view['refused']}, called off {view['called off']}"
         )
         yield from format_table(ROUTER_COLUMNS, view["rows"])
         yield ""
     granters = [view for view in views if view["divides"] == "yes"]
     for view in granters:
-        yield f"the books of router {view['me']}:"
+        yield f"allocation ledger of router {view['me']}:"
         yield from format_table(LEDGER_COLUMNS, view["books"])
     if not granters:
-        yield f"none of these divides; router {views[0]['divider']} does, or nobody"
+        yield f"none of these routers is the granter; it is router {views[0]['divider']}, or there is none"
--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -1,7 +1,8 @@
-"""The actor of budgets at a router: carries reports to the granter and answers back.
+"""The actor for budgets at a router; it exchanges reports and answers with the granter.
 
-Where our router leads its group, it is the granter and keeps the `AllocationLedger` of the present term. It
-never answers a report after the end of that term, and reaches what the dispatcher owns only by posting to it.
+If this router leads its group, it is the granter and keeps the `AllocationLedger` of the current term. It
+never answers a report after the end of that term. It accesses the state of the dispatcher only by posting
+calls to it.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from marbleworks.net.dispatcher import Dispatcher
 
 REPORT_INTERVAL_S = 0.2
-MIN_REPORT_INTERVAL_S = 0.05  # where something waits for a lease
+MIN_REPORT_INTERVAL_S = 0.05  # while a request or connection waits for units
 WARNING_INTERVAL_S = 10.0  # between two log lines of the same kind
 
 
@@ -30,12 +31,13 @@
     """Budgets of one router.
 
     Args:
-        options: the section `budgets`.
-        catalog: the budgets of the operator's file.
-        dispatcher: of our router.
-        peers: None where routers do not know each other; each then has an even share for good.
-        router_index: ours, by the settings.
-        router_count: by the settings.
+        options: Options from the section `budgets`.
+        catalog: Budgets of the operator's file.
+        dispatcher: Dispatcher of this router.
+        peers: Transport to the other routers; None if routers do not know each other, and each permanently
+            has an even share.
+        router_index: Index of this router, by the settings.
+        router_count: Number of routers, by the settings.
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         self.leader = LeaderRef(-1, 0, 0, 0, 0.0, False)
         self.ledger: AllocationLedger | None = None
         self.ledger_count = 0
-        self.known_totals: dict[int, set[int]] = {}  # of our configuration lately, by budget id
+        self.known_totals: dict[int, set[int]] = {}  # recently configured totals, keyed by budget id
         self.budgets: list[Budget] = []
         self.reported_at = 0.0
         self.warned_at = 0.0
@@ -79,7 +81,7 @@
         self.post(self.handle_datagram, peer, data)
 
     def _request_report(self) -> None:
-        """Called in the dispatcher's greenlet: something waits for a lease."""
+        """Has the next report sent sooner; called in the dispatcher's greenlet."""
         if self.wake_at is not None and self.wake_at > self.reported_at + MIN_REPORT_INTERVAL_S:
             self.post(self._report_sooner)
 
@@ -87,11 +89,11 @@
         self.wake_at = min(self.wake_at or clock(), self.reported_at + MIN_REPORT_INTERVAL_S)
 
     def set_leader(self, leader: LeaderRef) -> None:
-        """Takes over who leads the group, which is who grants units, and whether that is us."""
+        """Updates the leader of the group, which is the granter; keeps a ledger while that is this router."""
         if leader.leader_until <= clock():
             self.ledger = None
         elif self.ledger is None or leader.term != self.leader.term:
-            self.ledger_count += 1  # the term by which routers tell one ledger from the next
+            self.ledger_count += 1  # the term number of the new ledger
             self.ledger = AllocationLedger(
                 self.router_index,
                 self.router_count,
@@ -108,7 +110,7 @@
         self.leader = leader
 
     def on_timer(self) -> None:
-        """Has the next reports sent."""
+        """Sends the next reports and sets the timer for those after them."""
         self.reported_at = clock()
         self.wake_at = self.reported_at + REPORT_INTERVAL_S
         self.dispatcher.post(self._send_reports, self.leader)
@@ -125,7 +127,7 @@
             else:
                 self.send_datagram(encode_report(self.group, report), leader.leader)
 
-    # In our own greenlet.
+    # In this actor's greenlet.
 
     def _set_budgets(self, budgets: list[Budget]) -> None:
         if budgets == self.budgets:
@@ -141,7 +143,7 @@
             self.ledger.set_budgets(budgets)
 
     def handle_datagram(self, peer: int, data: bytes) -> None:
-        """Reads a peer's report or answer."""
+        """Handles a report or an answer from a peer."""
         try:
             message = decode(self.group, data)
         except DatagramDecodeError as err:
@@ -183,12 +185,12 @@
             self.send_datagram(encode_answer(self.group, answer), peer)
 
     def leave(self) -> None:
-        """Ends our leases and reports so, for a planned stop."""
+        """Gives up all leases and reports that, for a planned stop."""
         self.dispatcher.post(self.enforcer.leave)
         self.post(self.on_timer)
 
     def snapshot(self) -> dict[str, Any]:
-        """As `health` answers and `budgets show` prints it: texts and lists of texts."""
+        """State for `health` and `budgets show`, as strings and lists of strings."""
         leader = self.leader
         ledger = self.ledger if clock() < leader.leader_until else None
         snapshots = ledger.snapshots(clock()) if ledger is not None else {}
@@ -205,22 +207,24 @@
 
 
 def allocation_rows(snapshots: dict[int, AllocationSnapshot], budgets: list[Budget]) -> list[list[str]]:
-    """The ledger as rows: name, total, held, used, free, unreachable, units by member.
+    """Formats a ledger as rows of name, total, held, used, free, unreachable, and units by member.
 
     Args:
-        snapshots: by budget id.
-        budgets: of our own configuration; others are shown by their number.
+        snapshots: States of the budgets, keyed by budget id.
+        budgets: Budgets of this router's own configuration; others are shown by their id.
     """
     names = {budget.budget_id: budget.name for budget in budgets}
     rows = []
-    for budget_id, one in sorted(snapshots.items(), key=lambda item: names.get(item[0], "")):
-        by_member = " ".join(f"{member}:{units}" for member, units in one.member_units.items() if units)
+    for budget_id, allocation in sorted(snapshots.items(), key=lambda item: names.get(item[0], "")):
+        by_member = " ".join(
+            f"{member}:{units}" for member, units in allocation.member_units.items() if units
+        )
         figures = (
-            one.total_units,
-            one.guaranteed_units + one.committed_units,
-            one.used_units,
-            one.free_units,
-            one.unreachable_units,
+            allocation.total_units,
+            allocation.guaranteed_units + allocation.committed_units,
+            allocation.used_units,
+            allocation.free_units,
+            allocation.unreachable_units,
         )
         rows.append([names.get(budget_id, f"{budget_id:08x}"), *map(str, figures), by_member])
     return rows
