--- a/marbleworks/budgets/allocation_ledger.py
+++ b/marbleworks/budgets/allocation_ledger.py
@@ -31,7 +31,7 @@
 # Allocations above twice the number of configured budgets that are kept before the ones without committed
 # units that are not configured here are dropped.
 MAX_FOREIGN_BUDGETS = 64
-MAX_KNOWN_TOTALS = 7  # earlier totals of one budget that are remembered
+MAX_KNOWN_TOTALS = 7  # earlier totals of one budget that are remembered; the largest are kept
 UNKNOWN_BUDGET_SETTLE_S = 60.0  # settle time of a budget that is not configured at this router
 TOKEN_MASK = 0xFFFFFF  # bits of a report's token that hold its sequence number
 MAX_TOKEN_STEP = 1 << 23  # a token that is ahead by this many steps or more counts as an older one
@@ -289,8 +289,8 @@
             reported != (account.reported_total, account.guaranteed_units)
             or usage.total_units not in allocation.known_totals
         ):
-            latest = sorted(allocation.known_totals)[-MAX_KNOWN_TOTALS:]
-            allocation.known_totals = {*latest, usage.total_units}
+            largest_totals = sorted(allocation.known_totals)[-MAX_KNOWN_TOTALS:]
+            allocation.known_totals = {*largest_totals, usage.total_units}
             allocation.divided_at = -math.inf
         units_before = account.max_units
         account.report_token = token
--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -42,7 +42,8 @@
         rate_window_s: Window of rate budgets, in seconds; a burst is limited to what the rate gives in it.
         max_in_flight_per_core: Requests in flight at one engine per core; 0 for no budget.
         max_connections_per_core: Connections to one engine per core; 0 for no budget.
-        retries_per_s: Retries a second of the whole fleet; 0 for no budget, each router then earns its own.
+        retries_per_s: Retries and hedged attempts a second of the whole fleet; 0 for no budget, so that each
+            router earns its own.
         divides_tenant_rates: Whether the rates of tenants are divided among routers by demand.
         divides_slow_start: Whether the slow-start load of a new engine is divided among routers by demand.
         scoped_budgets: Budgets of request classes and tenants, keyed by name.
@@ -168,7 +169,7 @@
         Setting(
             "further",
             ValueType.NUMBER,
-            "Retries a second of the whole fleet; 0: each router has a retry budget of its own.",
+            "Retries and hedged attempts a second, whole fleet; 0: each router has a retry budget.",
             0.0,
             0.0,
             1e6,
