--- a/marbleworks/fair_queue/__init__.py
+++ b/marbleworks/fair_queue/__init__.py
@@ -1,1 +1,1 @@
-"""The door: fair queues between the fronts and the desk, and times to come back that are kept."""
+"""Admission control: fair queues between the client listeners and the dispatcher, and retry promises."""
--- a/marbleworks/fair_queue/options.py
+++ b/marbleworks/fair_queue/options.py
@@ -1,4 +1,4 @@
-"""What the operator may say of the door."""
+"""The section `door` of the operator's file: the settings of admission control."""
 
 import ipaddress
 
@@ -6,6 +6,7 @@
 
 
 def _network(text: str) -> str | None:
+    """Returns what is expected in place of the text if it is no IP network, else None."""
     try:
         ipaddress.ip_network(text)
     except ValueError:
@@ -15,24 +16,40 @@
 
 FAIR_QUEUE_SECTION = Section(
     "door",
-    "fair queues in front of the decisions, and times to come back that are kept",
+    "fair queues in front of the scheduler, and retry promises to clients that are shed",
     (
-        Setting("queues", ValueType.COUNT, "Queues that all members fold into.", 512, 8, 65_536),
+        Setting("queues", ValueType.COUNT, "Queues that all tenants are mapped to.", 512, 8, 65_536),
         Setting(
             "waiting",
             ValueType.COUNT,
-            "Commands that may wait, all together.",
+            "Requests that may wait in all queues together.",
             4_000,
             1,
             1_000_000,
             reloadable=True,
         ),
-        Setting("memory", ValueType.SIZE, "Bytes of them.", 16e6, 1e4, 1e9, reloadable=True),
-        Setting("bookings", ValueType.COUNT, "Promises at a time.", 10_000, 1, 1_000_000, reloadable=True),
+        Setting(
+            "memory",
+            ValueType.SIZE,
+            "Bytes that the waiting requests may take.",
+            16e6,
+            1e4,
+            1e9,
+            reloadable=True,
+        ),
+        Setting(
+            "bookings",
+            ValueType.COUNT,
+            "Retry promises that may be open at a time.",
+            10_000,
+            1,
+            1_000_000,
+            reloadable=True,
+        ),
         Setting(
             "weight",
             ValueType.NUMBER,
-            "A member's weight; others have 1.",
+            "Weight of a tenant; others have 1.",
             None,
             0.01,
             100.0,
@@ -42,7 +59,7 @@
         Setting(
             "network",
             ValueType.NUMBER,
-            "The weight of clients without a member that come from a network; others count by /24 or /64.",
+            "Weight of clients without a tenant that connect from a network; others count by /24 or /64.",
             None,
             0.01,
             100.0,
@@ -50,11 +67,16 @@
             keyed_by="network",
             check_text=_network,
         ),
-        Setting("peers", ValueType.SWITCH, "Tell the group's routers what the heaviest were let in.", True),
+        Setting(
+            "peers",
+            ValueType.SWITCH,
+            "Tell the other routers of the group how much work of the heaviest tenants was admitted.",
+            True,
+        ),
         Setting(
             "trace",
             ValueType.SWITCH,
-            "One log line for each decision, for `door explain`.",
+            "Write one log line for each decision, for `door explain`.",
             False,
             reloadable=True,
         ),
--- a/marbleworks/fair_queue/trace_report.py
+++ b/marbleworks/fair_queue/trace_report.py
@@ -1,5 +1,4 @@
-"""`door explain`: what the door did with whom, from a router's log with `(trace on)`. Reads lines, decides
-nothing."""
+"""`door explain`: summarizes the admission decisions in a router's log, which it writes with `(trace on)`."""
 
 from __future__ import annotations
 
@@ -7,15 +6,23 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
 
-MOST_MEMBERS = 20  # are listed, those with most decisions first
-WHYS = ("passed", "queued", "let in", "kept", "early", "too late", "full", "left", "timed out", "stopping")
+MAX_TENANTS_LISTED = 20  # those with the most decisions
+REASONS = ("passed", "queued", "let in", "kept", "early", "too late", "full", "left", "timed out", "stopping")
 
 
 def explained(lines: Iterable[str], ref: str = "") -> Iterator[str]:
-    """A line for each member with what became of its commands, or for each decision on one command."""
+    """Summarizes the decisions by tenant, or lists those on one request.
+
+    Args:
+        lines: Lines of a router's log; those that are no admission decision are skipped.
+        ref: Reference of a request; empty for the summary of all tenants.
+
+    Yields:
+        A line of text for each tenant, or for each decision on the request.
+    """
     counts: dict[str, Counter[str]] = defaultdict(Counter)
-    waited: dict[str, float] = defaultdict(float)
-    told: dict[str, list[float]] = defaultdict(list)
+    longest_wait: dict[str, float] = defaultdict(float)
+    promised: dict[str, list[float]] = defaultdict(list)
     for line in lines:
         try:
             entry = json.loads(line)
@@ -23,43 +30,52 @@
             continue
         if not isinstance(entry, dict) or entry.get("event") != "door":
             continue
-        why, member, seconds = str(entry.get("why")), str(entry.get("member")), entry.get("seconds")
+        reason, tenant, seconds = str(entry.get("why")), str(entry.get("member")), entry.get("seconds")
         if ref:
             if entry.get("ref") == ref:
-                yield _said(entry.get("timestamp", ""), member, why, seconds)
+                yield _describe(entry.get("timestamp", ""), tenant, reason, seconds)
             continue
-        counts[member][why] += 1
-        if why == "let in" and seconds is not None:
-            waited[member] = max(waited[member], float(seconds))
-        elif why in ("too late", "full") and seconds is not None:
-            told[member].append(float(seconds))
+        counts[tenant][reason] += 1
+        if reason == "let in" and seconds is not None:
+            longest_wait[tenant] = max(longest_wait[tenant], float(seconds))
+        elif reason in ("too late", "full") and seconds is not None:
+            promised[tenant].append(float(seconds))
     if not ref:
-        heavy = sorted(counts, key=lambda name: -sum(counts[name].values()))
-        for member in heavy[:MOST_MEMBERS]:
-            parts = [f"{counts[member][why]} {why}" for why in WHYS if counts[member][why]]
-            parts.append(f"longest wait {waited[member]:.3f} s")
-            if told[member]:
+        by_decisions = sorted(counts, key=lambda name: -sum(counts[name].values()))
+        for tenant in by_decisions[:MAX_TENANTS_LISTED]:
+            parts = [f"{counts[tenant][reason]} {reason}" for reason in REASONS if counts[tenant][reason]]
+            parts.append(f"longest wait {longest_wait[tenant]:.3f} s")
+            if promised[tenant]:
                 parts.append(
-                    f"{len(told[member])} promised, {min(told[member]):.1f} to {max(told[member]):.1f} s"
+                    f"{len(promised[tenant])} promised, "
+                    f"{min(promised[tenant]):.1f} to {max(promised[tenant]):.1f} s"
                 )
-            yield f"{member}: {', '.join(parts)}"
-        if len(heavy) > MOST_MEMBERS:
-            yield f"and {len(heavy) - MOST_MEMBERS} more members"
+            yield f"{tenant}: {', '.join(parts)}"
+        if len(by_decisions) > MAX_TENANTS_LISTED:
+            yield f"and {len(by_decisions) - MAX_TENANTS_LISTED} more tenants"
 
 
-def _said(when: str, member: str, why: str, seconds: object) -> str:
-    meaning = {
-        "passed": "went straight through: nothing waited and the window had room",
-        "queued": "waits in its member's queue",
-        "let in": f"its turn came after {seconds} s",
-        "kept": "came back when it was told to and goes ahead of the queues",
-        "early": f"came before its time and was told the rest, {seconds} s",
-        "too late": "could not be in time behind what waits; "
-        + (f"promised {seconds} s" if seconds is not None else "told the longest time, nothing promised"),
-        "full": "the queues were at their bound and its member the heaviest; "
-        + (f"promised {seconds} s" if seconds is not None else "told the longest time, nothing promised"),
-        "left": "its client left or called it off while it waited",
-        "timed out": "ran out of its client's time while it waited",
-        "stopping": "the router ended",
-    }.get(why, why)
-    return f"{when}  {member}: {meaning}"
+def _describe(timestamp: str, tenant: str, reason: str, seconds: object) -> str:
+    description = {
+        "passed": "admitted at once: no request was ahead of it and the concurrency limit had room",
+        "queued": "waits in its tenant's queue",
+        "let in": f"admitted in its turn after {seconds} s",
+        "kept": "retried when it was told to and goes ahead of the queues",
+        "early": f"retried before its time and was told the remaining {seconds} s",
+        "too late": "would have missed its latency target behind the waiting requests; "
+        + (
+            f"retry promised after {seconds} s"
+            if seconds is not None
+            else "told the longest Retry-After, without a promise"
+        ),
+        "full": "the queues were full and its tenant had the most waiting work for its weight; "
+        + (
+            f"retry promised after {seconds} s"
+            if seconds is not None
+            else "told the longest Retry-After, without a promise"
+        ),
+        "left": "its client disconnected or cancelled it while it waited",
+        "timed out": "its client's time ran out while it waited",
+        "stopping": "the router stopped",
+    }.get(reason, reason)
+    return f"{timestamp}  {tenant}: {description}"
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -246,9 +246,9 @@
         "m2: 1 too late, 1 full, longest wait 0.000 s, 1 promised, 1.5 to 1.5 s",
     ]
     assert [line.split(": ")[1] for line in explained(text, "b")] == [
-        "could not be in time behind what waits; promised 1.5 s"
+        "would have missed its latency target behind the waiting requests; retry promised after 1.5 s"
     ]
     (tmp_path / "log").write_text("\n".join(text))
     done = CliRunner().invoke(app, ["door", "explain", str(tmp_path / "log"), "--ref", "a"])
-    assert done.exit_code == 0 and "its turn came after 0.4 s" in done.output
+    assert done.exit_code == 0 and "admitted in its turn after 0.4 s" in done.output
     assert CliRunner().invoke(app, ["door", "explain", str(tmp_path / "none")]).exit_code == 1
