--- a/marbleworks/fair_queue/admission.py
+++ b/marbleworks/fair_queue/admission.py
@@ -1,7 +1,11 @@
-"""The door: who goes through at once, who waits, and who is turned away with which time. No I/O, no clock.
+"""Admission control: which requests are admitted at once, which wait, and which are shed with a Retry-After.
 
-It owns the queues, the window and the promises, and must never choose an engine, answer a client, or hold
-what it could let in. A command is known by its ref; what it says is what the desk was told.
+It does no I/O and reads no clock. It owns the queues, the concurrency limit and the retry promises, and must
+never choose an engine, answer a client, or hold back a request that it could admit. A request is known by its
+ref; its figures are those that the dispatcher was given.
+
+A tenant is, in this module, the name of a tenant or the network of a client without one. Several tenants may
+share a flow. Work is seconds on one thread. Pace is work a second per unit of weight that waiting flows get.
 """
 
 from __future__ import annotations
@@ -15,402 +19,536 @@
 
 from marbleworks.fair_queue.concurrency_limit import ConcurrencyLimit
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
-from marbleworks.fair_queue.peer_usage import EVERY, PeerUsage, name_hash
-from marbleworks.fair_queue.retry_promises import EARLY, RetryPromises
+from marbleworks.fair_queue.peer_usage import SUMMARY_INTERVAL_S, PeerUsage, name_hash
+from marbleworks.fair_queue.retry_promises import MAX_EARLY_S, RetryPromises
 from marbleworks.fair_queue.start_time_fair_queue import StartTimeFairQueue, Ticket
 
-TICKET = 2000  # bytes that a waiting command takes besides its statement
-RATE_OVER = 1.0  # seconds over which the work that gets done is measured
-LEARNS, MOST_BIAS = (
-    0.2,
-    20.0,
-)  # part of the last answer in what is learned of a member's estimates, and its bound
-HEADROOM = 1.3  # times the window's width that those may use who have had less than their share
-LOST_FOR = 10.0  # seconds after engines were lost in which that is why a promise breaks
-LEAST_HAD = 0.02  # part of the rate that a member has elsewhere from which on that counts
-PACE_OVER = 10  # summaries over which the pace is taken
-LEAST_PART, MOST_PART = 0.1, 0.5  # of what may be promised of a time, for one member
+WAITING_OVERHEAD_BYTES = 2000  # memory that a waiting request takes besides its statement
+RATE_WINDOW_S = 1.0  # the rate of completed work is measured over this time
+# BIAS_SMOOTHING is the weight of the newest answer in the moving average of a flow's estimate bias. A single
+# sample lies between 1 / MAX_BIAS and MAX_BIAS.
+BIAS_SMOOTHING, MAX_BIAS = 0.2, 20.0
+HEADROOM = 1.3  # factor on the concurrency limit for flows that have had less than their share
+ENGINE_LOSS_WINDOW_S = 10.0  # a promise that breaks this soon after engines were lost is put down to that
+MIN_PEER_RATE_RATIO = 0.02  # relative to the local rate; a flow that peers give less is treated as local only
+PACE_SAMPLES = 10  # summary intervals over which the pace is taken
+# Bounds of the part of a slot's promisable work that one flow may take.
+MIN_PROMISE_SHARE, MAX_PROMISE_SHARE = 0.1, 0.5
 
 
 class AdmissionReason(Enum):
-    """What became of a command at the door, for the trace."""
+    """What admission control decided on a request, for the trace."""
 
-    PASSED = "passed"  # nothing contended
+    ADMITTED_AT_ONCE = "passed"
     QUEUED = "queued"
-    LET_IN = "let in"  # its turn came
-    KEPT = "kept"  # it came when it was told to
-    TOO_LATE = "too late"  # it could not go in within its time
-    FULL = "full"  # the queues are at their bound, and its member is the heaviest
-    EARLY = "early"  # it came before the time that it was told
-    LEFT = "left"
+    ADMITTED_IN_TURN = "let in"
+    PROMISE_KEPT = "kept"  # it claimed its retry promise and is queued ahead of all flows
+    TOO_LATE = "too late"  # it could not be admitted within its time
+    FULL = "full"  # the queues are full and its flow is the heaviest
+    EARLY = "early"  # its client retried before the promised time
+    CLIENT_LEFT = "left"
     TIMED_OUT = "timed out"
     STOPPING = "stopping"
 
 
 class AdmissionPort(Protocol):
-    """What the door asks of whoever stands behind it."""
+    """What admission control asks of its surroundings."""
+
+    def let_in(self, ref: str) -> None:
+        """Hands an admitted request on to the dispatcher."""
 
-    def let_in(self, ref: str) -> None: ...
+    def turn_away(self, ref: str, retry_after_s: float) -> None:
+        """Sheds a request; retry_after_s is infinite where no retry was promised."""
 
-    def turn_away(self, ref: str, after: float) -> None:
-        """after: seconds to come back in; infinite where no time was promised."""
+    def tell_peers(self, data: bytes) -> None:
+        """Sends a summary to all peers."""
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def trace(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
+        """Logs a decision.
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
+        Args:
+            ref: Reference of the request.
+            tenant: Name of its tenant, or its client's network.
+            reason: The decision.
+            duration_s: How long an admitted request has waited, or after which time a shed one may be
+                retried; infinite where no retry was promised.
+        """
 
-    def broke(self, ref: str, member: str, cause: str) -> None:
-        """One that came in its time was not served after all."""
+    def broke(self, ref: str, tenant: str, cause: str) -> None:
+        """Reports that a request that claimed its retry promise was not served."""
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A command as it comes. work: seconds on one thread; size: bytes; patience: seconds that it may wait at
-    the door and still be in time; left: seconds until its client gives up; mark: the same for a further try
-    of it."""
+    """A new request.
+
+    Attributes:
+        ref: Reference of the request.
+        tenant_name: Empty for a client without a tenant.
+        address: IP address of the client.
+        order_key: Requests of a flow with the same key keep their order.
+        work: Estimated seconds on one thread.
+        threads: Threads that it runs on.
+        size_bytes: Size of the statement.
+        max_wait_s: How long it may wait here and still meet its latency target.
+        time_left_s: Seconds after which it is too late to admit it.
+        fingerprint: Equal for each retry of the request.
+    """
 
     ref: str
-    name: str
+    tenant_name: str
     address: str
-    line: object
+    order_key: object
     work: float
     threads: int
-    size: int
-    patience: float
-    left: float
-    mark: int
+    size_bytes: int
+    max_wait_s: float
+    time_left_s: float
+    fingerprint: int
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """count: commands that may wait; size: bytes of them; bookings: promises at a time; share: whether peers
-    are told; trace: whether each decision is."""
+    """Bounds and switches of admission control.
+
+    Attributes:
+        max_waiting: Requests that may wait.
+        size: Bytes of memory that waiting requests may take.
+        max_promises: Retry promises that may be open at a time.
+        shares_usage: Whether summaries are sent to peers and taken from them.
+        traces: Whether each decision is logged.
+    """
 
-    count: int
+    max_waiting: int
     size: float
-    bookings: int
-    share: bool
-    trace: bool
+    max_promises: int
+    shares_usage: bool
+    traces: bool
 
 
 @dataclass(eq=False, slots=True)
-class Inside:
-    """A command past the door."""
+class AdmittedRequest:
+    """A request that is admitted and has not ended.
+
+    Attributes:
+        flow: Key of its flow.
+        tenant: Name of its tenant, or its client's network.
+        work: Estimated seconds on one thread.
+        threads: Threads that it runs on.
+        admitted_at: Seconds on a monotonic clock.
+        was_promised: Whether it claimed a retry promise.
+    """
 
     flow: int
-    member: str
+    tenant: str
     work: float
     threads: int
-    at: float
-    promised: bool = False
+    admitted_at: float
+    was_promised: bool = False
 
 
 class AdmissionController:
+    """Decides when each request is admitted, and sheds those that can't be admitted in time.
+
+    Args:
+        port: Takes the decisions.
+        classifier: Finds tenants, weights and queues.
+        bounds: Bounds and switches.
+        cores: This router's part of the engines' cores.
+        max_retry_after_s: The longest Retry-After that clients comply with; 0 if none may be named.
+
+    Attributes:
+        waiting: Ticket, tenant and arrival time of the waiting requests, by ref.
+        standing: The flow of each tenant that has waiting requests.
+        waiting_counts: Number of waiting requests by tenant.
+        inside: Admitted requests that have not ended, by ref.
+        admitted_work: Their work by flow.
+        estimate_bias: Moving average of actual over estimated work by flow; at most one entry per
+            queue.
+        deadlines: A heap of tickets by the time until which they may be admitted, some of which no longer
+            wait.
+        completed: Time and work of the requests that ended in the last `RATE_WINDOW_S`.
+        bypassed: Time and work of the requests that were admitted at once in that time while others waited.
+        pace_samples: Time and virtual time of the latest summary intervals.
+        promised_refs: Waiting requests that claimed a retry promise.
+        engines_lost_at: When engines were lost last, in seconds on a monotonic clock.
+        peak_waiting_bytes: The most memory that waiting requests have taken so far.
+    """
+
     def __init__(
-        self, sill: AdmissionPort, members: FlowClassifier, bounds: Bounds, cores: float, heed: float
+        self,
+        port: AdmissionPort,
+        classifier: FlowClassifier,
+        bounds: Bounds,
+        cores: float,
+        max_retry_after_s: float,
     ) -> None:
-        self.sill, self.members, self.bounds = sill, members, bounds
-        self.fair, self.window = StartTimeFairQueue(), ConcurrencyLimit(cores)
-        self.bookings, self.shares = RetryPromises(heed, bounds.bookings), PeerUsage()
-        self.waiting: dict[
-            str, tuple[Ticket, str, float]
-        ] = {}  # by ref: its ticket, member, and when it came
-        self.standing: dict[str, int] = {}  # the queue of each member that waits
-        self.counts: dict[str, int] = {}  # commands of each that wait
-        self.inside: dict[str, Inside] = {}
-        self.owed: dict[int, float] = {}  # work past the door by flow
-        self.bias: dict[int, float] = {}  # work that was over work that was said, by flow; as many as queues
-        self.deadlines: list[
-            tuple[float, int, Ticket]
-        ] = []  # a heap of what waits, and of some that has gone
-        self.done: deque[tuple[float, float]] = deque()  # when, and work; of the last second
-        self.done_work, self.pushed = 0.0, 0
-        self.straight: deque[tuple[float, float]] = deque()  # the same of what did not wait while others did
-        self.straight_work = 0.0
-        self.told_at = -math.inf
+        self.port, self.classifier, self.bounds = port, classifier, bounds
+        self.fair, self.concurrency_limit = StartTimeFairQueue(), ConcurrencyLimit(cores)
+        self.promises, self.shares = RetryPromises(max_retry_after_s, bounds.max_promises), PeerUsage()
+        self.waiting: dict[str, tuple[Ticket, str, float]] = {}
+        self.standing: dict[str, int] = {}
+        self.waiting_counts: dict[str, int] = {}
+        self.inside: dict[str, AdmittedRequest] = {}
+        self.admitted_work: dict[int, float] = {}
+        self.estimate_bias: dict[int, float] = {}
+        self.deadlines: list[tuple[float, int, Ticket]] = []
+        self.completed: deque[tuple[float, float]] = deque()
+        self.completed_work, self.ticket_count = 0.0, 0
+        self.bypassed: deque[tuple[float, float]] = deque()
+        self.bypassed_work = 0.0
+        self.summary_sent_at = -math.inf
         self.pace = 0.0
-        self.turned: deque[tuple[float, float]] = deque(maxlen=PACE_OVER)  # when, and the turns' virtual time
-        self.promised: set[str] = set()  # those that came in their time and wait
-        self.shrunk_at = -math.inf  # when engines were lost last
-        self.most_size = 0  # bytes that ever waited at once
-
-    # What comes.
-
-    def arrive(self, new: Arrival, now: float) -> None:
-        """Lets in, queues or turns away, each at once; the work for it is bounded."""
-        self.bookings.expire(now)
-        member, weight = self.members.of(new.name, new.address)
-        flow = self._flow(member)
-        new.work *= self.bias.get(flow, 1.0)
-        booking = self.bookings.find(flow, new.mark)
-        if booking is not None and now < booking.at - EARLY:
-            if self.fair.count or not self.window.has_room(new.threads):
-                self._away(new.ref, member, booking.at - now, AdmissionReason.EARLY)
+        self.pace_samples: deque[tuple[float, float]] = deque(maxlen=PACE_SAMPLES)
+        self.promised_refs: set[str] = set()
+        self.engines_lost_at = -math.inf
+        self.peak_waiting_bytes = 0
+
+    # Arrivals.
+
+    def arrive(self, arrival: Arrival, now: float) -> None:
+        """Admits, queues or sheds a new request before it returns, with a bounded amount of computation."""
+        self.promises.expire(now)
+        tenant, weight = self.classifier.classify(arrival.tenant_name, arrival.address)
+        flow = self._flow_for(tenant)
+        arrival.work *= self.estimate_bias.get(flow, 1.0)
+        promise = self.promises.find(flow, arrival.fingerprint)
+        if promise is not None and now < promise.due_at - MAX_EARLY_S:
+            if self.fair.count or not self.concurrency_limit.has_room(arrival.threads):
+                self._shed(arrival.ref, tenant, promise.due_at - now, AdmissionReason.EARLY)
                 return
-            self.bookings.claim(booking, new.work, booking.at)  # there is room now, and its place is free
-        elif booking is not None and self.bookings.claim(booking, new.work, now):
-            self.fair.correct(flow, new.work)  # of its own share, though ahead of its turn
-            self._take(new, member, flow, weight, now, AdmissionReason.KEPT)
+            # There is room now: the promise is claimed as if in time, which frees its place.
+            self.promises.claim(promise, arrival.work, promise.due_at)
+        elif promise is not None and self.promises.claim(promise, arrival.work, now):
+            self.fair.correct(flow, arrival.work)  # charged to its own flow, though ahead of its turn
+            self._enqueue(arrival, tenant, flow, weight, now, AdmissionReason.PROMISE_KEPT)
             return
-        if not self.fair.count and self.window.has_room(new.threads):
-            self._enter(
-                new.ref, Inside(flow, member, new.work, new.threads, now), AdmissionReason.PASSED, 0.0
+        if not self.fair.count and self.concurrency_limit.has_room(arrival.threads):
+            self._admit(
+                arrival.ref,
+                AdmittedRequest(flow, tenant, arrival.work, arrival.threads, now),
+                AdmissionReason.ADMITTED_AT_ONCE,
+                0.0,
             )
             return
-        if self.fair.count and self.window.has_room(new.threads, HEADROOM) and self.fair.has_credit(flow):
-            self.fair.passed(flow, weight, new.work)  # it would be next: no need to wait for an end
-            self.straight.append((now, new.work))
-            self.straight_work += new.work
-            self._enter(
-                new.ref, Inside(flow, member, new.work, new.threads, now), AdmissionReason.PASSED, 0.0
+        if (
+            self.fair.count
+            and self.concurrency_limit.has_room(arrival.threads, HEADROOM)
+            and self.fair.has_credit(flow)
+        ):
+            # Its flow would be served next, so it need not wait for another request to end.
+            self.fair.charge_admitted(flow, weight, arrival.work)
+            self.bypassed.append((now, arrival.work))
+            self.bypassed_work += arrival.work
+            self._admit(
+                arrival.ref,
+                AdmittedRequest(flow, tenant, arrival.work, arrival.threads, now),
+                AdmissionReason.ADMITTED_AT_ONCE,
+                0.0,
             )
             return
-        if self._wait(flow, weight, new.work, now) > new.patience:
-            self._turn_away(new, member, flow, weight, now, AdmissionReason.TOO_LATE)
+        if self._expected_wait(flow, weight, arrival.work, now) > arrival.max_wait_s:
+            self._shed_with_promise(arrival, tenant, flow, weight, now, AdmissionReason.TOO_LATE)
             return
-        while self.fair.count >= self.bounds.count or self.fair.size + new.size + TICKET > self.bounds.size:
+        while (
+            self.fair.count >= self.bounds.max_waiting
+            or self.fair.size + arrival.size_bytes + WAITING_OVERHEAD_BYTES > self.bounds.size
+        ):
             heaviest = self.fair.heaviest()
             if (
                 heaviest is None
                 or heaviest.key == flow
-                or self._lighter(heaviest.work, heaviest.weight, flow, weight)
+                or self._is_no_heavier(heaviest.work, heaviest.weight, flow, weight)
             ):
-                self._turn_away(new, member, flow, weight, now, AdmissionReason.FULL)
+                self._shed_with_promise(arrival, tenant, flow, weight, now, AdmissionReason.FULL)
                 return
-            self._drop(self.fair.last_of(heaviest), now)
-        self._take(new, member, flow, weight, now, AdmissionReason.QUEUED)
+            self._evict(self.fair.last_of(heaviest), now)
+        self._enqueue(arrival, tenant, flow, weight, now, AdmissionReason.QUEUED)
+
+    def _is_no_heavier(self, work: float, weight: float, flow: int, own_weight: float) -> bool:
+        """Returns whether work over weight is at most that of the flow's waiting work."""
+        own_flow = self.fair.flows.get(flow)
+        return work / weight <= (own_flow.work if own_flow is not None else 0.0) / own_weight
 
-    def _lighter(self, work: float, weight: float, flow: int, own_weight: float) -> bool:
-        mine = self.fair.flows.get(flow)
-        return work / weight <= (mine.work if mine is not None else 0.0) / own_weight
+    def _flow_for(self, tenant: str) -> int:
+        """Returns the flow for a tenant's new request.
 
-    def _flow(self, member: str) -> int:
-        """The queue of a member: where it stands already, so that its commands keep their order."""
-        flow = self.standing.get(member)
+        A tenant with waiting requests keeps its flow, so that its requests keep their order.
+        """
+        flow = self.standing.get(tenant)
         if flow is not None:
             return flow
-        return self.members.queue(member, self._work_of) if self.fair.count else self.members.hand(member)[0]
+        return (
+            self.classifier.least_loaded_queue(tenant, self._backlog_of)
+            if self.fair.count
+            else self.classifier.hand(tenant)[0]
+        )
 
-    def _work_of(self, key: int) -> float:
+    def _backlog_of(self, key: int) -> float:
         flow = self.fair.flows.get(key)
         return flow.work if flow is not None else 0.0
 
-    def _wait(self, key: int, weight: float, work: float, now: float) -> float:
-        """For how long a command would wait, as far as shares and the rate tell."""
+    def _expected_wait(self, key: int, weight: float, work: float, now: float) -> float:
+        """Estimates how long a request would wait, in seconds, from the shares and the rate."""
         flow = self.fair.flows.get(key)
-        mine = flow.work if flow is not None and flow.count else 0.0
-        had = flow.pace_elsewhere(now) if flow is not None and self.pace else 0.0
-        if flow is not None and had > LEAST_HAD * self.rate():  # here it gets what is left of its share
-            return (mine + self.fair.debt(flow)) / max(weight * self.pace - had, LEAST_HAD * self.rate())
-        weights = self.fair.weight + (0.0 if mine else weight)
-        behind = min((mine + work) * weights / weight, self.fair.work + work)
-        return max(behind - work, 0.0) / self.rate()
+        own_work = flow.work if flow is not None and flow.count else 0.0
+        peer_rate = flow.current_peer_rate(now) if flow is not None and self.pace else 0.0
+        if flow is not None and peer_rate > MIN_PEER_RATE_RATIO * self.rate():
+            # The flow gets here what peers leave of its share.
+            return (own_work + self.fair.debt(flow)) / max(
+                weight * self.pace - peer_rate, MIN_PEER_RATE_RATIO * self.rate()
+            )
+        total_weight = self.fair.weight + (0.0 if own_work else weight)
+        work_ahead = min((own_work + work) * total_weight / weight, self.fair.work + work)
+        return max(work_ahead - work, 0.0) / self.rate()
 
     def rate(self) -> float:
-        """Work a second that gets done: what was in the last second, no less than half of the cores; before
-        anything is known most of them."""
-        known = self.done_work / RATE_OVER
-        return max(known, 0.5 * self.window.cores) if known else 0.8 * self.window.cores
-
-    def _to_promise(self, now: float) -> float:
-        """The pace without the work of those who need not wait: a promise may not cost them their turn."""
-        while self.straight and self.straight[0][0] < now - RATE_OVER:
-            self.straight_work -= self.straight.popleft()[1]
-        return max(self.rate() - self.straight_work / RATE_OVER, 0.2 * self.rate())
-
-    def _take(
-        self, new: Arrival, member: str, flow: int, weight: float, now: float, why: AdmissionReason
+        """Returns the work a second that gets done: that of the last second, but at least half of the cores.
+
+        Before anything is measured it is taken to be 0.8 of the cores.
+        """
+        measured = self.completed_work / RATE_WINDOW_S
+        return (
+            max(measured, 0.5 * self.concurrency_limit.cores)
+            if measured
+            else 0.8 * self.concurrency_limit.cores
+        )
+
+    def _promisable_rate(self, now: float) -> float:
+        """Returns the rate without the work of flows that need not wait: promises may not delay those."""
+        while self.bypassed and self.bypassed[0][0] < now - RATE_WINDOW_S:
+            self.bypassed_work -= self.bypassed.popleft()[1]
+        return max(self.rate() - self.bypassed_work / RATE_WINDOW_S, 0.2 * self.rate())
+
+    def _enqueue(
+        self, arrival: Arrival, tenant: str, flow: int, weight: float, now: float, reason: AdmissionReason
     ) -> None:
-        until = now + max(new.left, 0.0)
-        ticket = Ticket(new.ref, flow, new.line, new.work, new.size + TICKET, until, new.threads)
-        if why is AdmissionReason.KEPT:
-            self.fair.push_ahead(ticket)
-            self.promised.add(new.ref)
+        admit_by = now + max(arrival.time_left_s, 0.0)
+        ticket = Ticket(
+            arrival.ref,
+            flow,
+            arrival.order_key,
+            arrival.work,
+            arrival.size_bytes + WAITING_OVERHEAD_BYTES,
+            admit_by,
+            arrival.threads,
+        )
+        if reason is AdmissionReason.PROMISE_KEPT:
+            self.fair.push_priority(ticket)
+            self.promised_refs.add(arrival.ref)
         else:
-            self.fair.push(ticket, weight, self.owed.get(flow, 0.0))
-        self.most_size = max(self.most_size, self.fair.size)
-        self.waiting[new.ref] = ticket, member, now
-        self.pushed += 1
-        heapq.heappush(self.deadlines, (until, self.pushed, ticket))
-        self.standing[member] = flow
-        self.counts[member] = self.counts.get(member, 0) + 1
-        self._trace(new.ref, member, why, 0.0)
-        self.pump(now)
-
-    def _turn_away(
-        self, new: Arrival, member: str, flow: int, weight: float, now: float, why: AdmissionReason
+            self.fair.push(ticket, weight, self.admitted_work.get(flow, 0.0))
+        self.peak_waiting_bytes = max(self.peak_waiting_bytes, self.fair.size)
+        self.waiting[arrival.ref] = ticket, tenant, now
+        self.ticket_count += 1
+        heapq.heappush(self.deadlines, (admit_by, self.ticket_count, ticket))
+        self.standing[tenant] = flow
+        self.waiting_counts[tenant] = self.waiting_counts.get(tenant, 0) + 1
+        self._trace(arrival.ref, tenant, reason, 0.0)
+        self.admit_waiting(now)
+
+    def _shed_with_promise(
+        self, arrival: Arrival, tenant: str, flow: int, weight: float, now: float, reason: AdmissionReason
     ) -> None:
-        waits = self.fair.flows.get(flow)
-        others = self.fair.weight - (waits.weight if waits is not None and waits.count else 0.0)
-        part = min(max(weight / (others + weight), LEAST_PART), MOST_PART)
-        after = self.bookings.book(flow, new.mark, new.work, now, self._to_promise(now), self.fair.work, part)
-        self._away(new.ref, member, after, why)
-
-    def _away(self, ref: str, member: str, after: float, why: AdmissionReason) -> None:
-        self._trace(ref, member, why, after)
-        self.sill.turn_away(ref, after)
-
-    def _drop(self, ticket: Ticket, now: float) -> None:
-        """A waiting command makes room for a lighter member's."""
-        member = self._out(ticket)
-        self.bookings.unpromised += 1
-        self._away(ticket.ref, member, math.inf, AdmissionReason.FULL)
-
-    def _out(self, ticket: Ticket) -> str:
+        own_flow = self.fair.flows.get(flow)
+        other_weight = self.fair.weight - (
+            own_flow.weight if own_flow is not None and own_flow.count else 0.0
+        )
+        max_share = min(max(weight / (other_weight + weight), MIN_PROMISE_SHARE), MAX_PROMISE_SHARE)
+        retry_after_s = self.promises.make(
+            flow,
+            arrival.fingerprint,
+            arrival.work,
+            now,
+            self._promisable_rate(now),
+            self.fair.work,
+            max_share,
+        )
+        self._shed(arrival.ref, tenant, retry_after_s, reason)
+
+    def _shed(self, ref: str, tenant: str, retry_after_s: float, reason: AdmissionReason) -> None:
+        self._trace(ref, tenant, reason, retry_after_s)
+        self.port.turn_away(ref, retry_after_s)
+
+    def _evict(self, ticket: Ticket, now: float) -> None:
+        """Sheds a waiting request to make room for one of a lighter flow."""
+        tenant = self._remove(ticket)
+        self.promises.refused_count += 1
+        self._shed(ticket.ref, tenant, math.inf, AdmissionReason.FULL)
+
+    def _remove(self, ticket: Ticket) -> str:
+        """Removes a waiting request from the queues and returns its tenant."""
         self.fair.remove(ticket)
-        return self._gone(ticket)
-
-    def _gone(self, ticket: Ticket) -> str:
-        self.promised.discard(ticket.ref)
-        _, member, _ = self.waiting.pop(ticket.ref)
-        self.counts[member] -= 1
-        if not self.counts[member]:
-            del self.counts[member]
-            self.standing.pop(member, None)
-        return member
-
-    # What goes in.
-
-    def pump(self, now: float) -> None:
-        """Lets in whoever's turn it is while the window has room."""
-        while (ticket := self.fair.first()) is not None and self.window.has_room(ticket.threads):
-            if ticket.until <= now:
-                self._run_out(ticket, now)
+        return self._forget(ticket)
+
+    def _forget(self, ticket: Ticket) -> str:
+        """Forgets a request that waits no longer and returns its tenant."""
+        self.promised_refs.discard(ticket.ref)
+        _, tenant, _ = self.waiting.pop(ticket.ref)
+        self.waiting_counts[tenant] -= 1
+        if not self.waiting_counts[tenant]:
+            del self.waiting_counts[tenant]
+            self.standing.pop(tenant, None)
+        return tenant
+
+    # Admission.
+
+    def admit_waiting(self, now: float) -> None:
+        """Admits waiting requests in their order while the concurrency limit has room."""
+        while (ticket := self.fair.first()) is not None and self.concurrency_limit.has_room(ticket.threads):
+            if ticket.admit_by <= now:
+                self._time_out(ticket, now)
                 continue
             self.fair.pop()
-            _, _, came = self.waiting[ticket.ref]
-            kept, member = ticket.ref in self.promised, self._gone(ticket)
-            inside = Inside(ticket.flow, member, ticket.work, ticket.threads, now, kept)
-            self._enter(ticket.ref, inside, AdmissionReason.LET_IN, now - came)
-
-    def _enter(self, ref: str, inside: Inside, why: AdmissionReason, waited: float) -> None:
-        self.inside[ref] = inside
-        self.window.out += inside.threads
-        self.owed[inside.flow] = self.owed.get(inside.flow, 0.0) + inside.work
-        if self.bounds.share:
-            self.shares.add(name_hash(inside.member), inside.work)
-        if self.bounds.trace:
-            self.sill.trace(ref, inside.member, why, waited)
-        self.sill.let_in(ref)
-
-    # What becomes of it.
-
-    def answered(self, ref: str, work: float | None, alone: float, now: float) -> None:
-        """work: what it took, where engines tell; alone: seconds that it takes on an idle engine."""
-        inside = self.inside.get(ref)
-        if inside is None:
+            _, _, arrived_at = self.waiting[ticket.ref]
+            was_promised, tenant = ticket.ref in self.promised_refs, self._forget(ticket)
+            admitted = AdmittedRequest(ticket.flow, tenant, ticket.work, ticket.threads, now, was_promised)
+            self._admit(ticket.ref, admitted, AdmissionReason.ADMITTED_IN_TURN, now - arrived_at)
+
+    def _admit(self, ref: str, admitted: AdmittedRequest, reason: AdmissionReason, waited_s: float) -> None:
+        self.inside[ref] = admitted
+        self.concurrency_limit.in_flight += admitted.threads
+        self.admitted_work[admitted.flow] = self.admitted_work.get(admitted.flow, 0.0) + admitted.work
+        if self.bounds.shares_usage:
+            self.shares.add(name_hash(admitted.tenant), admitted.work)
+        if self.bounds.traces:
+            self.port.trace(ref, admitted.tenant, reason, waited_s)
+        self.port.let_in(ref)
+
+    # Ends of requests.
+
+    def answered(self, ref: str, work: float | None, idle_engine_s: float, now: float) -> None:
+        """An engine answered an admitted request.
+
+        Args:
+            ref: Reference of the request.
+            work: Work that it took, None where the engine does not report it.
+            idle_engine_s: Seconds that it takes on an idle engine.
+            now: Seconds on a monotonic clock.
+        """
+        admitted = self.inside.get(ref)
+        if admitted is None:
             return
         if work is not None:
-            self.fair.correct(inside.flow, work - inside.work)
-            off = work / max(inside.work, 1e-3) * self.bias.get(inside.flow, 1.0)
-            off = LEARNS * min(max(off, 1 / MOST_BIAS), MOST_BIAS) + (1 - LEARNS) * self.bias.get(
-                inside.flow, 1.0
-            )
-            self.bias[inside.flow] = off
-        done = work if work is not None else inside.work
-        self.done.append((now, done))
-        self.done_work += done
-        self.window.answered((now - inside.at) / (alone + 0.02), now)
-        self._leave(ref, now)
+            self.fair.correct(admitted.flow, work - admitted.work)
+            bias = work / max(admitted.work, 1e-3) * self.estimate_bias.get(admitted.flow, 1.0)
+            bias = BIAS_SMOOTHING * min(max(bias, 1 / MAX_BIAS), MAX_BIAS) + (
+                1 - BIAS_SMOOTHING
+            ) * self.estimate_bias.get(admitted.flow, 1.0)
+            self.estimate_bias[admitted.flow] = bias
+        work_done = work if work is not None else admitted.work
+        self.completed.append((now, work_done))
+        self.completed_work += work_done
+        self.concurrency_limit.record_answer((now - admitted.admitted_at) / (idle_engine_s + 0.02), now)
+        self._release(ref, now)
 
     def over(self, ref: str, shed: bool, now: float) -> None:
-        """It ended without an answer; shed: the module gave it up."""
+        """An admitted request ended without an answer; shed: because the scheduler shed it."""
         if ref in self.inside:
-            inside = self.inside[ref]
+            admitted = self.inside[ref]
             if shed:
-                self.window.was_shed(now)
-            if shed and inside.promised:
-                self._broken(ref, inside.member, "shed by the decisions", now)
-            self._leave(ref, now)
-
-    def _leave(self, ref: str, now: float) -> None:
-        inside = self.inside.pop(ref)
-        self.window.out -= inside.threads
-        left = self.owed[inside.flow] - inside.work
-        if left > 1e-9:
-            self.owed[inside.flow] = left
+                self.concurrency_limit.record_shed(now)
+            if shed and admitted.was_promised:
+                self._break_promise(ref, admitted.tenant, "shed by the decisions", now)
+            self._release(ref, now)
+
+    def _release(self, ref: str, now: float) -> None:
+        """Frees the place of an admitted request that ended, and admits others."""
+        admitted = self.inside.pop(ref)
+        self.concurrency_limit.in_flight -= admitted.threads
+        remaining = self.admitted_work[admitted.flow] - admitted.work
+        if remaining > 1e-9:
+            self.admitted_work[admitted.flow] = remaining
         else:
-            del self.owed[inside.flow]
-        while self.done and self.done[0][0] < now - RATE_OVER:
-            self.done_work -= self.done.popleft()[1]
-        self.pump(now)
+            del self.admitted_work[admitted.flow]
+        while self.completed and self.completed[0][0] < now - RATE_WINDOW_S:
+            self.completed_work -= self.completed.popleft()[1]
+        self.admit_waiting(now)
 
     def left(self, ref: str) -> bool:
-        """Its client left or called it off while it waited; False where it did not wait."""
+        """Drops a waiting request whose client disconnected or cancelled it; False if it does not wait."""
         if ref not in self.waiting:
             return False
         ticket, _, _ = self.waiting[ref]
-        self._trace(ref, self._out(ticket), AdmissionReason.LEFT, 0.0)
+        self._trace(ref, self._remove(ticket), AdmissionReason.CLIENT_LEFT, 0.0)
         return True
 
     def resize(self, cores: float, now: float) -> None:
-        if cores < self.window.cores:
-            self.shrunk_at = now
-        self.window.resize(cores)
-        self.pump(now)
+        """Engines were added or removed; cores: this router's part of their cores."""
+        if cores < self.concurrency_limit.cores:
+            self.engines_lost_at = now
+        self.concurrency_limit.resize(cores)
+        self.admit_waiting(now)
 
     def tick(self, now: float) -> float | None:
-        """Time passed: what ran out is turned away, peers are told. When to be called next; None: no need."""
-        self.bookings.expire(now)
-        while self.deadlines and (self.deadlines[0][0] <= now or not self._waits(self.deadlines[0][2])):
+        """Sheds requests that ran out of time and sends the summary to peers when it is due.
+
+        Returns:
+            When to call it next, in seconds on a monotonic clock; None if there is no need to.
+        """
+        self.promises.expire(now)
+        while self.deadlines and (self.deadlines[0][0] <= now or not self._is_waiting(self.deadlines[0][2])):
             _, _, ticket = heapq.heappop(self.deadlines)
-            if self._waits(ticket):
-                self._run_out(ticket, now)
+            if self._is_waiting(ticket):
+                self._time_out(ticket, now)
         if len(self.deadlines) > 2 * self.fair.count + 64:
-            self.deadlines = [entry for entry in self.deadlines if self._waits(entry[2])]
+            self.deadlines = [entry for entry in self.deadlines if self._is_waiting(entry[2])]
             heapq.heapify(self.deadlines)
-        self.pump(now)
-        if self.bounds.share and now >= self.told_at + EVERY:
-            self.told_at = now
-            self.pace = self._pace(now)
-            self.window.lean(self.shares.lean(self.pace, now) if self.pace else 1.0)
+        self.admit_waiting(now)
+        if self.bounds.shares_usage and now >= self.summary_sent_at + SUMMARY_INTERVAL_S:
+            self.summary_sent_at = now
+            self.pace = self._measure_pace(now)
+            self.concurrency_limit.balance(self.shares.pace_ratio(self.pace, now) if self.pace else 1.0)
             summary = self.shares.summary(self.pace)
             if summary is not None:
-                self.sill.tell_peers(summary)
-        return now + EVERY / 2 if self.fair.count or (self.bounds.share and self.shares.let_in) else None
-
-    def _pace(self, now: float) -> float:
-        """Work a second for their weight that those who wait have been given, here and by peers; 0 where none
-        waits."""
+                self.port.tell_peers(summary)
+        return (
+            now + SUMMARY_INTERVAL_S / 2
+            if self.fair.count or (self.bounds.shares_usage and self.shares.unreported_work)
+            else None
+        )
+
+    def _measure_pace(self, now: float) -> float:
+        """Returns the pace of the waiting flows, with the work that peers gave them; 0 where none waits."""
         if not self.fair.count:
-            self.turned.clear()
+            self.pace_samples.clear()
             return 0.0
-        self.turned.append((now, self.fair.turns.now))
-        since, turns = self.turned[0]
-        return (self.fair.turns.now - turns) / (now - since) if now > since else 0.0
-
-    def _run_out(self, ticket: Ticket, now: float) -> None:
-        """It could still go in, and would be too late then."""
-        kept, member = ticket.ref in self.promised, self._out(ticket)
-        if kept:
-            self._broken(ticket.ref, member, "no room in its time", now)
-        self._away(ticket.ref, member, math.inf, AdmissionReason.TIMED_OUT)
-
-    def _broken(self, ref: str, member: str, cause: str, now: float) -> None:
-        """Rules come first: what was promised before engines were lost may not hold."""
-        self.bookings.break_one()
-        lost = now < self.shrunk_at + LOST_FOR
-        self.sill.broke(ref, member, "engines were lost" if lost else cause)
-
-    def _waits(self, ticket: Ticket) -> bool:
+        self.pace_samples.append((now, self.fair.order.virtual_time))
+        since, virtual_time = self.pace_samples[0]
+        return (self.fair.order.virtual_time - virtual_time) / (now - since) if now > since else 0.0
+
+    def _time_out(self, ticket: Ticket, now: float) -> None:
+        """Sheds a waiting request that would be too late if it were admitted now."""
+        was_promised, tenant = ticket.ref in self.promised_refs, self._remove(ticket)
+        if was_promised:
+            self._break_promise(ticket.ref, tenant, "no room in its time", now)
+        self._shed(ticket.ref, tenant, math.inf, AdmissionReason.TIMED_OUT)
+
+    def _break_promise(self, ref: str, tenant: str, cause: str, now: float) -> None:
+        """Records a broken promise; those made before engines were lost may not hold, whatever the cause."""
+        self.promises.record_broken()
+        is_recent_loss = now < self.engines_lost_at + ENGINE_LOSS_WINDOW_S
+        self.port.broke(ref, tenant, "engines were lost" if is_recent_loss else cause)
+
+    def _is_waiting(self, ticket: Ticket) -> bool:
         return ticket.ref in self.waiting and self.waiting[ticket.ref][0] is ticket
 
     def heard(self, peer: int, data: bytes, now: float) -> None:
-        """A peer's summary: what it let in counts as had here by those that wait."""
-        if not self.bounds.share:
+        """Takes a peer's summary: the work that it admitted is charged to the flows that wait here."""
+        if not self.bounds.shares_usage:
             return
-        told = self.shares.heard(peer, data, self.rate(), now)
-        if told:
-            for member, flow in self.standing.items():
-                work = told.get(name_hash(member))
+        work_by_tenant = self.shares.heard(peer, data, self.rate(), now)
+        if work_by_tenant:
+            for tenant, flow in self.standing.items():
+                work = work_by_tenant.get(name_hash(tenant))
                 if work:
-                    self.fair.given_elsewhere(flow, work, now)
+                    self.fair.charge_peer_work(flow, work, now)
 
     def stop(self, now: float) -> None:
-        """The router ends: what still waits is turned away."""
+        """The router stops: sheds all that waits."""
         for ticket in list(self.fair.tickets()):
-            self._away(ticket.ref, self._out(ticket), math.inf, AdmissionReason.STOPPING)
+            self._shed(ticket.ref, self._remove(ticket), math.inf, AdmissionReason.STOPPING)
 
-    def _trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
-        if self.bounds.trace:
-            self.sill.trace(ref, member, why, seconds)
+    def _trace(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
+        if self.bounds.traces:
+            self.port.trace(ref, tenant, reason, duration_s)
--- a/marbleworks/fair_queue/peer_usage.py
+++ b/marbleworks/fair_queue/peer_usage.py
@@ -1,10 +1,10 @@
-"""What routers of a group tell each other of their heaviest members, and what is made of it.
+"""Summaries that the routers of a group exchange about the work of their heaviest tenants.
 
-It does no I/O and reads no clock. A summary is 6 bytes of head, with the pace at which those who wait there
-are given work for their weight, and 6 for each member: 32 bits of its name's hash and the work it was let in,
-in units of 10 ms. Lost and late ones do no harm: each says what was let in
-since the last, and what is not heard is not charged. A peer that lies is bounded by what its part of the
-engines can do.
+It does no I/O and reads no clock. A summary has a header of 6 bytes, which holds the pace of the requests
+that wait at the sender, and 6 bytes for each tenant: 32 bits of the hash of its name and the work that was
+admitted, in units of 10 ms. Pace is work a second per unit of weight. Lost and late summaries do no harm:
+each tells what was admitted since the one before, and what does not arrive is not charged. A peer that sends
+false figures is bounded by what its part of the engines can do.
 """
 
 from __future__ import annotations
@@ -14,91 +14,128 @@
 import xxhash
 
 MAGIC = 0xD0
-HEAD = struct.Struct("<BBHH")  # magic, members, number of the summary, pace
-ENTRY = struct.Struct("<IH")
-MOST = 256  # bytes of a datagram
-HEAVIEST = (MOST - HEAD.size) // ENTRY.size
-UNIT = 0.01  # seconds of work
-EVERY = 0.1  # seconds between summaries
-REMEMBERED = 1024  # members of whom something is remembered
-HEEDED = 0.5  # seconds for which a peer's pace counts
-LAG = 64  # summaries that may come out of order or be lost before a peer counts as started anew
+HEADER = struct.Struct("<BBHH")  # magic, number of entries, sequence number, pace
+ENTRY = struct.Struct("<IH")  # hash of the tenant's name, work
+MAX_DATAGRAM_BYTES = 256
+MAX_ENTRIES = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
+WORK_UNIT_S = 0.01
+SUMMARY_INTERVAL_S = 0.1
+MAX_TENANTS = 1024  # tenants whose unreported work is remembered
+PACE_LIFETIME_S = 0.5  # a peer's pace counts for this long
+REORDER_WINDOW = 64  # summaries that may be lost or out of order before a peer counts as restarted
 
 
 def name_hash(name: str) -> int:
+    """Returns the hash by which summaries identify a tenant."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 class PeerUsage:
-    """What this router tells of its members, and the numbers of what it heard from each peer."""
+    """What this router tells its peers of its tenants, and the state of the summaries received from each.
+
+    Attributes:
+        unreported_work: Work admitted since the last summary, by hash of the tenant's name.
+        number: Sequence number of the last summary sent.
+        last: Sequence number of the last summary received and the time of it, by peer.
+        paces: Pace and the time when it was received, by peer where requests wait.
+        rejected_count: Summaries that were dropped because of their length or because the sender is no live
+            peer, and those that were scaled down.
+        generations: Generations of the live peers; None where routers do not know each other's.
+    """
 
     def __init__(self) -> None:
-        self.let_in: dict[int, float] = {}  # by hash, since the last summary
+        self.unreported_work: dict[int, float] = {}
         self.number = 0
-        self.last: dict[int, tuple[int, float]] = {}  # by peer: the last summary's number, and when it came
-        self.paces: dict[int, tuple[float, float]] = {}  # by peer where some wait: its pace, and when told
-        self.refused = 0
-        self.view: dict[int, int] | None = None  # the living peers and their starts, where routers know that
-
-    def viewed(self, starts: dict[int, int]) -> None:
-        """Who is there: one that has gone counts no more, one that began anew numbers its summaries anew."""
-        old = self.view or {}
-        self.last = {peer: last for peer, last in self.last.items() if starts.get(peer, -1) == old.get(peer)}
-        self.view = starts
-
-    def add(self, name: int, work: float) -> None:
-        if name in self.let_in or len(self.let_in) < REMEMBERED:
-            self.let_in[name] = self.let_in.get(name, 0.0) + work
-
-    def lean(self, pace: float, now: float) -> float:
-        """Our pace over the mean of all routers where some wait; 1 where that can't be said."""
-        self.paces = {peer: told for peer, told in self.paces.items() if told[1] > now - HEEDED}
-        whole = pace + sum(told for told, _ in self.paces.values())
-        return pace * (1 + len(self.paces)) / whole if self.paces and whole else 1.0
+        self.last: dict[int, tuple[int, float]] = {}
+        self.paces: dict[int, tuple[float, float]] = {}
+        self.rejected_count = 0
+        self.generations: dict[int, int] | None = None
+
+    def viewed(self, generations: dict[int, int]) -> None:
+        """Takes over the live peers and their generations.
+
+        Summaries of peers that are not live are dropped from now on. A restarted peer numbers its summaries
+        from the start, so its last number is forgotten.
+        """
+        old = self.generations or {}
+        self.last = {
+            peer: last for peer, last in self.last.items() if generations.get(peer, -1) == old.get(peer)
+        }
+        self.generations = generations
+
+    def add(self, tenant_hash: int, work: float) -> None:
+        """Adds admitted work of a tenant to the next summary."""
+        if tenant_hash in self.unreported_work or len(self.unreported_work) < MAX_TENANTS:
+            self.unreported_work[tenant_hash] = self.unreported_work.get(tenant_hash, 0.0) + work
+
+    def pace_ratio(self, pace: float, now: float) -> float:
+        """Returns our pace over the mean of all routers where requests wait; 1 where that is unknown."""
+        self.paces = {peer: entry for peer, entry in self.paces.items() if entry[1] > now - PACE_LIFETIME_S}
+        total_pace = pace + sum(peer_pace for peer_pace, _ in self.paces.values())
+        return pace * (1 + len(self.paces)) / total_pace if self.paces and total_pace else 1.0
 
     def summary(self, pace: float = 0.0) -> bytes | None:
-        """The heaviest of what was let in since the last one; None where there is nothing to tell. pace: work
-        a second that those who wait are given for their weight; 0 where none waits."""
-        heavy = sorted(self.let_in.items(), key=lambda item: -item[1])[:HEAVIEST]
-        told = [(name, min(round(work / UNIT), 0xFFFF)) for name, work in heavy if work >= UNIT]
-        if not told:
+        """Encodes the heaviest tenants of the work admitted since the last summary.
+
+        Args:
+            pace: Work a second that the waiting requests are given per unit of weight; 0 where none waits.
+
+        Returns:
+            The datagram; None where there is nothing to tell.
+        """
+        heaviest = sorted(self.unreported_work.items(), key=lambda item: -item[1])[:MAX_ENTRIES]
+        entries = [
+            (name, min(round(work / WORK_UNIT_S), 0xFFFF)) for name, work in heaviest if work >= WORK_UNIT_S
+        ]
+        if not entries:
             return None
-        for name, _ in told:
-            del self.let_in[name]
-        if len(self.let_in) >= REMEMBERED // 2:
-            self.let_in.clear()  # of many light ones nothing need be told
+        for name, _ in entries:
+            del self.unreported_work[name]
+        if len(self.unreported_work) >= MAX_TENANTS // 2:
+            self.unreported_work.clear()  # many light tenants: none of them is worth reporting
         self.number = (self.number + 1) & 0xFFFF
-        head = HEAD.pack(MAGIC, len(told), self.number, min(round(pace / UNIT), 0xFFFF))
-        return head + b"".join(ENTRY.pack(*entry) for entry in told)
+        header = HEADER.pack(MAGIC, len(entries), self.number, min(round(pace / WORK_UNIT_S), 0xFFFF))
+        return header + b"".join(ENTRY.pack(*entry) for entry in entries)
 
     def heard(self, peer: int, data: bytes, rate: float, now: float) -> dict[int, float]:
-        """Work that a peer let in by member's hash; nothing where the datagram is old, double or not one."""
-        if len(data) < HEAD.size or len(data) > MOST or data[0] != MAGIC:
+        """Decodes a peer's summary.
+
+        Args:
+            peer: Index of the peer.
+            data: The datagram.
+            rate: Work a second that this router gets done, which bounds what a peer may claim.
+            now: Seconds on a monotonic clock.
+
+        Returns:
+            The work that the peer admitted, by hash of the tenant's name; empty for a datagram that is old, a
+            duplicate or malformed, or not from a live peer.
+        """
+        if len(data) < HEADER.size or len(data) > MAX_DATAGRAM_BYTES or data[0] != MAGIC:
             return {}
-        if self.view is not None and peer not in self.view:
-            self.refused += 1
+        if self.generations is not None and peer not in self.generations:
+            self.rejected_count += 1
             return {}
-        _, count, number, pace = HEAD.unpack_from(data)
-        if len(data) != HEAD.size + count * ENTRY.size:
-            self.refused += 1
+        _, count, number, pace = HEADER.unpack_from(data)
+        if len(data) != HEADER.size + count * ENTRY.size:
+            self.rejected_count += 1
             return {}
-        last, at = self.last.get(peer, (number - 1, now - EVERY))
+        last, received_at = self.last.get(peer, (number - 1, now - SUMMARY_INTERVAL_S))
         ahead = (number - last) & 0xFFFF
-        if ahead == 0 or ahead > 0xFFFF - LAG:
-            return {}  # heard already, or older than what was
-        told: dict[int, float] = {}
+        if ahead == 0 or ahead > 0xFFFF - REORDER_WINDOW:
+            return {}  # a duplicate, or older than the last one
+        work_by_tenant: dict[int, float] = {}
         for i in range(count):
-            name, units = ENTRY.unpack_from(data, HEAD.size + i * ENTRY.size)
-            told[name] = told.get(name, 0.0) + units * UNIT
+            name, units = ENTRY.unpack_from(data, HEADER.size + i * ENTRY.size)
+            work_by_tenant[name] = work_by_tenant.get(name, 0.0) + units * WORK_UNIT_S
         self.last[peer] = number, now
         if pace:
-            self.paces[peer] = pace * UNIT, now
+            self.paces[peer] = pace * WORK_UNIT_S, now
         else:
             self.paces.pop(peer, None)
-        # No router lets in more than its part of the engines does, and half as much again that it saved up.
-        most = 1.5 * rate * min(max(now - at, EVERY), 1.0)
-        total = sum(told.values())
-        if total > most:
-            self.refused += 1
-            told = {name: work * most / total for name, work in told.items()}
-        return told
+        # No router admits more than its part of the engines does, and half as much again that it saved up.
+        max_work = 1.5 * rate * min(max(now - received_at, SUMMARY_INTERVAL_S), 1.0)
+        total = sum(work_by_tenant.values())
+        if total > max_work:
+            self.rejected_count += 1
+            work_by_tenant = {name: work * max_work / total for name, work in work_by_tenant.items()}
+        return work_by_tenant
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -1,7 +1,7 @@
-"""The door at work: what stands between the desk and the decisions, in the desk's own greenlet.
+"""Connects admission control with the dispatcher, in the dispatcher's own greenlet.
 
-It owns what a command needs to be admitted later, and the timer of what waits. It must never decide
-(`door.py` does), answer a client, or hold a command that the door lets in.
+It owns what is needed to admit a request later, and the timer for the waiting requests. It must never decide
+(`admission.py` does), answer a client, or hold back a request that admission control admits.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
-from marbleworks.fair_queue.peer_usage import EVERY, MAGIC, MOST
+from marbleworks.fair_queue.peer_usage import MAGIC, MAX_DATAGRAM_BYTES, SUMMARY_INTERVAL_S
 from marbleworks.net.actor import LOG, clock, spawn
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 from marbleworks.net.dispatcher import Dispatcher
@@ -24,152 +24,213 @@
 from marbleworks.scheduling.request_state import CLOSE_CALL_RATIO
 from marbleworks.settings import Settings
 
-TICK = 0.05  # seconds between looks at what waits
-AT_EASE = 1.5  # times its time alone that a command is thought to take past the door
-Held = tuple[OpenRequest, int, str, tuple[float, float], int]
+TICK_INTERVAL_S = 0.05  # time between checks of the waiting requests
+EXPECTED_SLOWDOWN = 1.5  # time from admission to the answer over the time on an idle engine
+# What `Dispatcher.admit` takes after the ref: request, table group, idempotency key, estimate and tenant.
+HeldRequest = tuple[OpenRequest, int, str, tuple[float, float], int]
 
 
 class FairQueueService:
+    """Admission control of one router: the dispatcher's `RequestAdmission`.
+
+    Args:
+        section: Settings of the section `door` of the operator's file.
+        dispatcher: Takes the decisions.
+        settings: The deployment's settings.
+        peers: Transport to the other routers of the group; None if there are none.
+
+    Attributes:
+        held_requests: Requests that are not decided on yet, by ref.
+        idle_engine_s: Seconds that each request takes on an idle engine, by ref, until it ends.
+    """
+
     def __init__(
         self,
-        terms: dict[str, Any],
-        desk: Dispatcher,
-        deployment: Settings,
+        section: dict[str, Any],
+        dispatcher: Dispatcher,
+        settings: Settings,
         peers: DatagramTransport | None = None,
     ) -> None:
-        self.terms, self.desk, self.gateway, self.deployment = terms, desk, desk.scheduler, deployment
-        self.names = list(deployment.tenant_index)
-        self.tell: Callable[[bytes], None] = lambda data: None
-        self.held: dict[str, Held] = {}
-        self.alone: dict[str, float] = {}  # of what is past the door
-        rules = deployment.rules
+        self.section, self.dispatcher, self.scheduler, self.settings = (
+            section,
+            dispatcher,
+            dispatcher.scheduler,
+            settings,
+        )
+        self.tenant_names = list(settings.tenant_index)
+        self.send_to_peers: Callable[[bytes], None] = lambda data: None
+        self.held_requests: dict[str, HeldRequest] = {}
+        self.idle_engine_s: dict[str, float] = {}
+        rules = settings.rules
         self.door = AdmissionController(
-            self, self._members(), self._bounds(), self._cores(), rules.max_retry_after_s
+            self, self._make_classifier(), self._make_bounds(), self._cores(), rules.max_retry_after_s
         )
         if peers is not None:
-            self.tell = peers.register(
-                DatagramKind("door", MAGIC, 2.0 * MOST / EVERY),
-                lambda peer, data: desk.post(self.heard, peer, data),
+            self.send_to_peers = peers.register(
+                DatagramKind("door", MAGIC, 2.0 * MAX_DATAGRAM_BYTES / SUMMARY_INTERVAL_S),
+                lambda peer, data: dispatcher.post(self.heard, peer, data),
             )
-        self.woken = Event()
+        self.tick_needed = Event()
         self.greenlet = spawn(self._run)
 
-    def _members(self) -> FlowClassifier:
-        terms = self.terms
+    def _make_classifier(self) -> FlowClassifier:
+        section = self.section
         return FlowClassifier(
-            terms["queues"], self.gateway.seed & 0xFFFFFFFF, terms["weight"], terms["network"]
+            section["queues"], self.scheduler.seed & 0xFFFFFFFF, section["weight"], section["network"]
         )
 
-    def _bounds(self) -> Bounds:
-        terms, share = self.terms, self.terms["peers"] and self.deployment.rules.allows_peer_messages
-        return Bounds(terms["waiting"], terms["memory"], terms["bookings"], share, terms["trace"])
+    def _make_bounds(self) -> Bounds:
+        section, shares_usage = (
+            self.section,
+            self.section["peers"] and self.settings.rules.allows_peer_messages,
+        )
+        return Bounds(
+            section["waiting"], section["memory"], section["bookings"], shares_usage, section["trace"]
+        )
 
     def _cores(self) -> float:
-        return self.gateway.cores / self.gateway.routers
+        """Returns this router's part of the engines' cores."""
+        return self.scheduler.cores / self.scheduler.routers
 
-    def change(self, terms: dict[str, Any]) -> None:
-        self.terms = {**self.terms, **terms}
-        self.door.members, self.door.bounds = self._members(), self._bounds()
-        self.door.bookings.most = self.terms["bookings"]
+    def change(self, section: dict[str, Any]) -> None:
+        """Applies reloaded settings; those that the section does not name stay."""
+        self.section = {**self.section, **section}
+        self.door.classifier, self.door.bounds = self._make_classifier(), self._make_bounds()
+        self.door.promises.max_open = self.section["bookings"]
 
-    # What the desk tells.
+    # Called by the dispatcher.
 
     def enqueue(
-        self, ref: str, new: OpenRequest, group: int, key: str, estimate: tuple[float, float], tenant: int
+        self, ref: str, request: OpenRequest, group: int, key: str, estimate: tuple[float, float], tenant: int
     ) -> None:
-        index = self.deployment.class_index[new.class_name]
-        profile, now = self.deployment.request_classes[index], clock()
-        work = estimate[0] * self.gateway.estimate_bias[index][0] or self.gateway.mean_work(index)
-        alone, waited, left = work / profile.threads, now - new.received_at, new.deadline - now
-        self.held[ref] = new, group, key, estimate, tenant
-        self.alone[ref] = alone
-        name = self.names[tenant] if tenant >= 0 else ""
-        address = new.client.stream.peer.rpartition(":")[0]
-        self._bound()
-        target = min(
-            profile.latency_target_s + profile.latency_target_growth * alone, new.deadline - new.received_at
+        """Takes a new request, which is admitted, queued or shed.
+
+        Args:
+            ref: Reference of the request.
+            request: The request.
+            group: Index of its table group.
+            key: Idempotency key, empty if it has none.
+            estimate: Work (seconds) and memory (MB) that the client declares.
+            tenant: Index of its tenant, negative if it has none.
+        """
+        request_class_index = self.settings.class_index[request.class_name]
+        profile, now = self.settings.request_classes[request_class_index], clock()
+        work = estimate[0] * self.scheduler.estimate_bias[request_class_index][0] or self.scheduler.mean_work(
+            request_class_index
+        )
+        idle_engine_s, waited_s, time_left_s = (
+            work / profile.threads,
+            now - request.received_at,
+            request.deadline - now,
         )
-        latest = CLOSE_CALL_RATIO * target - waited  # whoever comes to the decisions later is given up there
+        self.held_requests[ref] = request, group, key, estimate, tenant
+        self.idle_engine_s[ref] = idle_engine_s
+        tenant_name = self.tenant_names[tenant] if tenant >= 0 else ""
+        address = request.client.stream.peer.rpartition(":")[0]
+        self._apply_budget_limit()
+        answer_target_s = min(
+            profile.latency_target_s + profile.latency_target_growth * idle_engine_s,
+            request.deadline - request.received_at,
+        )
+        # The scheduler sheds requests that reach it later than this.
+        max_useful_wait_s = CLOSE_CALL_RATIO * answer_target_s - waited_s
         self.door.arrive(
             Arrival(
                 ref=ref,
-                name=name,
+                tenant_name=tenant_name,
                 address=address,
-                line=key or new.client,  # commands of one key keep their order
+                order_key=key or request.client,  # requests with one idempotency key keep their order
                 work=work,
                 threads=profile.threads,
-                size=len(new.statement),
-                patience=min(target - waited - AT_EASE * alone, latest),
-                left=min(left - TICK - alone, latest),
-                mark=xxhash.xxh3_64_intdigest(new.statement, xxhash.xxh32_intdigest(address.encode())),
+                size_bytes=len(request.statement),
+                max_wait_s=min(
+                    answer_target_s - waited_s - EXPECTED_SLOWDOWN * idle_engine_s, max_useful_wait_s
+                ),
+                time_left_s=min(time_left_s - TICK_INTERVAL_S - idle_engine_s, max_useful_wait_s),
+                fingerprint=xxhash.xxh3_64_intdigest(
+                    request.statement, xxhash.xxh32_intdigest(address.encode())
+                ),
             ),
             now,
         )
-        if self.door.fair.count or self.door.shares.let_in:
-            self.woken.set()
+        if self.door.fair.count or self.door.shares.unreported_work:
+            self.tick_needed.set()
 
     def on_client_disconnect(self, ref: str) -> bool:
+        """Drops a waiting request; False if it does not wait."""
         if not self.door.left(ref):
             return False
         self._forget(ref)
         return True
 
-    def on_answer(self, ref: str, need: tuple[float, float] | None) -> None:
-        if ref in self.alone:
-            self.door.answered(ref, need[0] if need is not None else None, self.alone.pop(ref), clock())
+    def on_answer(self, ref: str, usage: tuple[float, float] | None) -> None:
+        """An engine answered an admitted request; usage: its work (s) and memory (MB), where reported."""
+        if ref in self.idle_engine_s:
+            self.door.answered(
+                ref, usage[0] if usage is not None else None, self.idle_engine_s.pop(ref), clock()
+            )
 
     def on_final_answer(self, ref: str, shed: bool) -> None:
-        if ref in self.alone and ref not in self.held:
-            del self.alone[ref]
+        """An admitted request is settled; shed: without having been answered for want of capacity."""
+        if ref in self.idle_engine_s and ref not in self.held_requests:
+            del self.idle_engine_s[ref]
             self.door.over(ref, shed, clock())
 
     def engines_changed(self) -> None:
+        """The list of engines changed."""
         self.door.resize(self._cores(), clock())
 
     def heard(self, peer: int, data: bytes) -> None:
+        """Takes a peer's summary."""
         self.door.heard(peer, data, clock())
 
     def stop(self) -> None:
+        """Sheds all that waits: the router stops."""
         self.door.stop(clock())
 
-    # What the door asks.
+    # Called by admission control.
 
     def let_in(self, ref: str) -> None:
-        self.desk.admit(ref, *self.held.pop(ref))
+        """Hands an admitted request on to the scheduler."""
+        self.dispatcher.admit(ref, *self.held_requests.pop(ref))
 
-    def turn_away(self, ref: str, after: float) -> None:
-        held = self.held.pop(ref)
-        self.alone.pop(ref, None)
-        self.desk.admit(ref, *held, wait=after)
+    def turn_away(self, ref: str, retry_after_s: float) -> None:
+        """Hands a shed request on to the scheduler, which rejects it."""
+        held_request = self.held_requests.pop(ref)
+        self.idle_engine_s.pop(ref, None)
+        self.dispatcher.admit(ref, *held_request, wait=retry_after_s)
 
     def tell_peers(self, data: bytes) -> None:
-        self.tell(data)
+        """Sends a summary to all peers."""
+        self.send_to_peers(data)
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
-        after = None if math.isinf(seconds) else round(seconds, 3)
-        LOG.info("door", ref=ref, member=member, why=why.value, seconds=after)
+    def trace(self, ref: str, tenant_or_network: str, reason: AdmissionReason, duration_s: float) -> None:
+        """Logs a decision."""
+        rounded_s = None if math.isinf(duration_s) else round(duration_s, 3)
+        LOG.info("door", ref=ref, member=tenant_or_network, why=reason.value, seconds=rounded_s)
 
-    def broke(self, ref: str, member: str, cause: str) -> None:
-        LOG.warning("promise broken", member=member, cause=cause)
+    def broke(self, ref: str, tenant_or_network: str, cause: str) -> None:
+        """Logs a broken retry promise."""
+        LOG.warning("promise broken", member=tenant_or_network, cause=cause)
 
     def _forget(self, ref: str) -> None:
-        self.held.pop(ref, None)
-        self.alone.pop(ref, None)
+        self.held_requests.pop(ref, None)
+        self.idle_engine_s.pop(ref, None)
 
     def _run(self) -> None:
-        """Has the desk look at the door while something waits there."""
+        """Posts ticks to the dispatcher while requests wait."""
         while True:
-            self.woken.wait()
-            gevent.sleep(TICK)
-            self.woken.clear()
-            self.desk.post(self._tick)
+            self.tick_needed.wait()
+            gevent.sleep(TICK_INTERVAL_S)
+            self.tick_needed.clear()
+            self.dispatcher.post(self._tick)
 
-    def _bound(self) -> None:
-        """What budgets let out there binds at the door, where turns are fair."""
-        if self.gateway.shared_budgets is not None:
-            self.door.window.bound = self.gateway.shared_budgets.max_in_flight()
+    def _apply_budget_limit(self) -> None:
+        """Makes the shared budgets' limit bind at admission, where the order of requests is fair."""
+        if self.scheduler.shared_budgets is not None:
+            self.door.concurrency_limit.budget_limit = self.scheduler.shared_budgets.max_in_flight()
 
     def _tick(self) -> None:
-        self._bound()
+        self._apply_budget_limit()
         if self.door.tick(clock()) is not None:
-            self.woken.set()
+            self.tick_needed.set()
--- a/marbleworks/fair_queue/start_time_fair_queue.py
+++ b/marbleworks/fair_queue/start_time_fair_queue.py
@@ -1,10 +1,10 @@
-"""Whose turn it is: start-time fair queueing by work, members first, a member's connections among themselves.
+"""Start-time fair queueing by work: first among flows, then among the sub-queues of a flow.
 
-It does no I/O and reads no clock. It owns what waits, and must never look at who a member is: a flow has a
-key and a weight. Work is seconds on one thread.
+It does no I/O and reads no clock. It owns what waits, and must never look at which tenant a request belongs
+to: a flow has a key and a weight. Work is seconds on one thread.
 
 For two flows that stay backlogged, the work given to each over its weight differs by at most the largest
-command of either over its weight (the bound of start-time fair queueing), apart from what `correct` has still
+request of either over its weight (the bound of start-time fair queueing), apart from what `correct` has still
 to make up for.
 """
 
@@ -17,240 +17,304 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-MOST_DEBT = 30.0  # seconds of work over weight that a correction or what peers tell may add to a flow
-LEAST_WORK = 1e-4  # seconds; a command that says it costs nothing still takes a turn
+MAX_CHARGE_S = 30.0  # work over weight; the most that one correction or one peer's report charges
+MIN_WORK_S = 1e-4  # charged at least, so that a request estimated to cost nothing still takes a turn
 
 
 @dataclass(eq=False, slots=True)
 class Ticket:
-    """One command that waits."""
+    """One request that waits.
+
+    Attributes:
+        ref: Reference of the request.
+        flow: Key of its flow.
+        order_key: Names its sub-queue; requests with the same key keep their order.
+        work: Estimated seconds on one thread.
+        size_bytes: Memory that it takes while it waits.
+        admit_by: When it has to be admitted at the latest, in seconds on a monotonic clock.
+        threads: Threads that it runs on.
+    """
 
     ref: str
     flow: int
-    line: object  # its connection
+    order_key: object
     work: float
-    size: int  # bytes that it holds
-    until: float  # when it must have gone in, or gone
+    size_bytes: int
+    admit_by: float
     threads: int = 1
 
 
 @dataclass(eq=False, slots=True)
-class Child:
-    """Whoever takes turns. finish: the virtual time up to which it has had its share."""
+class Schedulable:
+    """A flow or a sub-queue, as `StartTagOrder` sees it.
+
+    Attributes:
+        weight: Share relative to the others.
+        start_tag: Virtual time from which its next turn is due.
+        finish_tag: Virtual time up to which it has had its share.
+        is_backlogged: Whether it has requests that wait for a turn.
+        entry: Number of its valid heap entry; those with another number are stale.
+    """
 
     weight: float
-    start: float = 0.0
-    finish: float = 0.0
-    waits: bool = False
+    start_tag: float = 0.0
+    finish_tag: float = 0.0
+    is_backlogged: bool = False
     entry: int = 0
 
 
-C = TypeVar("C", bound=Child)
+S = TypeVar("S", bound=Schedulable)
 
 
-class Turns(Generic[C]):
-    """Who among those that wait is next: the one whose share began to be due first."""
+class StartTagOrder(Generic[S]):
+    """Orders backlogged flows or sub-queues by start tag; the smallest is served first."""
 
     def __init__(self) -> None:
-        self.now, self.entries = 0.0, 0
-        self.heap: list[tuple[float, int, C]] = []
-
-    def enter(self, child: C) -> None:
-        """It has something to wait for, from now: idle time gives no credit."""
-        child.waits, child.start = True, max(self.now, child.finish)
-        self._push(child)
-
-    def leave(self, child: C) -> None:
-        child.waits = False
-
-    def _push(self, child: C) -> None:
-        self.entries += 1
-        child.entry = self.entries
-        heapq.heappush(self.heap, (child.start, child.entry, child))
-
-    def first(self) -> C | None:
-        while self.heap and (not self.heap[0][2].waits or self.heap[0][1] != self.heap[0][2].entry):
+        self.virtual_time, self.entry_count = 0.0, 0
+        self.heap: list[tuple[float, int, S]] = []
+
+    def activate(self, item: S) -> None:
+        """An idle item became backlogged; it gets no credit for the time when it was idle."""
+        item.is_backlogged, item.start_tag = True, max(self.virtual_time, item.finish_tag)
+        self._push(item)
+
+    def deactivate(self, item: S) -> None:
+        """The item has nothing left to wait for."""
+        item.is_backlogged = False
+
+    def _push(self, item: S) -> None:
+        self.entry_count += 1
+        item.entry = self.entry_count
+        heapq.heappush(self.heap, (item.start_tag, item.entry, item))
+
+    def first(self) -> S | None:
+        """Returns the item that is served next, None if none is backlogged."""
+        while self.heap and (not self.heap[0][2].is_backlogged or self.heap[0][1] != self.heap[0][2].entry):
             heapq.heappop(self.heap)
         return self.heap[0][2] if self.heap else None
 
-    def served(self, child: C, work: float, more: bool) -> None:
-        """The first one was given so much; more: it waits for its next turn."""
-        self.now = max(self.now, child.start)
-        child.finish = child.start + max(work, LEAST_WORK) / child.weight
-        child.start, child.waits = child.finish, more
-        if more:
-            self._push(child)
-
-    def charge(self, child: C, work: float) -> None:
-        """So much more (or less) than was thought, bounded."""
-        change = max(min(work / child.weight, MOST_DEBT), -MOST_DEBT)
-        child.finish = max(child.finish + change, 0.0)
-        if child.waits:
-            child.start = max(self.now, child.start + change)
-            self._push(child)
+    def served(self, item: S, work: float, is_backlogged: bool) -> None:
+        """The first item was served.
+
+        Args:
+            item: The item that `first` returns.
+            work: Work that it was given.
+            is_backlogged: Whether it has more to wait for.
+        """
+        self.virtual_time = max(self.virtual_time, item.start_tag)
+        item.finish_tag = item.start_tag + max(work, MIN_WORK_S) / item.weight
+        item.start_tag, item.is_backlogged = item.finish_tag, is_backlogged
+        if is_backlogged:
+            self._push(item)
+
+    def charge(self, item: S, work: float) -> None:
+        """Charges an item for additional work, or credits it if negative, within `MAX_CHARGE_S`."""
+        change = max(min(work / item.weight, MAX_CHARGE_S), -MAX_CHARGE_S)
+        item.finish_tag = max(item.finish_tag + change, 0.0)
+        if item.is_backlogged:
+            item.start_tag = max(self.virtual_time, item.start_tag + change)
+            self._push(item)
 
 
 @dataclass(eq=False, slots=True)
-class Line(Child):
-    """One connection of a member, its commands in their order."""
+class SubQueue(Schedulable):
+    """The requests of a flow that share an order key, first in, first out."""
 
     tickets: deque[Ticket] = field(default_factory=deque)
 
 
 @dataclass(eq=False, slots=True)
-class Flow(Child):
-    """One member, or those that share its queue."""
+class Flow(Schedulable):
+    """The requests of one tenant, or of those that share its queue.
+
+    Attributes:
+        key: Number of the queue.
+        order: The order in which its sub-queues are served.
+        sub_queues: By order key.
+        work: Work that waits.
+        count: Requests that wait.
+        peer_rate: Work a second that other routers give the flow, as of `peer_rate_at`.
+        peer_rate_at: Seconds on a monotonic clock.
+    """
 
     key: int = 0
-    turns: Turns[Line] = field(default_factory=Turns)
-    lines: dict[object, Line] = field(default_factory=dict)
-    work: float = 0.0  # that waits
+    order: StartTagOrder[SubQueue] = field(default_factory=StartTagOrder)
+    sub_queues: dict[object, SubQueue] = field(default_factory=dict)
+    work: float = 0.0
     count: int = 0
-    elsewhere: float = 0.0  # work a second that other routers give it, as lately heard, and ...
-    heard: float = -math.inf  # ... when
+    peer_rate: float = 0.0
+    peer_rate_at: float = -math.inf
 
-    def pace_elsewhere(self, now: float) -> float:
-        return self.elsewhere * math.exp(self.heard - now) if self.elsewhere else 0.0
+    def current_peer_rate(self, now: float) -> float:
+        """Returns the work a second that other routers give the flow; it decays without new reports."""
+        return self.peer_rate * math.exp(self.peer_rate_at - now) if self.peer_rate else 0.0
 
 
 class StartTimeFairQueue:
+    """The requests that wait, in the order in which they are admitted.
+
+    Attributes:
+        order: The order in which flows are served.
+        flows: By key.
+        priority_tickets: Requests that go ahead of all flows, since they claimed a retry promise.
+        count: Requests that wait.
+        size: Bytes of memory that they take.
+        work: Work that waits.
+        weight: Sum of the weights of the backlogged flows.
+    """
+
     def __init__(self) -> None:
-        self.turns: Turns[Flow] = Turns()
+        self.order: StartTagOrder[Flow] = StartTagOrder()
         self.flows: dict[int, Flow] = {}
-        self.ahead: deque[Ticket] = deque()  # before all turns: what was promised a time
-        self.count, self.size, self.work, self.weight = 0, 0, 0.0, 0.0  # of all that waits; weight: of flows
+        self.priority_tickets: deque[Ticket] = deque()
+        self.count, self.size, self.work, self.weight = 0, 0, 0.0, 0.0
 
     def flow(self, key: int, weight: float) -> Flow:
+        """Returns the flow of a key, which is made if unknown; its weight changes only while it is idle."""
         if key not in self.flows:
             self.flows[key] = Flow(weight, key=key)
         flow = self.flows[key]
-        if not flow.waits:
+        if not flow.is_backlogged:
             flow.weight = weight
         return flow
 
-    def push(self, ticket: Ticket, weight: float, owed: float) -> None:
-        """owed: work of the flow that is past the door, by which it begins behind who has none there."""
+    def push(self, ticket: Ticket, weight: float, admitted_work: float) -> None:
+        """Adds a request to its flow.
+
+        Args:
+            ticket: The request.
+            weight: Weight of its flow.
+            admitted_work: Work of the flow that is admitted and not ended. A flow that becomes backlogged
+                starts behind those that have none.
+        """
         flow = self.flow(ticket.flow, weight)
-        line = flow.lines.setdefault(ticket.line, Line(1.0))
-        line.tickets.append(ticket)
-        if not line.waits:
-            flow.turns.enter(line)
+        sub_queue = flow.sub_queues.setdefault(ticket.order_key, SubQueue(1.0))
+        sub_queue.tickets.append(ticket)
+        if not sub_queue.is_backlogged:
+            flow.order.activate(sub_queue)
         flow.work, flow.count = flow.work + ticket.work, flow.count + 1
-        self._sum(ticket, 1)
-        if not flow.waits:
-            if not self.turns.first():  # nobody waited: shares begin anew from what each has past the door
-                flow.finish = self.turns.now
-            flow.finish = max(flow.finish, self.turns.now + owed / flow.weight)
-            self.turns.enter(flow)
+        self._add_to_totals(ticket, 1)
+        if not flow.is_backlogged:
+            if not self.order.first():  # no flow is backlogged: only admitted work counts from here on
+                flow.finish_tag = self.order.virtual_time
+            flow.finish_tag = max(flow.finish_tag, self.order.virtual_time + admitted_work / flow.weight)
+            self.order.activate(flow)
             self.weight += flow.weight
 
     def has_credit(self, key: int) -> bool:
-        """Whether a flow that waits for nothing has had no more than its share, so that it would be next."""
+        """Returns whether an idle flow has had no more than its share, so that it would be served next."""
         flow = self.flows.get(key)
-        return flow is None or (not flow.count and flow.finish <= self.turns.now)
+        return flow is None or (not flow.count and flow.finish_tag <= self.order.virtual_time)
 
-    def passed(self, key: int, weight: float, work: float) -> None:
-        """It did not wait, while others do: that is its share for now."""
+    def charge_admitted(self, key: int, weight: float, work: float) -> None:
+        """Charges a flow for a request that was admitted without waiting while others wait."""
         flow = self.flow(key, weight)
-        flow.finish = max(flow.finish, self.turns.now) + max(work, LEAST_WORK) / flow.weight
+        flow.finish_tag = max(flow.finish_tag, self.order.virtual_time) + max(work, MIN_WORK_S) / flow.weight
 
-    def push_ahead(self, ticket: Ticket) -> None:
-        """Before all turns; whoever does so sees to it that they are few, and charges their flows."""
-        self.ahead.append(ticket)
-        self._sum(ticket, 1)
+    def push_priority(self, ticket: Ticket) -> None:
+        """Adds a request ahead of all flows; the caller keeps these few and charges their flows."""
+        self.priority_tickets.append(ticket)
+        self._add_to_totals(ticket, 1)
 
-    def _sum(self, ticket: Ticket, sign: int) -> None:
-        self.count, self.size = self.count + sign, self.size + sign * ticket.size
+    def _add_to_totals(self, ticket: Ticket, sign: int) -> None:
+        self.count, self.size = self.count + sign, self.size + sign * ticket.size_bytes
         self.work = self.work + sign * ticket.work if self.count else 0.0
 
     def first(self) -> Ticket | None:
-        """Who is next."""
-        if self.ahead:
-            return self.ahead[0]
-        flow = self.turns.first()
-        line = flow.turns.first() if flow is not None else None
-        return line.tickets[0] if line is not None else None
+        """Returns the next request, None if none waits."""
+        if self.priority_tickets:
+            return self.priority_tickets[0]
+        flow = self.order.first()
+        sub_queue = flow.order.first() if flow is not None else None
+        return sub_queue.tickets[0] if sub_queue is not None else None
 
     def pop(self) -> Ticket | None:
-        """Who is next, taken out."""
-        if self.ahead:
-            ticket = self.ahead.popleft()
-            self._sum(ticket, -1)
+        """Removes the next request and charges its flow; None if none waits."""
+        if self.priority_tickets:
+            ticket = self.priority_tickets.popleft()
+            self._add_to_totals(ticket, -1)
             return ticket
-        flow = self.turns.first()
-        line = flow.turns.first() if flow is not None else None
-        if flow is None or line is None:
+        flow = self.order.first()
+        sub_queue = flow.order.first() if flow is not None else None
+        if flow is None or sub_queue is None:
             return None
-        ticket = line.tickets.popleft()
-        flow.turns.served(line, ticket.work, bool(line.tickets))
-        self._less(flow, line, ticket)
-        self.turns.served(flow, ticket.work, flow.count > 0)
+        ticket = sub_queue.tickets.popleft()
+        flow.order.served(sub_queue, ticket.work, bool(sub_queue.tickets))
+        self._subtract(flow, sub_queue, ticket)
+        self.order.served(flow, ticket.work, flow.count > 0)
         if not flow.count:
             self.weight -= flow.weight
-        self._tidy()
+        self._prune_flows()
         return ticket
 
     def remove(self, ticket: Ticket) -> None:
-        """It leaves without its turn, which its flow keeps."""
-        if ticket in self.ahead:
-            self.ahead.remove(ticket)
-            self._sum(ticket, -1)
+        """Removes a request that is not served; its flow is not charged."""
+        if ticket in self.priority_tickets:
+            self.priority_tickets.remove(ticket)
+            self._add_to_totals(ticket, -1)
             return
         flow = self.flows[ticket.flow]
-        line = flow.lines[ticket.line]
-        line.tickets.remove(ticket)
-        if not line.tickets:
-            flow.turns.leave(line)
-        self._less(flow, line, ticket)
+        sub_queue = flow.sub_queues[ticket.order_key]
+        sub_queue.tickets.remove(ticket)
+        if not sub_queue.tickets:
+            flow.order.deactivate(sub_queue)
+        self._subtract(flow, sub_queue, ticket)
         if not flow.count:
-            self.turns.leave(flow)
+            self.order.deactivate(flow)
             self.weight -= flow.weight
-        self._tidy()
+        self._prune_flows()
 
-    def _less(self, flow: Flow, line: Line, ticket: Ticket) -> None:
+    def _subtract(self, flow: Flow, sub_queue: SubQueue, ticket: Ticket) -> None:
         flow.work, flow.count = flow.work - ticket.work, flow.count - 1
-        self._sum(ticket, -1)
-        if not line.tickets:  # no longer than it waits: connections come and go
-            del flow.lines[ticket.line]
+        self._add_to_totals(ticket, -1)
+        if not sub_queue.tickets:  # an empty one is not kept, since connections come and go
+            del flow.sub_queues[ticket.order_key]
         if not flow.count:
             flow.work = 0.0
 
-    def _tidy(self) -> None:
-        """A flow that waits for nothing is kept while it has had more than its share, and no longer."""
+    def _prune_flows(self) -> None:
+        """Forgets idle flows, except those that have had more than their share."""
         if not self.count:
             self.weight = 0.0
-        if len(self.flows) > 64 and self.turns.entries % 64 == 0:
-            for key in [k for k, f in self.flows.items() if not f.count and f.finish <= self.turns.now]:
+        if len(self.flows) > 64 and self.order.entry_count % 64 == 0:
+            for key in [
+                k for k, f in self.flows.items() if not f.count and f.finish_tag <= self.order.virtual_time
+            ]:
                 del self.flows[key]
 
     def correct(self, key: int, work: float) -> None:
-        """A command of the flow took so much more than it was thought to."""
+        """Charges a flow for the work that a request took beyond its estimate; negative if it took less."""
         flow = self.flows.get(key)
         if flow is not None:
-            self.turns.charge(flow, work)
+            self.order.charge(flow, work)
 
-    def given_elsewhere(self, key: int, work: float, now: float) -> None:
-        """Other routers gave the flow so much."""
+    def charge_peer_work(self, key: int, work: float, now: float) -> None:
+        """Charges a flow for work that a peer admitted."""
         flow = self.flows.get(key)
         if flow is not None:
-            self.turns.charge(flow, work)
-            flow.elsewhere, flow.heard = flow.pace_elsewhere(now) + work, now  # over about a second
+            self.order.charge(flow, work)
+            # The rate is a sum with a decay time of 1 s, so that it is about the work of the last second.
+            flow.peer_rate, flow.peer_rate_at = flow.current_peer_rate(now) + work, now
 
     def debt(self, flow: Flow) -> float:
-        """Work that others of its weight are given before it is its turn."""
-        return max((flow.start if flow.waits else flow.finish) - self.turns.now, 0.0) * flow.weight
+        """Returns the work that flows of its weight are given before its turn."""
+        return (
+            max((flow.start_tag if flow.is_backlogged else flow.finish_tag) - self.order.virtual_time, 0.0)
+            * flow.weight
+        )
 
     def heaviest(self) -> Flow | None:
-        """Whose waiting work is most for its weight."""
-        waiting = [flow for flow in self.flows.values() if flow.count]
-        return max(waiting, key=lambda flow: flow.work / flow.weight) if waiting else None
+        """Returns the flow with the most waiting work relative to its weight, None if none waits."""
+        backlogged = [flow for flow in self.flows.values() if flow.count]
+        return max(backlogged, key=lambda flow: flow.work / flow.weight) if backlogged else None
 
     def last_of(self, flow: Flow) -> Ticket:
-        """What came last of the flow's longest line."""
-        return max(flow.lines.values(), key=lambda line: len(line.tickets)).tickets[-1]
+        """Returns the latest request of the flow's longest sub-queue."""
+        return max(flow.sub_queues.values(), key=lambda sub_queue: len(sub_queue.tickets)).tickets[-1]
 
     def tickets(self) -> Iterator[Ticket]:
-        yield from self.ahead
+        """Yields all requests that wait."""
+        yield from self.priority_tickets
         for flow in self.flows.values():
-            for line in flow.lines.values():
-                yield from line.tickets
+            for sub_queue in flow.sub_queues.values():
+                yield from sub_queue.tickets
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -1,4 +1,4 @@
-"""The door between a front and the decisions, on sockets: queues, cancels, timeouts, stops, faults."""
+"""Tests of admission control in a router, on sockets: queues, cancels, timeouts, stops and faults."""
 
 import json
 import time
@@ -26,210 +26,234 @@
 from marbleworks.subsystems.registry import parse_sections
 from tests.support.stand_ins import SETTINGS
 
-KINDS = {**SETTINGS["specifics"], "cores_by_kind": [2]}
-SMALL = Settings(
-    SETTINGS | {"specifics": KINDS, "orgs": [{"name": n, "quota_per_s": 0} for n in ("acme", "big")]}
+SPECIFICS = {**SETTINGS["specifics"], "cores_by_kind": [2]}
+SMALL_DEPLOYMENT = Settings(
+    SETTINGS | {"specifics": SPECIFICS, "orgs": [{"name": n, "quota_per_s": 0} for n in ("acme", "big")]}
 )
 
 
 @pytest.fixture(autouse=True)
-def bounded() -> Iterator[None]:
+def time_limit() -> Iterator[None]:
     with gevent.Timeout(30):
         yield
 
 
 class Router:
-    """Two cores behind a door; an engine that takes so long for each command."""
+    """A router with admission control and one engine of two cores.
 
-    def __init__(self, seconds: float = 0.1, terms: str = "", deployment: Settings = SMALL) -> None:
+    Args:
+        seconds: What the engine takes for each request.
+        section_text: Settings of the section `door`, in the syntax of the operator's file.
+        deployment: The deployment's settings.
+    """
+
+    def __init__(
+        self, seconds: float = 0.1, section_text: str = "", deployment: Settings = SMALL_DEPLOYMENT
+    ) -> None:
         def reply(call: str, fields: dict[str, str], body: bytes) -> bytes:
             if call.startswith("POST"):
                 gevent.sleep(seconds)
             return answer(200, b"a\tb\tc\n", X_Sheets=1, X_Toil=1000 * seconds, X_Room=8)
 
         self.engine = SqlEngine(reply)
-        self.desk = Dispatcher(
+        self.dispatcher = Dispatcher(
             deployment, 7, engine_client_factory(deployment, BoundedSemaphore(200)), lambda data: None
         )
-        self.desk.admission = self.porter = FairQueueService(
-            parse_sections(f"(door {terms})")["door"], self.desk, deployment
+        self.dispatcher.admission = self.admission = FairQueueService(
+            parse_sections(f"(door {section_text})")["door"], self.dispatcher, deployment
         )
-        listing = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, 0.0), self.engine.address)]
-        self.desk.post(self.desk.update_engines, listing, True)
-        self.listener = ClientListener((HOST, 0), self.desk, deployment, BoundedSemaphore(200))
+        listings = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, 0.0), self.engine.address)]
+        self.dispatcher.post(self.dispatcher.update_engines, listings, True)
+        self.listener = ClientListener((HOST, 0), self.dispatcher, deployment, BoundedSemaphore(200))
         gevent.sleep(0.05)
 
     def client(self) -> RpcClient:
         return RpcClient(self.listener.sock.getsockname())
 
-    def at_rest(self) -> bool:
-        door = self.porter.door
-        empty = not (door.waiting or door.inside or door.owed or door.counts or self.porter.held)
-        return empty and not (self.porter.alone or self.desk.open_requests) and door.window.out == 0
+    def is_idle(self) -> bool:
+        controller = self.admission.door
+        is_empty = not (
+            controller.waiting
+            or controller.inside
+            or controller.admitted_work
+            or controller.waiting_counts
+            or self.admission.held_requests
+        )
+        return (
+            is_empty
+            and not (self.admission.idle_engine_s or self.dispatcher.open_requests)
+            and controller.concurrency_limit.in_flight == 0
+        )
 
 
-def until(true: Any, wait: float = 5.0) -> None:
-    with gevent.Timeout(wait):
-        while not true():
+def wait_until(condition: Any, timeout_s: float = 5.0) -> None:
+    with gevent.Timeout(timeout_s):
+        while not condition():
             gevent.sleep(0.005)
 
 
-def ask(client: RpcClient, n: int, profile: str = "look", **fields: str) -> int:
+def send_request(client: RpcClient, n: int, profile: str = "look", **fields: str) -> int:
     return client.ask(profile, f"select {n} from t", ref=f"{id(client) & 0xFFFFFFFF:08x}{n:08x}", **fields)
 
 
-def test_alone_a_command_goes_straight_through_and_leaves_nothing_behind() -> None:
+def test_a_request_without_contention_is_admitted_at_once_and_leaves_no_state() -> None:
     router = Router(0.0)
     client = router.client()
     for n in range(20):
-        ask(client, n)
+        send_request(client, n)
         assert client.hear()[3]
-    until(router.at_rest)
-    assert router.porter.door.most_size == 0  # nothing ever waited
+    wait_until(router.is_idle)
+    assert router.admission.door.peak_waiting_bytes == 0  # nothing ever waited
 
 
-def test_a_flood_waits_or_is_turned_away_with_a_time_and_a_quiet_member_is_served() -> None:
+def test_a_flood_waits_or_is_shed_with_a_retry_after_and_a_quiet_tenant_is_served() -> None:
     router = Router(0.1)
-    floods, quiet = [router.client() for _ in range(6)], router.client()
+    flooding, quiet = [router.client() for _ in range(6)], router.client()
     for n in range(30):
-        for client in floods:
-            ask(client, n, tenant="big", cost="100")
+        for client in flooding:
+            send_request(client, n, tenant="big", cost="100")
     gevent.sleep(0.2)
     longest = 0.0
     for n in range(8):
-        began = time.monotonic()
-        ask(quiet, n, tenant="acme", cost="100")
+        started_at = time.monotonic()
+        send_request(quiet, n, tenant="acme", cost="100")
         assert quiet.hear()[3]
-        longest = max(longest, time.monotonic() - began)
+        longest = max(longest, time.monotonic() - started_at)
     assert longest < 0.6
-    said = [client.hear() for client in floods for _ in range(30)]
-    shed = [err for _, _, err, _ in said if err is not None]
+    answers = [client.hear() for client in flooding for _ in range(30)]
+    shed = [err for _, _, err, _ in answers if err is not None]
     assert shed and all(err[0] == "Rejected" and 0 < int(err[1]["after"]) <= 2000 for err in shed)
-    assert sum(err is None for _, _, err, _ in said) + len(shed) == 180
-    until(router.at_rest)
+    assert sum(err is None for _, _, err, _ in answers) + len(shed) == 180
+    wait_until(router.is_idle)
 
 
-def test_one_who_comes_back_when_told_is_let_in_ahead_of_newcomers() -> None:
+def test_a_retry_at_its_promised_time_is_admitted_ahead_of_new_requests() -> None:
     router = Router(0.1)
     client, others = router.client(), [router.client() for _ in range(2)]
     for n in range(14):
         for other in others:
-            ask(other, n, tenant="big", cost="100")
-    n, after = 100, 2.0
-    while after >= 2.0:  # as the queues empty, a time comes within what clients heed
+            send_request(other, n, tenant="big", cost="100")
+    n, retry_after_s = 100, 2.0
+    # Until the queues are short enough, no retry is promised within the longest Retry-After.
+    while retry_after_s >= 2.0:
         n += 1
         gevent.sleep(0.05)
-        ask(client, n, tenant="big", cost="100", wait="400")  # it can not wait for its turn
+        send_request(client, n, tenant="big", cost="100", wait="400")  # too short to wait for its turn
         err = client.hear()[2]
-        assert err is not None and err[0] == "Rejected", "let in before any time was promised"
-        after = int(err[1]["after"]) / 1000
-    gevent.sleep(after)
+        assert err is not None and err[0] == "Rejected", "admitted before any retry was promised"
+        retry_after_s = int(err[1]["after"]) / 1000
+    gevent.sleep(retry_after_s)
     client.ask("look", f"select {n} from t", ref="f" * 16, tenant="big", cost="100", wait="3000")
-    assert client.hear()[3] and router.porter.door.bookings.kept == 1
-    until(router.at_rest, 8.0)
+    assert client.hear()[3] and router.admission.door.promises.kept_count == 1
+    wait_until(router.is_idle, 8.0)
 
 
-def test_cancels_hang_ups_and_timeouts_at_the_door_free_the_place_at_once() -> None:
+def test_cancels_disconnects_and_timeouts_of_waiting_requests_free_the_place_at_once() -> None:
     router = Router(0.5)
-    busy, client, gone = router.client(), router.client(), router.client()
+    busy, client, leaving = router.client(), router.client(), router.client()
     for n in range(8):
-        ask(busy, n, tenant="big", cost="100", wait="4000")
-    calls = [ask(client, n, cost="100", wait="4000") for n in range(3)]
-    short = client.ask("look", "select 9 from t", ref="e" * 16, cost="1", wait="250")
+        send_request(busy, n, tenant="big", cost="100", wait="4000")
+    call_ids = [send_request(client, n, cost="100", wait="4000") for n in range(3)]
+    short_id = client.ask("look", "select 9 from t", ref="e" * 16, cost="1", wait="250")
     for n in range(3):
-        ask(gone, n, cost="100", wait="4000")
-    until(lambda: len(router.porter.door.waiting) >= 8)
-    began = clock()
-    client.send(2, "cancel", [calls[1]])
-    gone.sock.close()
-    said = client.hear()
-    assert said[1] == short and said[2][0] == "Rejected" and clock() - began < 0.4
-    until(lambda: len(router.porter.held) <= 7, 0.5)
-    assert {client.hear()[1] for _ in range(2)} == {calls[0], calls[2]}
-    until(router.at_rest, 8.0)
-
-
-def test_what_waits_when_the_router_stops_has_its_answer_by_then() -> None:
+        send_request(leaving, n, cost="100", wait="4000")
+    wait_until(lambda: len(router.admission.door.waiting) >= 8)
+    started_at = clock()
+    client.send(2, "cancel", [call_ids[1]])
+    leaving.sock.close()
+    answer_message = client.hear()
+    assert answer_message[1] == short_id and answer_message[2][0] == "Rejected" and clock() - started_at < 0.4
+    wait_until(lambda: len(router.admission.held_requests) <= 7, 0.5)
+    assert {client.hear()[1] for _ in range(2)} == {call_ids[0], call_ids[2]}
+    wait_until(router.is_idle, 8.0)
+
+
+def test_requests_that_wait_when_the_router_stops_are_answered_before_its_end() -> None:
     router = Router(1.0)
     clients = [router.client() for _ in range(3)]
     for client in clients:
         for n in range(6):
-            ask(client, n, tenant="big", cost="100", wait="4000")
+            send_request(client, n, tenant="big", cost="100", wait="4000")
     gevent.sleep(0.1)
-    router.desk.post(router.desk.stop, clock() + 0.5)
-    began = time.monotonic()
-    said = [client.hear() for client in clients for _ in range(6)]
-    assert len(said) == 18 and time.monotonic() - began < 0.8
-    until(lambda: not router.porter.held)
+    router.dispatcher.post(router.dispatcher.stop, clock() + 0.5)
+    started_at = time.monotonic()
+    answers = [client.hear() for client in clients for _ in range(6)]
+    assert len(answers) == 18 and time.monotonic() - started_at < 0.8
+    wait_until(lambda: not router.admission.held_requests)
 
 
-def test_a_mistake_at_the_door_costs_that_command_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_admission_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
     router = Router(0.0)
-    client, arrive = router.client(), router.porter.door.arrive
+    client, arrive = router.client(), router.admission.door.arrive
 
-    def broken(new: Any, now: float) -> None:
-        if new.work > 1.0:
+    def failing_arrive(arrival: Any, now: float) -> None:
+        if arrival.work > 1.0:
             raise RuntimeError("on purpose")
-        arrive(new, now)
+        arrive(arrival, now)
 
-    monkeypatch.setattr(router.porter.door, "arrive", broken)
-    ask(client, 1, cost="2000")
+    monkeypatch.setattr(router.admission.door, "arrive", failing_arrive)
+    send_request(client, 1, cost="2000")
     assert client.hear()[2] == ["Failed", {"why": "failed"}]
-    ask(client, 2)
+    send_request(client, 2)
     assert client.hear()[3]
 
 
-def test_an_engine_that_drains_when_a_promise_is_due_breaks_no_rule() -> None:
+def test_a_draining_engine_gets_no_request_when_a_promise_is_due() -> None:
     router = Router(0.1)
     client = router.client()
     for n in range(30):
-        ask(client, n, tenant="big", cost="100")
+        send_request(client, n, tenant="big", cost="100")
     gevent.sleep(0.15)
-    gone = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.DRAINING, 0.0), router.engine.address)]
-    router.desk.post(router.desk.update_engines, gone, True)
+    draining = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.DRAINING, 0.0), router.engine.address)]
+    router.dispatcher.post(router.dispatcher.update_engines, draining, True)
     gevent.sleep(0.05)
-    sent = len(router.engine.asked("POST"))
-    said = [client.hear() for _ in range(30)]
-    assert len(said) == 30 and len(router.engine.asked("POST")) == sent
-    until(router.at_rest)
+    sent_count = len(router.engine.asked("POST"))
+    answers = [client.hear() for _ in range(30)]
+    assert len(answers) == 30 and len(router.engine.asked("POST")) == sent_count
+    wait_until(router.is_idle)
 
 
-def test_what_peers_let_in_counts() -> None:
+def test_work_admitted_by_peers_is_charged() -> None:
     router = Router(0.05)
     client = router.client()
     for n in range(12):
-        ask(client, n, tenant="big", cost="50", wait="4000")
-        ask(client, 100 + n, tenant="acme", cost="50", wait="4000")
-    until(lambda: len(router.porter.door.waiting) > 3)
-    door, peer = router.porter.door, PeerUsage()
+        send_request(client, n, tenant="big", cost="50", wait="4000")
+        send_request(client, 100 + n, tenant="acme", cost="50", wait="4000")
+    wait_until(lambda: len(router.admission.door.waiting) > 3)
+    controller, peer = router.admission.door, PeerUsage()
     peer.add(name_hash("big"), 3.0)
-    before = {key: flow.finish for key, flow in door.fair.flows.items()}
-    router.desk.post(router.porter.heard, 1, peer.summary())
+    before = {key: flow.finish_tag for key, flow in controller.fair.flows.items()}
+    router.dispatcher.post(router.admission.heard, 1, peer.summary())
     gevent.sleep(0.05)
-    big = door.standing["big"]
-    assert door.fair.flows[big].finish > before[big]
+    flow_key = controller.standing["big"]
+    assert controller.fair.flows[flow_key].finish_tag > before[flow_key]
     for _ in range(24):
         client.hear()
-    until(router.at_rest, 8.0)
+    wait_until(router.is_idle, 8.0)
 
 
-def test_nothing_waits_so_long_at_the_door_that_the_decisions_would_give_it_up() -> None:
+def test_no_request_waits_so_long_that_the_scheduler_would_shed_it() -> None:
     router = Router(0.02)
-    door, seen = router.porter.door, list[Any]()
-    arrive = door.arrive
-    door.arrive = lambda new, now: (seen.append(new), arrive(new, now))[1]  # type: ignore[method-assign]
+    controller, arrivals = router.admission.door, list[Any]()
+    arrive = controller.arrive
+    controller.arrive = lambda arrival, now: (  # type: ignore[method-assign]
+        arrivals.append(arrival),
+        arrive(arrival, now),
+    )[1]
     client = router.client()
-    ask(client, 1, cost="20", wait="4000")
+    send_request(client, 1, cost="20", wait="4000")
     assert client.hear()[2] is None
-    profile = SMALL.request_classes[0]
-    latest = CLOSE_CALL_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
-    assert seen[0].patience <= latest and seen[0].left <= latest < 4.0
+    profile = SMALL_DEPLOYMENT.request_classes[0]
+    max_useful_wait_s = CLOSE_CALL_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
+    assert arrivals[0].max_wait_s <= max_useful_wait_s and arrivals[0].time_left_s <= max_useful_wait_s < 4.0
 
 
 def test_a_reload_changes_bounds_and_weights(monkeypatch: pytest.MonkeyPatch) -> None:
     router = Router(0.0)
-    router.porter.change({"waiting": 3, "weight": {"acme": 5.0}})
-    assert router.porter.door.bounds.count == 3 and router.porter.door.members.of("acme", "") == ("acme", 5.0)
+    router.admission.change({"waiting": 3, "weight": {"acme": 5.0}})
+    assert router.admission.door.bounds.max_waiting == 3 and router.admission.door.classifier.classify(
+        "acme", ""
+    ) == ("acme", 5.0)
 
 
 def test_decisions_are_explained_from_a_log(tmp_path: Path) -> None:
@@ -249,6 +273,6 @@
         "would have missed its latency target behind the waiting requests; retry promised after 1.5 s"
     ]
     (tmp_path / "log").write_text("\n".join(text))
-    done = CliRunner().invoke(app, ["door", "explain", str(tmp_path / "log"), "--ref", "a"])
-    assert done.exit_code == 0 and "admitted in its turn after 0.4 s" in done.output
+    cli_result = CliRunner().invoke(app, ["door", "explain", str(tmp_path / "log"), "--ref", "a"])
+    assert cli_result.exit_code == 0 and "admitted in its turn after 0.4 s" in cli_result.output
     assert CliRunner().invoke(app, ["door", "explain", str(tmp_path / "none")]).exit_code == 1
