--- a/marbleworks/spool/__init__.py
+++ b/marbleworks/spool/__init__.py
@@ -1,1 +1,1 @@
-"""Spooled results: engines freed at once, clients that read at their own pace and come back."""
+"""Stored query results: an engine is free as soon as its result is stored, and clients read pages later."""
--- a/marbleworks/spool/disk.py
+++ b/marbleworks/spool/disk.py
@@ -1,6 +1,6 @@
-"""All that the spool asks of a file system, in one place, so that a test can put another in its stead.
+"""All file system calls of the spool, in one class that a test can replace.
 
-It owns nothing but the calls. It must never retry or hide an error: OSError goes up as it came.
+It must never retry a call or hide an error: OSError reaches the caller unchanged.
 """
 
 from __future__ import annotations
@@ -11,7 +11,11 @@
 
 
 class Disk:
-    """Files of one folder, by name."""
+    """The files of one folder, by name.
+
+    Attributes:
+        folder: path of the folder.
+    """
 
     def __init__(self, folder: str) -> None:
         self.folder = folder
@@ -20,10 +24,15 @@
         return os.path.join(self.folder, name)
 
     def prepare(self) -> None:
+        """Creates the folder if it does not exist."""
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
 
     def lock(self, name: str) -> int:
-        """A descriptor that holds the folder; raises BlockingIOError where another process does."""
+        """Locks the folder until the descriptor that is returned is closed.
+
+        Raises:
+            BlockingIOError: Another process holds the lock.
+        """
         fd = os.open(self._path(name), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -33,26 +42,31 @@
         return fd
 
     def names(self) -> dict[str, int]:
-        """The files and their sizes."""
-        with os.scandir(self.folder) as found:
-            return {entry.name: entry.stat().st_size for entry in found if entry.is_file()}
+        """Returns the size in bytes of each file, by name."""
+        with os.scandir(self.folder) as entries:
+            return {entry.name: entry.stat().st_size for entry in entries if entry.is_file()}
 
     def create(self, name: str) -> int:
+        """Creates a file that must not exist yet, and returns its descriptor for writing."""
         return os.open(self._path(name), os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
 
     def write(self, fd: int, data: bytes) -> None:
+        """Writes all of the data."""
         with memoryview(data) as view:
-            at = 0
-            while at < len(view):
-                at += os.write(fd, view[at:])
+            written = 0
+            while written < len(view):
+                written += os.write(fd, view[written:])
 
     def sync(self, fd: int) -> None:
+        """Makes the file's contents durable."""
         os.fdatasync(fd)
 
     def close(self, fd: int) -> None:
+        """Closes a descriptor."""
         os.close(fd)
 
     def sync_folder(self) -> None:
+        """Makes the folder's entries durable: files created, renamed and deleted."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -60,7 +74,7 @@
             os.close(fd)
 
     def read(self, name: str, offset: int, count: int) -> bytes:
-        """So many bytes, fewer at the end of the file."""
+        """Reads `count` bytes from an offset, or fewer at the end of the file."""
         fd = os.open(self._path(name), os.O_RDONLY | os.O_CLOEXEC)
         try:
             return os.pread(fd, count, offset)
@@ -68,8 +82,10 @@
             os.close(fd)
 
     def rename(self, old: str, new: str) -> None:
+        """Renames a file, replacing one that has the new name."""
         os.rename(self._path(old), self._path(new))
 
     def unlink(self, name: str) -> None:
+        """Deletes a file; without effect if it does not exist."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path(name))
--- a/marbleworks/spool/options.py
+++ b/marbleworks/spool/options.py
@@ -1,9 +1,9 @@
-"""What the operator may say of the spool."""
+"""The operator's settings of the spool: section `spool` of the operator's file."""
 
 from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
 
-def _folder(text: str) -> str | None:
+def _check_folder(text: str) -> str | None:
     return None if text.startswith("/") and "\0" not in text else "a path that begins with '/'"
 
 
@@ -12,13 +12,16 @@
     "results kept on disk and read page by page",
     (
         Setting(
-            "folder", ValueType.TEXT, "Where the segments lie; one router at a time.", check_text=_folder
+            "folder",
+            ValueType.TEXT,
+            "Folder of the segment files; used by one router at a time.",
+            check_text=_check_folder,
         ),
-        Setting("room", ValueType.SIZE, "All that the folder may hold.", None, 4e6, 1e13, reloadable=True),
+        Setting("room", ValueType.SIZE, "Bytes that the folder may hold.", None, 4e6, 1e13, reloadable=True),
         Setting(
             "keep",
             ValueType.DURATION,
-            "A result lives so long after its last page was read.",
+            "How long a result is kept after a page of it was last read.",
             600.0,
             1.0,
             7 * 86400.0,
@@ -27,19 +30,25 @@
         Setting(
             "unread",
             ValueType.DURATION,
-            "And so long if none ever was.",
+            "How long a result is kept while no page of it has been read.",
             300.0,
             1.0,
             7 * 86400.0,
             reloadable=True,
         ),
         Setting(
-            "longest", ValueType.DURATION, "And so long in all.", 3600.0, 1.0, 30 * 86400.0, reloadable=True
+            "longest",
+            ValueType.DURATION,
+            "How long a result is kept at most.",
+            3600.0,
+            1.0,
+            30 * 86400.0,
+            reloadable=True,
         ),
         Setting(
             "largest",
             ValueType.SIZE,
-            "The largest result; one that is larger fails.",
+            "Maximum size of a result; a request with a larger result fails.",
             64e6,
             1e5,
             1e9,
@@ -48,17 +57,25 @@
         Setting(
             "expect",
             ValueType.SIZE,
-            "Room for a first result of a profile, before sizes are learned.",
+            "Room reserved for a result of a profile until enough sizes are known.",
             1e6,
             1e4,
             1e9,
             reloadable=True,
         ),
-        Setting("most", ValueType.COUNT, "Results at a time.", 20_000, 1, 200_000, reloadable=True),
+        Setting(
+            "most",
+            ValueType.COUNT,
+            "Maximum number of results at a time.",
+            20_000,
+            1,
+            200_000,
+            reloadable=True,
+        ),
         Setting(
             "share",
             ValueType.SHARE,
-            "The part of the room that one tenant may hold.",
+            "Share of the room that one tenant may use.",
             0.5,
             0.01,
             1.0,
@@ -67,29 +84,43 @@
         Setting(
             "quota",
             ValueType.SHARE,
-            "The same for one tenant by name.",
+            "Share of the room that the named tenant may use, instead of `share`.",
             None,
             0.0,
             1.0,
             reloadable=True,
             keyed_by="tenant",
         ),
-        Setting("page", ValueType.SIZE, "Rows of one page that clients are given.", 24e3, 6e3, 48e3),
+        Setting("page", ValueType.SIZE, "Bytes of rows in one page, before compression.", 24e3, 6e3, 48e3),
         Setting(
             "least-pace",
             ValueType.RATE,
-            "A client that takes a page more slowly is ended.",
+            "Minimum rate of reading a page; a slower client is disconnected.",
             4e3,
             100.0,
             1e6,
             reloadable=True,
         ),
-        Setting("in-hand", ValueType.SIZE, "Pages on their way to clients, all together.", 8e6, 1e5, 1e9),
-        Setting("segment", ValueType.SIZE, "A file of the folder is closed at this size.", 16e6, 1e5, 1e9),
+        Setting(
+            "in-hand",
+            ValueType.SIZE,
+            "Bytes of pages being sent to clients, over all clients.",
+            8e6,
+            1e5,
+            1e9,
+        ),
+        Setting(
+            "segment",
+            ValueType.SIZE,
+            "Size at which a segment file is closed and the next one begun.",
+            16e6,
+            1e5,
+            1e9,
+        ),
         Setting(
             "checkpoint",
             ValueType.DURATION,
-            "Between checkpoints of the index, at most.",
+            "Maximum time between two checkpoints of the index.",
             30.0,
             0.2,
             3600.0,
@@ -98,7 +129,7 @@
         Setting(
             "scrub",
             ValueType.DURATION,
-            "Each record is read again and checked once in this time.",
+            "Time in which every record is read and its checksum verified once.",
             86400.0,
             1.0,
             30 * 86400.0,
@@ -107,7 +138,7 @@
         Setting(
             "hand-over",
             ValueType.DURATION,
-            "How long a start waits for the router before it to leave the folder.",
+            "How long a start waits for the previous router to unlock the folder.",
             5.0,
             0.0,
             60.0,
