--- a/marbleworks/spool/maintenance.py
+++ b/marbleworks/spool/maintenance.py
@@ -1,6 +1,6 @@
-"""A spool's folder looked at and mended without a router.
+"""Lists, checks and drops the results in a spool folder without a router.
 
-It must never change a folder that a router holds, or show a row of a result.
+It must never change a folder that a router has locked, or show a row of a result.
 """
 
 from __future__ import annotations
@@ -14,46 +14,64 @@
 
 
 def listed(folder: str) -> Iterator[str]:
-    """A line for each result that stands, with the number that `drop` takes."""
+    """Yields a summary, then a line for each result with the number that `drop` takes."""
     found = SegmentStore(Disk(folder), 16e6, 1e13).open(time.time(), lock=False)
     size = sum(found.segments.values())
     yield f"{len(found.results)} results, {size} bytes in {len(found.segments)} segments"
-    for r in sorted(found.results, key=lambda r: r.made):
-        age = time.time() - r.made
-        facts = f"{r.pages} pages  {r.rows} rows  {r.size} bytes  {age:.0f} s old"
-        yield f"{r.number:016x}  {r.tenant or '-'}  {r.profile}  {facts}"
+    for result in sorted(found.results, key=lambda result: result.made):
+        age = time.time() - result.made
+        details = f"{result.pages} pages  {result.rows} rows  {result.size} bytes  {age:.0f} s old"
+        yield f"{result.number:016x}  {result.tenant or '-'}  {result.profile}  {details}"
 
 
 def checked(folder: str) -> tuple[list[str], bool]:
-    """What is wrong with a folder, read through to the last byte, and whether all that stands is whole."""
+    """Reads every record of a folder and verifies its checksums.
+
+    Returns:
+        A line for each fault and a summary, and whether the folder is free of faults.
+    """
     store = SegmentStore(Disk(folder), 16e6, 1e13)
     found = store.open(time.time(), lock=False)
-    lines = [f"{event}: {', '.join(f'{k}={v}' for k, v in facts.items())}" for event, facts in found.notes]
-    bad: dict[int, set[int]] = {}
-    records = 0
-    for number in sorted(store.names):
-        for record in store.records(number):
-            records += 1
-            if isinstance(record, Found) and record.entry is None:
-                bad.setdefault(number, set()).add(record.offset)
-    spoilt = 0
+    lines = [
+        f"{event}: {', '.join(f'{k}={v}' for k, v in details.items())}" for event, details in found.notes
+    ]
+    corrupt_offsets: dict[int, set[int]] = {}
+    record_count = 0
+    for number in sorted(store.file_names):
+        for scanned in store.scan_segment(number):
+            record_count += 1
+            if isinstance(scanned, Found) and scanned.record is None:
+                corrupt_offsets.setdefault(number, set()).add(scanned.offset)
+    corrupt_results = 0
     for result in found.results:
-        if any((spot & 0xFFFFFFFF) in bad.get(spot >> 32, ()) for spot in result.places):
-            spoilt += 1
-            lines.append(f"result {result.number:016x} of {result.profile} has a spoilt page")
-    lines.append(f"{records} records, {len(found.results)} results, {spoilt} spoilt, {len(found.lost)} lost")
-    return lines, not (found.notes or spoilt or found.lost)
+        if any(
+            (location & 0xFFFFFFFF) in corrupt_offsets.get(location >> 32, ()) for location in result.places
+        ):
+            corrupt_results += 1
+            lines.append(f"result {result.number:016x} of {result.profile} has a page with a wrong checksum")
+    lines.append(
+        f"{record_count} records, {len(found.results)} results, {corrupt_results} spoilt, "
+        f"{len(found.lost)} lost"
+    )
+    return lines, not (found.notes or corrupt_results or found.lost)
 
 
 def drop(folder: str, numbers: list[int]) -> int:
-    """Drops results by number; how many there were. Raises BlockingIOError where a router has the folder."""
+    """Drops results by number.
+
+    Returns:
+        How many of them the folder had.
+
+    Raises:
+        BlockingIOError: A router has locked the folder.
+    """
     store = SegmentStore(Disk(folder), 16e6, 1e13)
     found = store.open(time.time())
     try:
-        there = [r.number for r in found.results if r.number in numbers]
-        if there:
+        present = [result.number for result in found.results if result.number in numbers]
+        if present:
             last = store.position[0] + 1
-            store.append([Entry(Kind.DROP, number, last, b"", 0) for number in there], True)
-        return len(there)
+            store.append([Entry(Kind.DROP, number, last, b"", 0) for number in present], True)
+        return len(present)
     finally:
         store.close()
--- a/marbleworks/spool/record_codec.py
+++ b/marbleworks/spool/record_codec.py
@@ -1,8 +1,8 @@
-"""Records of a segment: bytes in, records out, and back. No I/O.
+"""Encodes and decodes the records of a segment. No I/O.
 
-A record is a head of 40 bytes and a payload. The head has a check of its own, so that a spoilt payload does
-not hide what follows. Both checks are seeded by the segment's salt, which stands in the file's name: bytes of
-another segment, or such as a client had stored, are never taken for a record.
+A record is a header of 40 bytes and a payload. The header has a checksum of its own, so that a corrupt
+payload does not hide the records after it. Both checksums are seeded with the segment's salt, which is in the
+file's name: bytes of another segment, or bytes that a client had stored, are never taken for a record.
 """
 
 from __future__ import annotations
@@ -16,142 +16,185 @@
 import zstandard
 
 MAGIC = b"mW\x01"
-HEAD = struct.Struct("<3sBQIIIQ")  # magic, kind, number, page, raw length, payload length, payload check
-CHECK = struct.Struct("<Q")
-HEAD_SIZE = HEAD.size + CHECK.size
-MOST_PAYLOAD = 1 << 20  # bytes; no record is longer
-LEVEL = 1  # of compression: 3 took 1.6 times as long for 4% less on rows of text
-WINDOW = 1 << 18  # bytes read at a time by a scan
+# Magic bytes, kind, result number, page, raw size, payload size, payload checksum.
+HEADER_STRUCT = struct.Struct("<3sBQIIIQ")
+CHECKSUM_STRUCT = struct.Struct("<Q")
+HEADER_SIZE = HEADER_STRUCT.size + CHECKSUM_STRUCT.size
+MAX_PAYLOAD_BYTES = 1 << 20  # bound on a payload, compressed and raw
+COMPRESSION_LEVEL = 1  # level 3 took 1.6 times as long for 4% less on rows of text
+SCAN_WINDOW_BYTES = 1 << 18  # bytes that a scan reads at a time
 
 
 class Kind(IntEnum):
-    """What a record says."""
+    """What a record states."""
 
-    PAGE = 1  # rows of one page of a result
-    END = 2  # a result is whole; the payload describes it
-    DROP = 3  # a result is no more; page: the last segment that may hold records of it
+    PAGE = 1  # the payload is the rows of one page of a result
+    END = 2  # the result is complete; the payload describes it
+    DROP = 3  # the result was removed; `page` is the last segment that may hold records of it
 
 
 class CorruptRecordError(Exception):
-    """Bytes that are not what was written."""
+    """The bytes read are not those that were written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A record before it has a place. frame: the payload as stored; size: of what it holds unpacked."""
+    """A record, regardless of where it is stored.
+
+    Attributes:
+        kind: what it states.
+        number: number of its result.
+        page: page of the result, from 0; the number of pages for END; a segment for DROP.
+        payload: the payload as stored, compressed.
+        size: bytes of the payload before compression.
+    """
 
     kind: Kind
     number: int
     page: int
-    frame: bytes
+    payload: bytes
     size: int
 
     def encode(self, salt: int) -> bytes:
-        check = xxhash.xxh3_64_intdigest(self.frame, salt)
-        args = MAGIC, self.kind, self.number, self.page, self.size, len(self.frame), check
-        head = HEAD.pack(*args)
-        return head + CHECK.pack(xxhash.xxh3_64_intdigest(head, salt)) + self.frame
+        """Returns the record as bytes for the segment with this salt."""
+        checksum = xxhash.xxh3_64_intdigest(self.payload, salt)
+        fields = MAGIC, self.kind, self.number, self.page, self.size, len(self.payload), checksum
+        header = HEADER_STRUCT.pack(*fields)
+        return header + CHECKSUM_STRUCT.pack(xxhash.xxh3_64_intdigest(header, salt)) + self.payload
 
     @property
     def stored(self) -> int:
-        """Bytes that it takes in a segment."""
-        return HEAD_SIZE + len(self.frame)
+        """Bytes that the record takes in a segment."""
+        return HEADER_SIZE + len(self.payload)
 
 
 def packed(kind: Kind, number: int, page: int, data: bytes) -> Entry:
-    frame = zstandard.ZstdCompressor(level=LEVEL, write_checksum=True).compress(data) if data else b""
-    return Entry(kind, number, page, frame, len(data))
+    """Returns a record whose payload is the compressed data."""
+    payload = (
+        zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_checksum=True).compress(data) if data else b""
+    )
+    return Entry(kind, number, page, payload, len(data))
+
 
+def unpacked(record: Entry) -> bytes:
+    """Returns a record's data, using no more memory than the raw size in its header.
 
-def unpacked(entry: Entry) -> bytes:
-    """What an entry holds; raises Spoilt. Takes no more memory than the head says."""
-    if not entry.frame:
+    Raises:
+        CorruptRecordError: The payload can't be decompressed or has another size than the header states.
+    """
+    if not record.payload:
         return b""
     try:
-        data = zstandard.ZstdDecompressor().decompress(entry.frame, max_output_size=entry.size)
+        data = zstandard.ZstdDecompressor().decompress(record.payload, max_output_size=record.size)
     except zstandard.ZstdError as err:
         raise CorruptRecordError(str(err)) from None
-    if len(data) != entry.size:
-        raise CorruptRecordError("not the length that the head says")
+    if len(data) != record.size:
+        raise CorruptRecordError("decompressed payload has another size than the record's header states")
     return data
 
 
 def decode(data: bytes, salt: int) -> Entry:
-    """The record that the bytes are, whole; raises Spoilt."""
-    entry, size = _head(data, 0, salt)
-    if entry is None or len(data) != size:
-        raise CorruptRecordError("no record")
-    return _checked(entry, data[HEAD_SIZE:], salt)
+    """Decodes bytes that are exactly one record.
+
+    Raises:
+        CorruptRecordError: They are not, or a checksum is wrong.
+    """
+    header, size = _parse_header(data, 0, salt)
+    if header is None or len(data) != size:
+        raise CorruptRecordError("the bytes are not one record with a valid header")
+    return _verified_record(header, data[HEADER_SIZE:], salt)
 
 
-def _head(data: bytes, at: int, salt: int) -> tuple[tuple[Kind, int, int, int, int] | None, int]:
-    if len(data) < at + HEAD_SIZE or data[at : at + len(MAGIC)] != MAGIC:
+def _parse_header(data: bytes, index: int, salt: int) -> tuple[tuple[Kind, int, int, int, int] | None, int]:
+    """Parses the header at an offset of the data.
+
+    Returns:
+        Kind, number, page, raw size and payload checksum, and the size of the whole record; None and 0 where
+        there is no valid header.
+    """
+    if len(data) < index + HEADER_SIZE or data[index : index + len(MAGIC)] != MAGIC:
         return None, 0
-    head = data[at : at + HEAD.size]
-    (check,) = CHECK.unpack_from(data, at + HEAD.size)
-    if check != xxhash.xxh3_64_intdigest(head, salt):
+    header = data[index : index + HEADER_STRUCT.size]
+    (checksum,) = CHECKSUM_STRUCT.unpack_from(data, index + HEADER_STRUCT.size)
+    if checksum != xxhash.xxh3_64_intdigest(header, salt):
         return None, 0
-    _, kind, number, page, size, length, payload = HEAD.unpack(head)
-    if kind not in Kind._value2member_map_ or length > MOST_PAYLOAD or size > MOST_PAYLOAD:
+    _, kind, number, page, raw_size, payload_size, payload_checksum = HEADER_STRUCT.unpack(header)
+    if (
+        kind not in Kind._value2member_map_
+        or payload_size > MAX_PAYLOAD_BYTES
+        or raw_size > MAX_PAYLOAD_BYTES
+    ):
         return None, 0
-    return (Kind(kind), number, page, size, payload), HEAD_SIZE + length
+    return (Kind(kind), number, page, raw_size, payload_checksum), HEADER_SIZE + payload_size
 
 
-def _checked(head: tuple[Kind, int, int, int, int], frame: bytes, salt: int) -> Entry:
-    kind, number, page, size, check = head
-    if check != xxhash.xxh3_64_intdigest(frame, salt):
-        raise CorruptRecordError("the payload is not what was written")
-    return Entry(kind, number, page, frame, size)
+def _verified_record(header: tuple[Kind, int, int, int, int], payload: bytes, salt: int) -> Entry:
+    kind, number, page, raw_size, checksum = header
+    if checksum != xxhash.xxh3_64_intdigest(payload, salt):
+        raise CorruptRecordError("wrong checksum of a record's payload")
+    return Entry(kind, number, page, payload, raw_size)
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """A record in its place; entry is None where its payload is spoilt."""
+    """A record found by a scan.
+
+    Attributes:
+        offset: where it begins in its segment.
+        length: bytes that it takes there.
+        number: number of its result.
+        record: the record; None where its payload is corrupt.
+    """
 
     offset: int
     length: int
     number: int
-    entry: Entry | None
+    record: Entry | None
 
 
 def scan(read: Callable[[int, int], bytes], size: int, salt: int, start: int = 0) -> Iterator[Found | int]:
-    """All records of a segment from an offset on; ints are counts of bytes that are no record.
+    """Yields all records of a segment from an offset on, and an int for each gap: its bytes are no record.
+
+    After a corrupt header the scan goes on at the next valid one.
 
-    read: gives so many bytes from an offset. Where a head is spoilt, the next one that is whole is looked
-    for.
+    Args:
+        read: called with an offset and a count, returns that many bytes of the segment.
+        size: bytes of the segment.
+        salt: the segment's salt.
+        start: offset of the first record.
     """
-    at, held, window = start, b"", start  # held: bytes from window on
-    while at < size:
-        if at + HEAD_SIZE > window + len(held):
-            held, window = read(at, min(WINDOW, size - at)), at
-        head, length = _head(held, at - window, salt)
-        if head is None or at + length > size:
-            skip = _next_magic(read, at + 1, size, salt)
-            yield skip - at
-            at = skip
+    offset, buffered, window_start = start, b"", start  # buffered: bytes from window_start on
+    while offset < size:
+        if offset + HEADER_SIZE > window_start + len(buffered):
+            buffered, window_start = read(offset, min(SCAN_WINDOW_BYTES, size - offset)), offset
+        header, length = _parse_header(buffered, offset - window_start, salt)
+        if header is None or offset + length > size:
+            next_offset = _find_next_header(read, offset + 1, size, salt)
+            yield next_offset - offset
+            offset = next_offset
             continue
-        if at + length > window + len(held):
-            held, window = read(at, min(max(WINDOW, length), size - at)), at
-        frame = held[at - window + HEAD_SIZE : at - window + length]
+        if offset + length > window_start + len(buffered):
+            buffered, window_start = read(offset, min(max(SCAN_WINDOW_BYTES, length), size - offset)), offset
+        payload = buffered[offset - window_start + HEADER_SIZE : offset - window_start + length]
         try:
-            yield Found(at, length, head[1], _checked(head, frame, salt))
+            yield Found(offset, length, header[1], _verified_record(header, payload, salt))
         except CorruptRecordError:
-            yield Found(at, length, head[1], None)
-        at += length
+            yield Found(offset, length, header[1], None)
+        offset += length
 
 
-def _next_magic(read: Callable[[int, int], bytes], at: int, size: int, salt: int) -> int:
-    """Where the next sound head is, or the end."""
-    while at < size:
-        held = read(at, min(WINDOW + HEAD_SIZE, size - at))
-        if not held:
+def _find_next_header(read: Callable[[int, int], bytes], offset: int, size: int, salt: int) -> int:
+    """Returns the offset of the next valid header, or the segment's size where there is none."""
+    while offset < size:
+        buffered = read(offset, min(SCAN_WINDOW_BYTES + HEADER_SIZE, size - offset))
+        if not buffered:
             return size
-        found = held.find(MAGIC)
-        while found >= 0:
-            if _head(held, found, salt)[0] is not None:
-                return at + found
-            found = held.find(MAGIC, found + 1)
-        if len(held) <= HEAD_SIZE:
+        index = buffered.find(MAGIC)
+        while index >= 0:
+            if _parse_header(buffered, index, salt)[0] is not None:
+                return offset + index
+            index = buffered.find(MAGIC, index + 1)
+        if len(buffered) <= HEADER_SIZE:
             return size
-        at += len(held) - HEAD_SIZE
+        offset += len(buffered) - HEADER_SIZE
     return size
--- a/marbleworks/spool/recovery.py
+++ b/marbleworks/spool/recovery.py
@@ -1,7 +1,7 @@
-"""The index built anew at a start, from a checkpoint and from the records behind it. No I/O, no clock.
+"""Rebuilds the index at a start, from a checkpoint and the records written after it. No I/O, no clock.
 
-It is told what was found, in the order of the segments, and says what stands. It must never let a result
-stand that lacks a page, or that was dropped.
+It is given the records in the order of the segments. It must never recover a result that lacks a page or that
+was dropped.
 """
 
 from __future__ import annotations
@@ -14,115 +14,147 @@
 import xxhash
 import zstandard
 
-from marbleworks.spool.catalog import Result, place, where
+from marbleworks.spool.catalog import Result, pack_location, unpack_location
 from marbleworks.spool.record_codec import CorruptRecordError, Entry, Found, Kind, packed, unpacked
 
-VERSION = 1
-MOST_STATE = 1 << 30  # bytes of a checkpoint, unpacked
-HEADER = b"mWc\x01"
+CHECKPOINT_VERSION = 1
+MAX_CHECKPOINT_BYTES = 1 << 30  # bound on a decompressed checkpoint
+CHECKPOINT_MAGIC = b"mWc\x01"
 
 
 @dataclass
 class State:
-    """What a checkpoint holds: the results that are whole, the pages of others, and up to where that is
-    all."""
+    """The contents of a checkpoint: the index up to a position in the segments.
 
-    segment: int  # of the place up to which nothing need be read again
+    Attributes:
+        segment: segment of the position; what comes before the position need not be read again.
+        offset: offset of the position in that segment.
+        results: the committed results.
+        loose: pages of results that are not committed yet, by result number: page, location and length.
+    """
+
+    segment: int
     offset: int
     results: list[Result] = field(default_factory=list)
-    loose: dict[int, list[tuple[int, int, int]]] = field(default_factory=dict)  # number: page, place, length
+    loose: dict[int, list[tuple[int, int, int]]] = field(default_factory=dict)
 
     def encode(self) -> bytes:
-        rows = [(*_facts(r), r.places.tobytes(), r.lengths.tobytes()) for r in self.results]
-        data = msgpack.packb((VERSION, self.segment, self.offset, rows, list(self.loose.items())))
+        """Returns the checkpoint's bytes."""
+        rows = [(*_result_fields(r), r.places.tobytes(), r.lengths.tobytes()) for r in self.results]
+        data = msgpack.packb((CHECKPOINT_VERSION, self.segment, self.offset, rows, list(self.loose.items())))
         frame = zstandard.ZstdCompressor(level=1).compress(data)
-        return HEADER + xxhash.xxh3_64_digest(frame) + frame
+        return CHECKPOINT_MAGIC + xxhash.xxh3_64_digest(frame) + frame
 
     @classmethod
     def decode(cls, data: bytes) -> State:
-        """Raises Spoilt where the bytes are not a whole checkpoint of this version."""
-        head = len(HEADER)
-        frame = data[head + 8 :]
-        if data[:head] != HEADER or data[head : head + 8] != xxhash.xxh3_64_digest(frame):
-            raise CorruptRecordError("no whole checkpoint")
+        """Decodes a checkpoint.
+
+        Raises:
+            CorruptRecordError: The bytes are not a complete checkpoint of this version.
+        """
+        magic_size = len(CHECKPOINT_MAGIC)
+        frame = data[magic_size + 8 :]
+        if data[:magic_size] != CHECKPOINT_MAGIC or data[
+            magic_size : magic_size + 8
+        ] != xxhash.xxh3_64_digest(frame):
+            raise CorruptRecordError("wrong magic bytes or checksum of the checkpoint")
         try:
-            plain = zstandard.ZstdDecompressor().decompress(frame, max_output_size=MOST_STATE)
+            plain = zstandard.ZstdDecompressor().decompress(frame, max_output_size=MAX_CHECKPOINT_BYTES)
             _, segment, offset, rows, loose = msgpack.unpackb(plain, strict_map_key=False)
             results = []
-            for *facts, places, lengths in rows:
-                result = Result(*facts)
+            for *fields, places, lengths in rows:
+                result = Result(*fields)
                 result.places.frombytes(places)
                 result.lengths.frombytes(lengths)
                 results.append(result)
-            pages = {number: [tuple(spot) for spot in found] for number, found in loose}
+            pages = {number: [tuple(entry) for entry in entries] for number, entries in loose}
         except (zstandard.ZstdError, ValueError, TypeError) as err:
             raise CorruptRecordError(str(err)) from None
         return cls(segment, offset, results, pages)
 
 
 def end_of(result: Result) -> Entry:
-    """The record that makes a result whole."""
-    return packed(Kind.END, result.number, result.pages, msgpack.packb(_facts(result)[1:]))
+    """Returns the END record that commits a result."""
+    return packed(Kind.END, result.number, result.pages, msgpack.packb(_result_fields(result)[1:]))
 
 
-def _facts(r: Result) -> tuple[object, ...]:
+def _result_fields(r: Result) -> tuple[object, ...]:
     return r.number, r.key, r.tenant, r.profile, r.made, r.rows, r.size, r.pages
 
 
-class Rebuild:
-    """Told `found` for each record behind the checkpoint; `stands` gives what is left of it all."""
+class IndexRebuild:
+    """Collects the checkpoint and the records after it, then decides which results are recovered.
+
+    Attributes:
+        committed: the results with an END record, by number.
+        record_spans: location and length of each record, by result number and page.
+        dropped: numbers of the results with a DROP record.
+    """
 
     def __init__(self, state: State | None) -> None:
-        self.ends: dict[int, Result] = {}
-        self.pages: dict[int, dict[int, tuple[int, int]]] = {}  # number: page: place, length
+        self.committed: dict[int, Result] = {}
+        self.record_spans: dict[int, dict[int, tuple[int, int]]] = {}
         self.dropped: set[int] = set()
         for result in state.results if state else ():
-            self.ends[result.number] = result
-            spots = zip(result.places, result.lengths, strict=True)
-            self.pages[result.number] = dict(enumerate(spots))
+            self.committed[result.number] = result
+            spans = zip(result.places, result.lengths, strict=True)
+            self.record_spans[result.number] = dict(enumerate(spans))
         for number, loose in (state.loose if state else {}).items():
-            self.pages[number] = {page: (at, length) for page, at, length in loose}
+            self.record_spans[number] = {page: (location, length) for page, location, length in loose}
 
-    def found(self, segment: int, record: Found) -> None:
-        entry, spot = record.entry, (place(segment, record.offset), record.length)
-        if entry is None:
+    def add_record(self, segment: int, scanned: Found) -> None:
+        """Takes a record after the checkpoint; one with a corrupt payload is ignored."""
+        record, span = scanned.record, (pack_location(segment, scanned.offset), scanned.length)
+        if record is None:
             return
-        if entry.kind is Kind.DROP:
-            self.dropped.add(entry.number)
+        if record.kind is Kind.DROP:
+            self.dropped.add(record.number)
             return
-        if entry.kind is Kind.END:
+        if record.kind is Kind.END:
             try:
-                self.ends[entry.number] = Result(entry.number, *msgpack.unpackb(unpacked(entry)))
+                self.committed[record.number] = Result(record.number, *msgpack.unpackb(unpacked(record)))
             except (CorruptRecordError, ValueError, TypeError):
                 return
-        self.pages.setdefault(entry.number, {})[entry.page] = (
-            spot  # a later copy takes the place of an earlier
-        )
-
-    def stands(self, there: Mapping[int, int], now: float) -> tuple[list[Result], list[Result]]:
-        """The whole results, and those that had been answered and lack something. there: sizes of segments. A
-        file goes only when all that lay in it is over: what lacks nothing but pages in files that are not
-        there has ended, though its drop was not yet on the disk.
-
-        Nobody could read while no router ran: a result counts as read now if its time would else be over, so
-        that its reader finds it, up to its longest time."""
-        whole, lost = list[Result](), list[Result]()
-        for number, result in self.ends.items():
+        # A later copy of a record replaces an earlier one.
+        self.record_spans.setdefault(record.number, {})[record.page] = span
+
+    def recover(self, segment_sizes: Mapping[int, int], now: float) -> tuple[list[Result], list[Result]]:
+        """Returns the results that are complete, and those that were committed but are lost.
+
+        A segment file is deleted only once everything in it has expired or been dropped. A result that lacks
+        only records in missing files has therefore ended, even if its DROP record was not yet on disk: it is
+        neither complete nor lost.
+
+        Nobody could read while no router ran, so a recovered result counts as read now: a reader still finds
+        it, unless its maximum age is reached.
+
+        Args:
+            segment_sizes: bytes of each segment file, by number.
+            now: the present time, in Unix seconds.
+        """
+        complete, lost = list[Result](), list[Result]()
+        for number, result in self.committed.items():
             if number in self.dropped:
                 continue
-            spots = self.pages.get(number, {})
-            lacking = [p for p in range(result.pages + 1) if p not in spots or not _within(there, *spots[p])]
-            if lacking:
-                if not all(p in spots and where(spots[p][0])[0] not in there for p in lacking):
+            spans = self.record_spans.get(number, {})
+            missing = [
+                p
+                for p in range(result.pages + 1)
+                if p not in spans or not _is_present(segment_sizes, *spans[p])
+            ]
+            if missing:
+                if not all(
+                    p in spans and unpack_location(spans[p][0])[0] not in segment_sizes for p in missing
+                ):
                     lost.append(result)
                 continue
-            result.places, result.lengths, result.stored = array("Q"), array("I"), 0
-            result.lies([spots[p] for p in range(result.pages + 1)])
-            result.made, result.read = min(result.made, now), now
-            whole.append(result)
-        return whole, lost
+            result.places, result.lengths, result.stored_bytes = array("Q"), array("I"), 0
+            result.lies([spans[p] for p in range(result.pages + 1)])
+            result.made, result.last_read_at = min(result.made, now), now
+            complete.append(result)
+        return complete, lost
 
 
-def _within(there: Mapping[int, int], packed_place: int, length: int) -> bool:
-    segment, offset = where(packed_place)
-    return offset + length <= there.get(segment, 0)
+def _is_present(segment_sizes: Mapping[int, int], location: int, length: int) -> bool:
+    segment, offset = unpack_location(location)
+    return offset + length <= segment_sizes.get(segment, 0)
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -1,8 +1,8 @@
-"""The spool at work: results taken in page by page, given out by token, and kept in order by chores.
+"""The spool service: stores results page by page, serves pages by token, and runs background tasks.
 
-It owns the catalogue, the ledger and the one greenlet that writes. It must never answer a command or choose
-what is shed (the decision module does), hold more of a result than a few pages, or wait for a file on the
-hub.
+It owns the catalog, the space allocator and the one greenlet that writes. It must never answer a request or
+choose what is shed (the scheduler does), hold more of a result than a few pages in memory, or block gevent's
+hub on a file.
 """
 
 from __future__ import annotations
@@ -23,247 +23,320 @@
 from marbleworks.background.threads import WorkerThreads
 from marbleworks.net.actor import LOG, clock, spawn
 from marbleworks.ports import PageUnavailable, ResultNotStoredError, StoredPage, StoredResult
-from marbleworks.spool.catalog import USABLE, Catalog, Lifetimes, Result, digest, place
+from marbleworks.spool.catalog import USABLE_SHARE, Catalog, Lifetimes, Result, digest, pack_location
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record_codec import HEAD_SIZE, CorruptRecordError, Entry, Found, Kind, packed
+from marbleworks.spool.record_codec import HEADER_SIZE, CorruptRecordError, Entry, Found, Kind, packed
 from marbleworks.spool.recovery import State, end_of
-from marbleworks.spool.segment_store import SegmentStore, Spot
+from marbleworks.spool.segment_store import RecordSpan, SegmentStore
 from marbleworks.spool.space_allocator import Reservation, SpaceAllocator
 
-PENDING = 2  # pages of one result that are written at a time
-GROUP = 1 << 20  # bytes that are written and made durable together, about
-READERS = 2  # threads that read pages
-GIVEN_WITHIN = 1.0  # seconds that a page call waits for its turn
-BATCH = 32  # records that a chore looks at in one step
-MOST_EMPTIED = 16  # segments in one round of the chore
-FOR_COPIES = 0.1  # part of the folder's room that emptying a segment may need
-TIGHT = 0.5  # part of the folder's room from which on what is no more is deleted at once
-LOOKS = 0.25  # seconds after which what has ended is looked for at the latest
-SPARE_TIME = 0.02  # seconds kept for telling the client
-Job = tuple[
-    "AsyncResult[list[Spot]]", Callable[[], list[Entry]], bool, int | None, Callable[[list[Spot]], None]
+MAX_PENDING_PAGES = 2  # pages of one result that are being written at a time
+GROUP_COMMIT_BYTES = 1 << 20  # about how much is written and synced together
+READER_THREADS = 2
+PAGE_SLOT_TIMEOUT_S = 1.0  # how long a call for a page waits for memory to hold it
+SCAN_BATCH_RECORDS = 32  # records that a background task handles in one step
+MAX_COMPACTED_SEGMENTS = 16  # in one run of the compaction task
+COPY_SHARE = 0.1  # share of the folder's room that is reserved for the copies of a compaction
+TIGHT_SHARE = 0.5  # used share of the folder's room from which on dead files are deleted at once
+MAX_EXPIRY_INTERVAL_S = 0.25  # between two runs of the expiry task
+ANSWER_MARGIN_S = 0.02  # subtracted from a deadline, to leave time for sending the answer
+WriteJob = tuple[
+    "AsyncResult[list[RecordSpan]]",
+    Callable[[], list[Entry]],
+    bool,
+    int | None,
+    Callable[[list[RecordSpan]], None],
 ]
 
 
-DONE: AsyncResult[None] = AsyncResult()
-DONE.set(None)
+COMPLETED: AsyncResult[None] = AsyncResult()
+COMPLETED.set(None)
 
 
 class FolderLockedError(Exception):
-    """Another router has the folder."""
+    """Another router has locked the folder."""
 
 
 class SpoolService:
-    """What joins the front (`Shelf`) and the desk (`Tray`) to a folder."""
+    """Stores results in a folder and serves their pages; implements `ports.ResultStore`.
+
+    Attributes:
+        settings: values of the section `spool`, by setting name.
+        task_runner: runs the background tasks.
+        store: the segment files.
+        catalogue: the index of stored results.
+        allocator: the room that results take and may take.
+        page_timeout_s: seconds that a client may take to read a page.
+        page_slots: one for each page that may be in memory on its way to a client.
+        writing: the thread that writes.
+        reader_threads: the threads that read pages.
+        write_queue: write jobs that the writer greenlet has not taken yet.
+        work_available: set when there is a write job, or when the writer greenlet has to stop.
+        open_writers: writers of results that are not committed yet, by result number.
+        position: segment and offset of the end of what the catalog has taken over.
+        stopped: whether the service has been closed.
+        obsolete_segments: segments to delete with the next checkpoint.
+        compacting: the segment that is being compacted, and those that hold copies from it.
+        deleting: segments whose files are being deleted.
+        room_freed: set when a deletion has ended.
+        dead_since: when each segment was first seen without live records, while room is tight.
+        checkpoint_count: checkpoints begun so far.
+        scrub_position: segment and offset up to which records have been scrubbed.
+        writer_greenlet: takes write jobs and has them written.
+    """
 
     def __init__(
         self,
-        terms: dict[str, Any],
-        heed: float,
-        chores: TaskRunner,
+        settings: dict[str, Any],
+        max_retry_after_s: float,
+        task_runner: TaskRunner,
         disk: Disk | None = None,
-        threads: Callable[[int], Any] = WorkerThreads,
+        make_threads: Callable[[int], Any] = WorkerThreads,
     ) -> None:
-        """heed: the longest time to come back that clients heed. threads: makes so many of them."""
-        self.terms, self.chores = terms, chores
-        self.store = SegmentStore(disk or Disk(terms["folder"]), _segment(terms), terms["room"])
-        self.catalogue = Catalog(_lifetimes(terms))
-        self.ledger = SpaceAllocator(
-            *_limits(terms),
-            heed=heed,
-            frees=self.catalogue.frees,
-            most=terms["most"],
-            empty=self._empty,
-            clears=self.catalogue.clears,
+        """Opens the folder and starts the writer and the background tasks.
+
+        Args:
+            settings: values of the section `spool`, by setting name.
+            max_retry_after_s: longest Retry-After that may be given, in seconds; 0 if none may be.
+            task_runner: runs the background tasks.
+            disk: file system calls; those of the folder in the settings by default.
+            make_threads: returns a pool of so many threads.
+
+        Raises:
+            FolderLockedError: Another router has locked the folder and did not unlock it in time.
+            OSError: The folder can't be used.
+        """
+        self.settings, self.task_runner = settings, task_runner
+        self.store = SegmentStore(disk or Disk(settings["folder"]), _segment_size(settings), settings["room"])
+        self.catalogue = Catalog(_lifetimes(settings))
+        self.allocator = SpaceAllocator(
+            *_allocator_limits(settings),
+            max_retry_after_s=max_retry_after_s,
+            upcoming_expiries=self.catalogue.upcoming_expiries,
+            max_results=settings["most"],
+            writable_bytes=self._writable_bytes,
+            upcoming_deletions=self.catalogue.upcoming_deletions,
         )
-        self.page_timeout_s = terms["page"] / terms["least-pace"] + GIVEN_WITHIN
-        self.in_hand = BoundedSemaphore(max(int(terms["in-hand"] // terms["page"]), 1))
-        self.writing, self.reading = threads(1), threads(READERS)
-        self.jobs, self.work = deque[Job](), Event()
-        self.sheets: dict[int, SpoolResultWriter] = {}  # by number: results that are not whole yet
+        self.page_timeout_s = settings["page"] / settings["least-pace"] + PAGE_SLOT_TIMEOUT_S
+        self.page_slots = BoundedSemaphore(max(int(settings["in-hand"] // settings["page"]), 1))
+        self.writing, self.reader_threads = make_threads(1), make_threads(READER_THREADS)
+        self.write_queue, self.work_available = deque[WriteJob](), Event()
+        self.open_writers: dict[int, SpoolResultWriter] = {}
         self.position, self.stopped = (0, 0), False
-        self.doomed: list[int] = []  # segments that go with the next checkpoint
-        self.emptying = set[int]()  # the segment that is emptied, and those that hold copies from it
-        self.going, self.room_made = set[int](), Event()
-        self.dead_since: dict[int, float] = {}  # segments in which nothing is live, while room is tight
-        self.states = 0  # how many were taken for checkpoints
-        self.scrubbed = (0, 0)  # segment and offset
-        self._open(terms["hand-over"])
-        self.greenlet = spawn(self._write)
-        chores.add_periodic("expiry", 0, self._next_look, self._expiry, 0.0, dedicated=True)
-        chores.add_periodic("checkpoint", 1, lambda: self.terms["checkpoint"], self._checkpoint, 10.0)
-        chores.add_periodic("compaction", 2, lambda: 0.5, self._compaction, 60.0)
-        chores.add_periodic("scrub", 3, lambda: 1.0, self._scrub, 3600.0)
-
-    def _open(self, patience: float) -> None:
-        """Takes the folder, from the router before us if there is one. Raises FolderHeld or OSError."""
-        began = clock()
+        self.obsolete_segments: list[int] = []
+        self.compacting = set[int]()
+        self.deleting, self.room_freed = set[int](), Event()
+        self.dead_since: dict[int, float] = {}
+        self.checkpoint_count = 0
+        self.scrub_position = (0, 0)
+        self._open(settings["hand-over"])
+        self.writer_greenlet = spawn(self._write_loop)
+        task_runner.add_periodic("expiry", 0, self._next_expiry_delay, self._expiry_task, 0.0, dedicated=True)
+        task_runner.add_periodic(
+            "checkpoint", 1, lambda: self.settings["checkpoint"], self._checkpoint_task, 10.0
+        )
+        task_runner.add_periodic("compaction", 2, lambda: 0.5, self._compaction_task, 60.0)
+        task_runner.add_periodic("scrub", 3, lambda: 1.0, self._scrub_task, 3600.0)
+
+    def _open(self, timeout_s: float) -> None:
+        """Opens the folder, waiting for the previous router to unlock it.
+
+        Raises:
+            FolderLockedError: It was still locked after the timeout.
+            OSError: The folder can't be used.
+        """
+        started_at = clock()
         while True:
             try:
                 found = self.writing.call(self.store.open, clock())
                 break
             except BlockingIOError:
-                if clock() >= began + patience:
+                if clock() >= started_at + timeout_s:
                     raise FolderLockedError(
-                        f"{self.terms['folder']}: another router has this folder"
+                        f"{self.settings['folder']}: another router has this folder"
                     ) from None
                 gevent.sleep(0.05)
-        for event, facts in found.notes:
-            LOG.warning(event, **facts)
+        for event, details in found.notes:
+            LOG.warning(event, **details)
         self.catalogue.wrote(found.segments)
         for number, segment in self.catalogue.segments.items():
-            segment.closed, segment.drops, segment.spoilt = True, None, number in found.spoilt
+            segment.closed, segment.drops, segment.unreadable = True, None, number in found.spoilt
         for result in found.results:
             self.catalogue.add(result)
-            self.ledger.hold(result.tenant, result.stored)
+            self.allocator.adjust_held(result.tenant, result.stored_bytes)
         self.position = self.store.position
         LOG.info(
             "spool open",
             results=len(found.results),
             lost=len(found.lost),
-            bytes=self.catalogue.used,
-            after=round(clock() - began, 3),
+            bytes=self.catalogue.used_bytes,
+            after=round(clock() - started_at, 3),
         )
 
-    def _empty(self) -> float:
-        return float((1.0 - FOR_COPIES) * self.terms["room"] - self.catalogue.used)
+    def _writable_bytes(self) -> float:
+        return float((1.0 - COPY_SHARE) * self.settings["room"] - self.catalogue.used_bytes)
 
-    # What the desk and the engines ask.
+    # Storing results.
 
     def reserve(self, tenant: str, profile: str, statement: bytes) -> SpoolReservation:
-        self._expire()
-        room = self.ledger.reserve(tenant, profile, xxhash.xxh3_64_intdigest(statement), clock())
-        if isinstance(room, Reservation):
-            return SpoolReservation(self, tenant, profile, room)
-        return SpoolReservation(self, tenant, profile, retry_after_s=room)
+        """Reserves room for the result of a statement, as far as there is any."""
+        self._remove_expired()
+        space = self.allocator.reserve(tenant, profile, xxhash.xxh3_64_intdigest(statement), clock())
+        if isinstance(space, Reservation):
+            return SpoolReservation(self, tenant, profile, space)
+        return SpoolReservation(self, tenant, profile, retry_after_s=space)
 
-    def failed(self, err: Exception) -> None:
-        wait = self.ledger.failed(clock())
-        LOG.error("spool write failed", error=str(err), rests=round(wait, 1))
+    def on_disk_failure(self, err: Exception) -> None:
+        """Stops taking results for a while after a write, sync or deletion failed."""
+        backoff_s = self.allocator.on_disk_failure(clock())
+        LOG.error("spool write failed", error=str(err), rests=round(backoff_s, 1))
 
-    # What a front asks.
+    # Reading results.
 
     def read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
-        if not self.in_hand.acquire(timeout=GIVEN_WITHIN):
+        """Returns a page (numbered from 1), or the reason why there is none.
+
+        May block. A page that is returned takes a slot until `page_delivered`.
+        """
+        if not self.page_slots.acquire(timeout=PAGE_SLOT_TIMEOUT_S):
             return PageUnavailable.BUSY
-        said = self._page(token, tenant, number)
-        if isinstance(said, PageUnavailable):
-            self.in_hand.release()
-        return said
+        stored_page = self._read_page(token, tenant, number)
+        if isinstance(stored_page, PageUnavailable):
+            self.page_slots.release()
+        return stored_page
 
     def page_delivered(self) -> None:
-        self.in_hand.release()
+        """Frees the slot of a page that `read_page` returned."""
+        self.page_slots.release()
 
-    def _page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
+    def _read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
         result = self.catalogue.find(token, tenant, clock())
         if result is None:
             return PageUnavailable.UNKNOWN_RESULT
         if not 1 <= number <= result.pages:
             return PageUnavailable.UNKNOWN_PAGE
-        for last in (False, True):
-            spot = result.places[number - 1], result.lengths[number - 1]
+        for is_last_try in (False, True):
+            span = result.places[number - 1], result.lengths[number - 1]
             try:
-                rows = self.reading.call(self.store.read, spot, result.number, number - 1)
+                rows = self.reader_threads.call(self.store.read, span, result.number, number - 1)
                 break
             except (OSError, CorruptRecordError, KeyError) as err:
-                if self.catalogue.numbers.get(result.number) is not result:
-                    return PageUnavailable.UNKNOWN_RESULT  # it ended meanwhile
-                if last or spot[0] == result.places[number - 1]:
-                    self._lost(result, err)
+                if self.catalogue.by_number.get(result.number) is not result:
+                    return PageUnavailable.UNKNOWN_RESULT  # it was removed during the read
+                if is_last_try or span[0] == result.places[number - 1]:
+                    self._remove_lost(result, err)
                     return PageUnavailable.LOST
         now = clock()
-        if self.catalogue.numbers.get(result.number) is not result:
+        if self.catalogue.by_number.get(result.number) is not result:
             return PageUnavailable.UNKNOWN_RESULT
         self.catalogue.touch(result, now)
-        told = {
+        fields = {
             "page": str(number),
             "pages": str(result.pages),
-            "until": _unix_ms(self.catalogue.ends(result)),
+            "until": _unix_ms(self.catalogue.expires_at(result)),
         }
-        return StoredPage(rows, told)
+        return StoredPage(rows, fields)
 
     def release(self, token: str, tenant: str) -> bool:
+        """Removes a result; False where the tenant has none under this token."""
         result = self.catalogue.find(token, tenant, clock())
         if result is None:
             return False
         self._remove([result])
         return True
 
-    def _lost(self, result: Result, err: Exception) -> None:
+    def _remove_lost(self, result: Result, err: Exception) -> None:
         LOG.error("spool result lost", profile=result.profile, made=round(result.made, 3), error=repr(err))
         self._remove([result])
 
     def _remove(self, results: list[Result]) -> None:
-        """They are no more, from now on and after a start; their room is free."""
+        """Removes results at once, and has DROP records written so that a restart does not recover them."""
         for result in results:
-            if result.number in self.catalogue.numbers:
+            if result.number in self.catalogue.by_number:
                 self.catalogue.remove(result)
-                self.ledger.hold(result.tenant, -result.stored)
+                self.allocator.adjust_held(result.tenant, -result.stored_bytes)
         if results and not self.stopped:
-            # Copies that are made now may come to lie in the segment after the current one.
+            # Copies that a compaction is making may still be written to the segment after the current one.
             drops = [
-                (r.number, self.store.current + 1 if r.segments & self.emptying else max(r.segments))
+                (r.number, self.store.current + 1 if r.segments & self.compacting else max(r.segments))
                 for r in results
             ]
-            entries = [Entry(Kind.DROP, number, last, b"", 0) for number, last in drops]
-            self.submit(partial(list, entries), False, None, partial(self._dropped, drops))
-            if self.catalogue.used > TIGHT * self.terms["room"]:
-                self.chores.run_soon("expiry")
-                self.chores.run_soon("compaction")
+            records = [Entry(Kind.DROP, number, last, b"", 0) for number, last in drops]
+            self.submit(partial(list, records), False, None, partial(self._note_drops, drops))
+            if self.catalogue.used_bytes > TIGHT_SHARE * self.settings["room"]:
+                self.task_runner.run_soon("expiry")
+                self.task_runner.run_soon("compaction")
+
+    def _note_drops(self, drops: list[tuple[int, int]], spans: list[RecordSpan]) -> None:
+        """Notes which DROP records each segment holds.
 
-    def _dropped(self, drops: list[tuple[int, int]], spots: list[Spot]) -> None:
-        for drop, (at, _) in zip(drops, spots, strict=True):
-            there = self.catalogue.segments[at >> 32].drops
-            if there is not None:
-                there.append(drop)
+        Args:
+            drops: result number and last segment of each record.
+            spans: where the same records were written.
+        """
+        for drop, (location, _) in zip(drops, spans, strict=True):
+            segment_drops = self.catalogue.segments[location >> 32].drops
+            if segment_drops is not None:
+                segment_drops.append(drop)
 
-    def _expire(self) -> None:
-        self._remove(self.catalogue.ended(clock()))
+    def _remove_expired(self) -> None:
+        self._remove(self.catalogue.pop_expired(clock()))
 
-    # The one greenlet that writes.
+    # Writing.
 
     def submit(
         self,
-        make: Callable[[], list[Entry]],
+        make_records: Callable[[], list[Entry]],
         sync: bool,
-        generation: int | None = None,
-        then: Callable[[list[Spot]], None] = lambda spots: None,
-    ) -> AsyncResult[list[Spot]]:
-        """Has records written behind all that were submitted before. make: called on the writing thread.
-
-        generation: the write is refused where an error has come since. then: called with the places before
-        anything else is written or a checkpoint made."""
-        done: AsyncResult[list[Spot]] = AsyncResult()
-        self.jobs.append((done, make, sync, generation, then))
-        self.work.set()
+        write_epoch: int | None = None,
+        on_written: Callable[[list[RecordSpan]], None] = lambda spans: None,
+    ) -> AsyncResult[list[RecordSpan]]:
+        """Queues records to be written after all that were submitted before.
+
+        Args:
+            make_records: returns the records; called on the writing thread.
+            sync: whether the result is set only once the records are durable.
+            write_epoch: the store's epoch that the write depends on; it fails if an error has begun another.
+            on_written: called with the records' spans before anything else is written or a checkpoint made.
+
+        Returns:
+            Set to the spans of the records, or failed with the error.
+        """
+        done: AsyncResult[list[RecordSpan]] = AsyncResult()
+        self.write_queue.append((done, make_records, sync, write_epoch, on_written))
+        self.work_available.set()
         return done
 
-    def _write(self) -> None:
-        while not self.stopped or self.jobs:
-            if not self.jobs:
-                self.work.clear()
-                self.work.wait()
+    def _write_loop(self) -> None:
+        """Runs in the writer greenlet: writes what is queued in groups, until the service is closed."""
+        while not self.stopped or self.write_queue:
+            if not self.write_queue:
+                self.work_available.clear()
+                self.work_available.wait()
                 continue
-            jobs = [self.jobs.popleft() for _ in range(min(len(self.jobs), GROUP // int(self.terms["page"])))]
+            jobs = [
+                self.write_queue.popleft()
+                for _ in range(min(len(self.write_queue), GROUP_COMMIT_BYTES // int(self.settings["page"])))
+            ]
             try:
-                outcomes = self.writing.call(self._written, jobs)
+                outcomes = self.writing.call(self._append_group, jobs)
             except Exception as err:
                 if isinstance(err, OSError):
-                    self.failed(err)
+                    self.on_disk_failure(err)
                 outcomes = [err] * len(jobs)
             else:
-                self.ledger.worked(clock())
+                self.allocator.on_disk_success(clock())
             self.catalogue.wrote(self.store.sizes)
             self.position = self.store.position
-            for (done, _, _, _, then), outcome in zip(jobs, outcomes, strict=True):
+            for (done, _, _, _, on_written), outcome in zip(jobs, outcomes, strict=True):
                 if isinstance(outcome, Exception):
                     done.set_exception(outcome)
                 else:
-                    then(outcome)
+                    on_written(outcome)
                     done.set(outcome)
 
-    def _on_writer(self, work: Callable[..., None], *args: Any) -> AsyncResult[None]:
-        """Has the writing thread do something between two groups."""
+    def _run_on_writing_thread(self, work: Callable[..., None], *args: Any) -> AsyncResult[None]:
+        """Calls `work` on the writing thread, between two groups of records."""
         done: AsyncResult[None] = AsyncResult()
 
         def run() -> None:
@@ -275,220 +348,278 @@
         spawn(run)
         return done
 
-    def _written(self, jobs: list[Job]) -> list[list[Spot] | Exception]:
-        """On the writing thread: one group, made durable once if any of it asks for that."""
-        outcomes: list[list[Spot] | Exception] = []
+    def _append_group(self, jobs: list[WriteJob]) -> list[list[RecordSpan] | Exception]:
+        """Writes a group on the writing thread, with one sync if any of the jobs asks for it.
+
+        Returns:
+            The spans of each job's records, or an error for a job that depends on an earlier write epoch.
+        """
+        outcomes: list[list[RecordSpan] | Exception] = []
         groups: list[list[Entry]] = []
-        for _, make, _, generation, _ in jobs:
-            stale = generation is not None and generation != self.store.generation
-            groups.append([] if stale else make())
-            outcomes.append(OSError("the disk failed since this result began") if stale else [])
-        spots = self.store.append([entry for group in groups for entry in group], any(job[2] for job in jobs))
-        at = 0
+        for _, make_records, _, write_epoch, _ in jobs:
+            is_stale = write_epoch is not None and write_epoch != self.store.write_epoch
+            groups.append([] if is_stale else make_records())
+            outcomes.append(
+                OSError("an earlier write failed, and records that this one depends on may be lost")
+                if is_stale
+                else []
+            )
+        spans = self.store.append(
+            [record for group in groups for record in group], any(job[2] for job in jobs)
+        )
+        start = 0
         for i, group in enumerate(groups):
             if not isinstance(outcomes[i], Exception):
-                outcomes[i] = spots[at : at + len(group)]
-            at += len(group)
+                outcomes[i] = spans[start : start + len(group)]
+            start += len(group)
         return outcomes
 
-    # Chores.
+    # Background tasks.
 
     def state(self) -> State:
-        loose = {number: sheet.placed() for number, sheet in self.sheets.items() if sheet.spots}
-        return State(*self.position, list(self.catalogue.results.values()), loose)
-
-    def _expiry(self) -> TaskSteps:
-        """Ends results in their time and, while room is tight, deletes at once the files in which nothing is
-        live: promises rest on that, so it waits neither for other chores nor for a sync. A checkpoint may
-        then name files that have gone; what lay in them was over."""
-        self._expire()
-        over, now = self.catalogue.over(self._pinned()), clock()
-        if not over or self.catalogue.used <= TIGHT * self.terms["room"]:
+        """Returns the contents of a checkpoint made now."""
+        uncommitted_pages = {
+            number: writer.page_spans() for number, writer in self.open_writers.items() if writer.spans
+        }
+        return State(*self.position, list(self.catalogue.results.values()), uncommitted_pages)
+
+    def _expiry_task(self) -> TaskSteps:
+        """Removes expired results and, while room is tight, deletes at once the files without live records.
+
+        Retry promises rely on that room, so this task waits neither for other tasks nor for a sync. A
+        checkpoint may then refer to files that are missing; every result in them had ended.
+        """
+        self._remove_expired()
+        dead, now = self.catalogue.deletable_segments(self._pinned_segments()), clock()
+        if not dead or self.catalogue.used_bytes <= TIGHT_SHARE * self.settings["room"]:
             self.dead_since.clear()
             return
-        self.dead_since = {number: self.dead_since.get(number, now) for number in over}
-        self.going.update(over)
+        self.dead_since = {number: self.dead_since.get(number, now) for number in dead}
+        self.deleting.update(dead)
         try:
-            yield OffloadedCall(partial(self.store.delete, *over))
+            yield OffloadedCall(partial(self.store.delete, *dead))
         except OSError as err:
-            self.failed(err)
-        self._gone(over)
-
-    def _gone(self, going: list[int]) -> None:
-        """These were to be deleted; what is still there stays doomed."""
-        self.going.difference_update(going)
-        for number in going:
-            if number in self.store.names:
-                self.doomed.append(number)
+            self.on_disk_failure(err)
+        self._finish_deletion(dead)
+
+    def _finish_deletion(self, numbers: list[int]) -> None:
+        """Forgets segments whose deletion was tried; those that still exist go with the next checkpoint."""
+        self.deleting.difference_update(numbers)
+        for number in numbers:
+            if number in self.store.file_names:
+                self.obsolete_segments.append(number)
                 continue
             self.catalogue.segments.pop(number, None)
             if number in self.dead_since:
-                self.ledger.cleared(clock() - self.dead_since.pop(number))
-        self.room_made.set()
-
-    def _next_look(self) -> float:
-        return max(min(self.catalogue.next_end() - clock(), LOOKS), 0.001)
-
-    def wait_for_room(self, count: int, until: float) -> None:
-        """Until so much fits in the folder beside what is kept for copies, or the time is over: who was told
-        to come is let in while the last files still go."""
-        while self._empty() < count and clock() < until - SPARE_TIME and self.going:
-            self.room_made.clear()
-            self.room_made.wait(LOOKS)
-
-    def _pinned(self) -> set[int]:
-        """Segments that stay: of results that are not whole yet, one that is being emptied, and those that go
-        anyhow."""
-        placed = {spot[0] >> 32 for sheet in self.sheets.values() for spot in sheet.spots}
-        return placed | set(self.doomed) | self.going | self.emptying
-
-    def _checkpoint(self) -> TaskSteps:
-        doomed = list(self.doomed)
-        self.states = mine = self.states + 1
-        # On the thread a place may be read before or after a segment is emptied: either copy is there until a
-        # later checkpoint is.
+                self.allocator.record_deletion(clock() - self.dead_since.pop(number))
+        self.room_freed.set()
+
+    def _next_expiry_delay(self) -> float:
+        return max(min(self.catalogue.next_expiry() - clock(), MAX_EXPIRY_INTERVAL_S), 0.001)
+
+    def wait_for_room(self, count: int, deadline: float) -> None:
+        """Waits until files that are being deleted have made room for so many bytes.
+
+        A request with a retry promise is admitted while such files are still there, and its pages wait here.
+        Returns at the deadline, too, or when nothing is being deleted.
+
+        Args:
+            count: bytes needed, not counting the room reserved for the copies of a compaction.
+            deadline: Unix seconds.
+        """
+        while self._writable_bytes() < count and clock() < deadline - ANSWER_MARGIN_S and self.deleting:
+            self.room_freed.clear()
+            self.room_freed.wait(MAX_EXPIRY_INTERVAL_S)
+
+    def _pinned_segments(self) -> set[int]:
+        """Returns the segments that must be neither compacted nor deleted now.
+
+        These hold pages of uncommitted results, take part in a compaction, or are to be deleted anyway.
+        """
+        uncommitted_segments = {
+            span[0] >> 32 for writer in self.open_writers.values() for span in writer.spans
+        }
+        return uncommitted_segments | set(self.obsolete_segments) | self.deleting | self.compacting
+
+    def _checkpoint_task(self) -> TaskSteps:
+        """Writes a checkpoint, then deletes the obsolete segments."""
+        obsolete = list(self.obsolete_segments)
+        self.checkpoint_count = own_count = self.checkpoint_count + 1
+        # The thread may read a location before or after a compaction changes it. Either is right: both copies
+        # exist until a later checkpoint is written.
         data = yield OffloadedCall(self.state().encode)
-        if mine < self.states:
-            return  # a newer one is on its way; this one after it would name files that have gone
-        going = [number for number in doomed if number in self.doomed]  # another may have taken some
-        self.doomed = [number for number in self.doomed if number not in going]
-        self.going.update(going)
+        if own_count < self.checkpoint_count:
+            # A newer checkpoint is being written. This one, written after it, would refer to deleted files.
+            return
+        # Another run may have taken some of them.
+        deletable = [number for number in obsolete if number in self.obsolete_segments]
+        self.obsolete_segments = [number for number in self.obsolete_segments if number not in deletable]
+        self.deleting.update(deletable)
         try:
-            yield Wait(self._on_writer(self.store.checkpoint, data, going), len(data))
+            yield Wait(self._run_on_writing_thread(self.store.checkpoint, data, deletable), len(data))
         except OSError as err:
-            self.failed(err)
+            self.on_disk_failure(err)
         finally:
-            self._gone(going)
+            self._finish_deletion(deletable)
 
-    def _compaction(self) -> TaskSteps:
-        """Empties the segments that are least worth keeping, and has them go with a checkpoint."""
-        copied = 0
-        for _ in range(MOST_EMPTIED):
-            number = self.catalogue.to_empty(self.terms["room"], self._pinned())
+    def _compaction_task(self) -> TaskSteps:
+        """Compacts the segments with the smallest live shares; checkpoints delete them afterwards."""
+        copied_bytes = 0
+        for _ in range(MAX_COMPACTED_SEGMENTS):
+            number = self.catalogue.next_to_compact(self.settings["room"], self._pinned_segments())
             if number is None:
                 break
-            if self.catalogue.segments[number].live or self.catalogue.segments[number].drops != []:
-                copied += self.catalogue.segments[number].live
-                self.emptying.add(number)
+            if self.catalogue.segments[number].live_bytes or self.catalogue.segments[number].drops != []:
+                copied_bytes += self.catalogue.segments[number].live_bytes
+                self.compacting.add(number)
                 try:
-                    yield from self._emptied(number)
+                    yield from self._compact_segment(number)
                 finally:
-                    self.emptying.clear()
-                if copied > FOR_COPIES / 2 * self.terms["room"]:  # what was copied must go before more is
-                    copied = 0
-                    yield from self._checkpoint()
+                    self.compacting.clear()
+                # The originals have to be deleted before more is copied.
+                if copied_bytes > COPY_SHARE / 2 * self.settings["room"]:
+                    copied_bytes = 0
+                    yield from self._checkpoint_task()
             else:
-                self.doomed.append(number)
-        dead = sum(self.catalogue.segments[number].size for number in self.doomed)
-        if dead > (0.02 if self.catalogue.used > TIGHT * self.terms["room"] else 0.2) * self.terms["room"]:
-            yield from self._checkpoint()
-
-    def _emptied(self, number: int) -> TaskSteps:
-        """Copies what is live in a segment, and the drops that are still needed, to the end."""
+                self.obsolete_segments.append(number)
+        obsolete_bytes = sum(self.catalogue.segments[number].size for number in self.obsolete_segments)
+        if (
+            obsolete_bytes
+            > (0.02 if self.catalogue.used_bytes > TIGHT_SHARE * self.settings["room"] else 0.2)
+            * self.settings["room"]
+        ):
+            yield from self._checkpoint_task()
+
+    def _compact_segment(self, number: int) -> TaskSteps:
+        """Copies the live records and the needed DROP records of a segment to the end of the log."""
         oldest = min((n for n in self.catalogue.segments if n != number), default=number)
-        generation = self.store.generation
+        write_epoch = self.store.write_epoch
         moves: list[tuple[int, int, int]] = []
-        records = self.store.records(number)
+        scan = self.store.scan_segment(number)
         while True:
             try:
-                batch = yield OffloadedCall(partial(_some, records))
+                batch = yield OffloadedCall(partial(_next_batch, scan))
             except OSError as err:
-                self.catalogue.segments[number].spoilt = True
+                self.catalogue.segments[number].unreadable = True
                 LOG.error("spool segment unreadable", segment=number, error=str(err))
                 return
             if not batch:
                 break
-            yield Wait(DONE, sum(found.length for found in batch))
-            keep = [(place(number, f.offset), f.entry) for f in batch if self._needed(number, f, oldest)]
-            if keep:
-                entries = [entry for _, entry in keep]
-                count = sum(entry.stored for entry in entries)
+            yield Wait(COMPLETED, sum(scanned.length for scanned in batch))
+            needed = [
+                (pack_location(number, scanned.offset), scanned.record)
+                for scanned in batch
+                if self._is_needed(number, scanned, oldest)
+            ]
+            if needed:
+                records = [record for _, record in needed]
+                count = sum(record.stored for record in records)
                 try:
-                    spots = yield Wait(
-                        self.submit(partial(list, entries), False, generation, self._copied_to), count
+                    spans = yield Wait(
+                        self.submit(partial(list, records), False, write_epoch, self._pin_copies), count
                     )
                 except OSError:
                     return
                 drops = [
-                    (e.number, e.page, at)
-                    for e, (at, _) in zip(entries, spots, strict=True)
-                    if e.kind is Kind.DROP
+                    (r.number, r.page, location)
+                    for r, (location, _) in zip(records, spans, strict=True)
+                    if r.kind is Kind.DROP
                 ]
-                self._dropped([drop[:2] for drop in drops], [(at, 0) for _, _, at in drops])
-                moves += [(e.number, old, new) for (old, e), (new, _) in zip(keep, spots, strict=True)]
+                self._note_drops([drop[:2] for drop in drops], [(location, 0) for _, _, location in drops])
+                moves += [(r.number, old, new) for (old, r), (new, _) in zip(needed, spans, strict=True)]
         try:
-            yield Wait(self.submit(list, True, generation))
+            yield Wait(self.submit(list, True, write_epoch))
         except OSError:
             return
-        for moved, old, new in moves:
-            self.catalogue.moved(moved, old, new)
-        if self.catalogue.segments[number].live > 0:  # records there can't be read: their results are lost
+        for result_number, old, new in moves:
+            self.catalogue.relocate(result_number, old, new)
+        # What is still live there could not be read, so its results are lost.
+        if self.catalogue.segments[number].live_bytes > 0:
             for result in list(self.catalogue.results.values()):
-                if any(packed_place >> 32 == number for packed_place in result.places):
-                    self._lost(result, CorruptRecordError("a record of it is spoilt"))
-        self.doomed.append(number)
+                if any(location >> 32 == number for location in result.places):
+                    self._remove_lost(result, CorruptRecordError("compaction found a corrupt record"))
+        self.obsolete_segments.append(number)
+
+    def _pin_copies(self, spans: list[RecordSpan]) -> None:
+        """Pins the segments that hold copies: these do not count as live until the index refers to them."""
+        self.compacting.update(location >> 32 for location, _ in spans)
+
+    def _is_needed(self, segment: int, scanned: Found, oldest: int) -> bool:
+        """Returns whether a compaction has to copy a record.
+
+        Args:
+            segment: the segment that is compacted.
+            scanned: a record of it.
+            oldest: number of the oldest other segment.
+        """
+        record = scanned.record
+        if record is None:
+            return False
+        if record.kind is Kind.DROP:
+            return oldest <= record.page
+        result = self.catalogue.by_number.get(record.number)
+        page = record.page
+        return (
+            result is not None
+            and page <= result.pages
+            and result.places[page] == pack_location(segment, scanned.offset)
+        )
 
-    def _copied_to(self, spots: list[Spot]) -> None:
-        """What holds a copy stays, though nothing in it counts as live until the index has moved."""
-        self.emptying.update(at >> 32 for at, _ in spots)
+    def _scrub_task(self) -> TaskSteps:
+        """Verifies one second's part of all records, at the rate that the setting `scrub` asks for.
 
-    def _needed(self, segment: int, found: Found, oldest: int) -> bool:
-        entry = found.entry
-        if entry is None:
-            return False
-        if entry.kind is Kind.DROP:
-            return oldest <= entry.page
-        result = self.catalogue.numbers.get(entry.number)
-        at = entry.page
-        return result is not None and at <= result.pages and result.places[at] == place(segment, found.offset)
-
-    def _scrub(self) -> TaskSteps:
-        """Reads each record again once in the time for that; a result with a spoilt one is lost at once, not
-        when its reader comes."""
-        budget = self.catalogue.used / self.terms["scrub"]  # bytes for this second
+        A result with a corrupt record is then lost at once, not only when it is read.
+        """
+        budget = self.catalogue.used_bytes / self.settings["scrub"]  # bytes for this second
         while budget > 0:
-            segment, offset = self.scrubbed
-            left = [n for n, s in self.catalogue.segments.items() if s.closed and n >= segment and s.live]
-            if not left:
-                self.scrubbed = 0, 0
+            segment, offset = self.scrub_position
+            remaining = [
+                n for n, s in self.catalogue.segments.items() if s.closed and n >= segment and s.live_bytes
+            ]
+            if not remaining:
+                self.scrub_position = 0, 0
                 return
-            if min(left) != segment:
-                segment, offset = min(left), 0
+            if min(remaining) != segment:
+                segment, offset = min(remaining), 0
             try:
                 batch = yield OffloadedCall(
-                    partial(_some, self.store.records(segment, offset)), int(min(budget, 1e6))
+                    partial(_next_batch, self.store.scan_segment(segment, offset)), int(min(budget, 1e6))
                 )
             except (OSError, KeyError) as err:
-                if segment in self.store.names:
+                if segment in self.store.file_names:
                     LOG.error("spool segment unreadable", segment=segment, error=repr(err))
-                self.scrubbed = segment + 1, 0
+                self.scrub_position = segment + 1, 0
                 return
             if not batch:
-                self.scrubbed = segment + 1, 0
+                self.scrub_position = segment + 1, 0
                 continue
-            for found in batch:
-                result = self.catalogue.numbers.get(found.number)
-                if found.entry is None and result and place(segment, found.offset) in result.places:
-                    self._lost(result, CorruptRecordError("found by scrubbing"))
-            self.scrubbed = segment, batch[-1].offset + batch[-1].length
-            budget -= sum(found.length for found in batch)
-
-    # Changes and the end.
-
-    def change(self, terms: dict[str, Any]) -> None:
-        """Other terms from now on, of those that may change while running."""
-        self.terms = {**self.terms, **terms}
-        self.catalogue.change(_lifetimes(self.terms))
-        self.ledger.change(*_limits(self.terms))
-        self.ledger.most = self.terms["most"]
-        self.store.room, self.store.segment_size = self.terms["room"], _segment(self.terms)
-        self.page_timeout_s = self.terms["page"] / self.terms["least-pace"] + GIVEN_WITHIN
+            for scanned in batch:
+                result = self.catalogue.by_number.get(scanned.number)
+                if (
+                    scanned.record is None
+                    and result
+                    and pack_location(segment, scanned.offset) in result.places
+                ):
+                    self._remove_lost(result, CorruptRecordError("scrubbing found a corrupt record"))
+            self.scrub_position = segment, batch[-1].offset + batch[-1].length
+            budget -= sum(scanned.length for scanned in batch)
+
+    # Reconfiguration and shutdown.
+
+    def change(self, settings: dict[str, Any]) -> None:
+        """Takes over the reloadable settings given."""
+        self.settings = {**self.settings, **settings}
+        self.catalogue.set_lifetimes(_lifetimes(self.settings))
+        self.allocator.set_limits(*_allocator_limits(self.settings))
+        self.allocator.max_results = self.settings["most"]
+        self.store.room, self.store.segment_size = self.settings["room"], _segment_size(self.settings)
+        self.page_timeout_s = self.settings["page"] / self.settings["least-pace"] + PAGE_SLOT_TIMEOUT_S
 
     def close(self) -> None:
-        """All is written and the folder is free for the next router."""
+        """Writes what is queued and a checkpoint, and unlocks the folder for the next router."""
         self.stopped = True
-        self.work.set()
-        self.greenlet.join(5.0)
+        self.work_available.set()
+        self.writer_greenlet.join(5.0)
         try:
             self.writing.call(self.store.checkpoint, self.state().encode())
         except OSError as err:
@@ -499,171 +630,237 @@
 
 @dataclass(eq=False)
 class SpoolReservation:
-    keeper: SpoolService
+    """Room for the result of one request, if there is any; implements `ports.ResultReservation`.
+
+    Attributes:
+        service: the spool.
+        tenant: the request's tenant.
+        profile: the request's profile.
+        space: the reserved room; None if there was none.
+        retry_after_s: None if room was reserved, or the seconds until there is some.
+    """
+
+    service: SpoolService
     tenant: str
     profile: str
-    room: Reservation | None = None
+    space: Reservation | None = None
     retry_after_s: float | None = None
 
     def open_writer(self) -> SpoolResultWriter:
-        return SpoolResultWriter(self.keeper, self)
+        """Returns the writer for one attempt's result."""
+        return SpoolResultWriter(self.service, self)
 
     def release(self) -> None:
-        if self.room is not None:
-            self.room.free()
+        """Returns the room that no committed result has taken."""
+        if self.space is not None:
+            self.space.release()
 
     def discard_result(self, result_fields: dict[str, str]) -> None:
-        self.keeper.release(result_fields["spool"], self.tenant)
+        """Removes the committed result that these fields describe."""
+        self.service.release(result_fields["spool"], self.tenant)
 
 
 @dataclass(eq=False)
 class SpoolResultWriter:
-    """A result that is not whole yet."""
-
-    keeper: SpoolService
-    tray: SpoolReservation
+    """Writes the result of one attempt; implements `ports.ResultWriter`.
+
+    Attributes:
+        service: the spool.
+        reservation: the request's reservation.
+        number: the result's number.
+        rows: rows so far.
+        size: bytes so far, before compression.
+        pages: pages so far.
+        first_page: rows of the first page.
+        taken: bytes taken from the reservation.
+        finished: whether the result was committed or discarded.
+        is_out_of_room: whether the last page compressed worse than expected and no room was left for the
+            difference.
+        buffer: rows of the next page.
+        spans: location and length of each page that has been written.
+        pending: pages that are being written.
+        write_epoch: the store's write epoch when the result was begun.
+    """
+
+    service: SpoolService
+    reservation: SpoolReservation
     number: int = field(default_factory=lambda: secrets.randbits(64))
     rows: int = 0
     size: int = 0
     pages: int = 0
-    first: bytes = b""
-    taken: int = 0  # bytes of the reservation
-    over: bool = False
-    short: bool = False  # the last page was larger than the room that is left
+    first_page: bytes = b""
+    taken: int = 0
+    finished: bool = False
+    is_out_of_room: bool = False
 
     def __post_init__(self) -> None:
-        self.buffer, self.spots = bytearray(), list[Spot]()
-        self.pending: deque[AsyncResult[list[Spot]]] = deque()
-        self.generation = self.keeper.store.generation
-        self.keeper.sheets[self.number] = self
+        self.buffer, self.spans = bytearray(), list[RecordSpan]()
+        self.pending: deque[AsyncResult[list[RecordSpan]]] = deque()
+        self.write_epoch = self.service.store.write_epoch
+        self.service.open_writers[self.number] = self
 
-    def placed(self) -> list[tuple[int, int, int]]:
-        return [(page, at, length) for page, (at, length) in enumerate(self.spots)]
+    def page_spans(self) -> list[tuple[int, int, int]]:
+        """Returns page, location and length of each page that has been written."""
+        return [(page, location, length) for page, (location, length) in enumerate(self.spans)]
 
     def write(self, rows: bytes, deadline: float) -> None:
+        """Appends whole rows; may block until the deadline (Unix seconds).
+
+        Raises:
+            ResultNotStoredError: The result is too large, has no room or could not be written in time.
+        """
         self.rows += rows.count(b"\n")
         self.size += len(rows)
-        if self.size > self.keeper.terms["largest"]:
-            self._refuse(float("inf"), "larger than any that is kept")
-        if self.buffer and len(self.buffer) + len(rows) > self.keeper.terms["page"]:
-            self._page(deadline)
+        if self.size > self.service.settings["largest"]:
+            self._fail(float("inf"), "the result is larger than the setting `largest` allows")
+        if self.buffer and len(self.buffer) + len(rows) > self.service.settings["page"]:
+            self._write_page(deadline)
         self.buffer += rows
 
-    def _page(self, until: float) -> None:
+    def _write_page(self, deadline: float) -> None:
+        """Queues the buffered rows as a page, with room for the compressed size that is expected."""
         data, page = bytes(self.buffer), self.pages
         self.buffer.clear()
-        self.first = data if not page else self.first
+        self.first_page = data if not page else self.first_page
         self.pages += 1
-        if self.short:
-            self._refuse(self._later(), "no room")
-        count = HEAD_SIZE + round(len(data) * self.keeper.ledger.packs(self.tray.profile))
-        if self.tray.room is None or self.tray.room.over or not self.tray.room.take(count, clock()):
-            self._refuse(self._later(), "no room")
+        if self.is_out_of_room:
+            self._fail(self._retry_after_s(), "the spool has no room for the rest of the result")
+        count = HEADER_SIZE + round(
+            len(data) * self.service.allocator.expected_ratio(self.reservation.profile)
+        )
+        if (
+            self.reservation.space is None
+            or self.reservation.space.released
+            or not self.reservation.space.take(count, clock())
+        ):
+            self._fail(self._retry_after_s(), "the spool has no room for the rest of the result")
         self.taken += count
-        while len(self.pending) >= PENDING:
-            self._wait(self.pending.popleft(), until)
-        self.keeper.wait_for_room(count, until)
-        make = partial(_entries, Kind.PAGE, self.number, page, data)
-        self.pending.append(self.keeper.submit(make, False, self.generation, partial(self._placed, count)))
-
-    def _placed(self, count: int, spots: list[Spot]) -> None:
-        self.spots += spots
-        more = spots[0][1] - count  # than was thought; less, mostly
-        if self.tray.room is not None and not self.over:
-            self.tray.room.wrote(spots[0][1])
-        if self.tray.room is None or not self.tray.room.take(more, clock()):
-            self.short = True  # it has been written all the same, and is the last
+        while len(self.pending) >= MAX_PENDING_PAGES:
+            self._await_write(self.pending.popleft(), deadline)
+        self.service.wait_for_room(count, deadline)
+        make_records = partial(_compressed_records, Kind.PAGE, self.number, page, data)
+        self.pending.append(
+            self.service.submit(make_records, False, self.write_epoch, partial(self._on_page_written, count))
+        )
+
+    def _on_page_written(self, expected: int, spans: list[RecordSpan]) -> None:
+        """Corrects the room taken for a page from the expected bytes to those written."""
+        self.spans += spans
+        excess = spans[0][1] - expected  # mostly negative
+        if self.reservation.space is not None and not self.finished:
+            self.reservation.space.add_written(spans[0][1])
+        if self.reservation.space is None or not self.reservation.space.take(excess, clock()):
+            self.is_out_of_room = True  # this page has been written all the same, but is the last
         else:
-            self.taken += more
+            self.taken += excess
 
     def commit(self, deadline: float) -> StoredResult:
-        self._page(deadline)
+        """Writes the rest and the END record, and returns once all is durable.
+
+        Raises:
+            ResultNotStoredError: The result had no room or was not durable by the deadline (Unix seconds).
+        """
+        self._write_page(deadline)
         while self.pending:
-            self._wait(self.pending.popleft(), deadline)
+            self._await_write(self.pending.popleft(), deadline)
         token, now = secrets.token_urlsafe(18), clock()
-        tray, keeper = self.tray, self.keeper
-        key = digest(token, tray.tenant)
-        result = Result(self.number, key, tray.tenant, tray.profile, now, self.rows, self.size, self.pages)
-        make = partial(lambda: [end_of(result)])
-        self._wait(keeper.submit(make, True, self.generation, partial(self._whole, result)), deadline)
-        told = {
+        reservation, service = self.reservation, self.service
+        key = digest(token, reservation.tenant)
+        result = Result(
+            self.number, key, reservation.tenant, reservation.profile, now, self.rows, self.size, self.pages
+        )
+        make_records = partial(lambda: [end_of(result)])
+        self._await_write(
+            service.submit(make_records, True, self.write_epoch, partial(self._on_committed, result)),
+            deadline,
+        )
+        fields = {
             "spool": token,
             "pages": str(self.pages),
             "bytes": str(self.size),
             "rows": str(self.rows),
-            "until": _unix_ms(keeper.catalogue.ends(result)),
+            "until": _unix_ms(service.catalogue.expires_at(result)),
         }
-        return StoredResult(self.first, told)
-
-    def _whole(self, result: Result, spots: list[Spot]) -> None:
-        """The end is durable. Called before anything else is written."""
-        late = self.over
-        self._leave()
-        result.lies([*self.spots, *spots])
-        if self.tray.room is not None and not late:
-            if self.tray.room.over:
-                self.keeper.ledger.hold(result.tenant, result.stored)
-            self.tray.room.kept(result.stored, result.size)
-        elif late:
-            self.keeper.ledger.hold(result.tenant, result.stored)
-        self.keeper.catalogue.add(result)
-        if late:  # nobody waits for it any more
-            self.keeper._remove([result])
-
-    def _wait(self, outcome: AsyncResult[list[Spot]], until: float) -> None:
+        return StoredResult(self.first_page, fields)
+
+    def _on_committed(self, result: Result, spans: list[RecordSpan]) -> None:
+        """Adds the result to the catalog: its END record is durable.
+
+        Called before anything else is written.
+        """
+        was_discarded = self.finished
+        self._finish()
+        result.lies([*self.spans, *spans])
+        if self.reservation.space is not None and not was_discarded:
+            if self.reservation.space.released:
+                self.service.allocator.adjust_held(result.tenant, result.stored_bytes)
+            self.reservation.space.commit_result(result.stored_bytes, result.size)
+        elif was_discarded:
+            self.service.allocator.adjust_held(result.tenant, result.stored_bytes)
+        self.service.catalogue.add(result)
+        if was_discarded:  # the request has been answered without it
+            self.service._remove([result])
+
+    def _await_write(self, outcome: AsyncResult[list[RecordSpan]], deadline: float) -> None:
         try:
-            outcome.get(timeout=max(until - SPARE_TIME - clock(), 0.0))
+            outcome.get(timeout=max(deadline - ANSWER_MARGIN_S - clock(), 0.0))
         except gevent.Timeout:
-            self._refuse(self._later(), "the disk did not take it in time")
+            self._fail(self._retry_after_s(), "the disk did not store the result before the deadline")
         except OSError as err:
-            self._refuse(max(self.keeper.ledger.closed_until - clock(), 0.05), f"the disk failed: {err}")
+            self._fail(
+                max(self.service.allocator.closed_until - clock(), 0.05),
+                f"the disk failed while the result was stored: {err}",
+            )
 
-    def _later(self) -> float:
-        return self.keeper.ledger.heed or float("inf")
+    def _retry_after_s(self) -> float:
+        return self.service.allocator.max_retry_after_s or float("inf")
 
-    def _refuse(self, wait: float, why: str) -> None:
+    def _fail(self, retry_after_s: float, reason: str) -> None:
         self.discard()
-        raise ResultNotStoredError(wait, why)
+        raise ResultNotStoredError(retry_after_s, reason)
 
-    def _leave(self) -> None:
-        self.over = True
-        self.keeper.sheets.pop(self.number, None)
+    def _finish(self) -> None:
+        self.finished = True
+        self.service.open_writers.pop(self.number, None)
 
     def discard(self) -> None:
-        if not self.over:
-            self._leave()
-            self.buffer, self.first = bytearray(), b""
-            if self.tray.room is not None:
-                self.tray.room.took_back(self.taken, sum(length for _, length in self.spots))
+        """Drops what was written; without effect once the result is committed."""
+        if not self.finished:
+            self._finish()
+            self.buffer, self.first_page = bytearray(), b""
+            if self.reservation.space is not None:
+                self.reservation.space.give_back(self.taken, sum(length for _, length in self.spans))
 
 
-def _entries(kind: Kind, number: int, page: int, data: bytes) -> list[Entry]:
+def _compressed_records(kind: Kind, number: int, page: int, data: bytes) -> list[Entry]:
     return [packed(kind, number, page, data)]
 
 
-def _some(records: Any) -> list[Found]:
-    """The next records of a scan, a bounded number of them; none at its end. On a thread."""
+def _next_batch(scan: Any) -> list[Found]:
+    """Returns the next records of a scan, at most SCAN_BATCH_RECORDS; none at its end. Called on a thread."""
     batch: list[Found] = []
-    for found in records:
-        if isinstance(found, Found):
-            batch.append(found)
-            if len(batch) >= BATCH:
+    for scanned in scan:
+        if isinstance(scanned, Found):
+            batch.append(scanned)
+            if len(batch) >= SCAN_BATCH_RECORDS:
                 break
     return batch
 
 
-def _lifetimes(terms: dict[str, Any]) -> Lifetimes:
-    return Lifetimes(terms["keep"], terms["unread"], terms["longest"])
+def _lifetimes(settings: dict[str, Any]) -> Lifetimes:
+    return Lifetimes(settings["keep"], settings["unread"], settings["longest"])
+
 
+def _allocator_limits(settings: dict[str, Any]) -> tuple[float, float, float, dict[str, float]]:
+    return settings["room"] * USABLE_SHARE, settings["expect"], settings["share"], settings["quota"]
 
-def _limits(terms: dict[str, Any]) -> tuple[float, float, float, dict[str, float]]:
-    return terms["room"] * USABLE, terms["expect"], terms["share"], terms["quota"]
 
+def _segment_size(settings: dict[str, Any]) -> float:
+    """Returns the bytes at which a segment is closed.
 
-def _segment(terms: dict[str, Any]) -> float:
-    """The size of a segment: with fewer than some dozens in the room, emptying one would take too much of
-    it."""
-    return float(min(terms["segment"], terms["room"] / 32))
+    The room always holds some dozens of segments: with fewer, a compaction would need too much of the room.
+    """
+    return float(min(settings["segment"], settings["room"] / 32))
 
 
 def _unix_ms(at: float) -> str:
--- a/tests/spool/test_space_allocator.py
+++ b/tests/spool/test_space_allocator.py
@@ -1,4 +1,4 @@
-"""Room in the spool: never more than there is, told times that hold, sizes that mislead."""
+"""Allocation of the spool's room: limits, retry promises, and results that differ from the learned sizes."""
 
 import itertools
 import math
@@ -8,153 +8,171 @@
 from hypothesis import strategies as st
 
 from marbleworks.spool.catalog import Catalog, Lifetimes, Result, digest
-from marbleworks.spool.space_allocator import EARLY, WINDOW, Reservation, SpaceAllocator
+from marbleworks.spool.space_allocator import EARLY_TOLERANCE_S, PROMISE_WINDOW_S, Reservation, SpaceAllocator
 
 
-class World:
-    """A ledger, and the results that it speaks for."""
+class AllocatorScenario:
+    """An allocator with the results that it counts.
 
-    def __init__(self, room: float = 1e6, share: float = 1.0, heed: float = 5.0, **quotas: float) -> None:
-        self.marks = itertools.count(1000)
-        self.now, self.kept = 0.0, list[tuple[float, int, str]]()
-        self.ledger = SpaceAllocator(
+    Attributes:
+        expiries: expiry time, bytes and tenant of each result.
+    """
+
+    def __init__(
+        self, room: float = 1e6, share: float = 1.0, max_retry_after_s: float = 5.0, **quotas: float
+    ) -> None:
+        self.fingerprints = itertools.count(1000)
+        self.now, self.expiries = 0.0, list[tuple[float, int, str]]()
+        self.allocator = SpaceAllocator(
             room,
             1e5,
             share,
             quotas,
-            heed,
-            lambda now, until: sorted(k for k in self.kept if now < k[0] <= until),
+            max_retry_after_s,
+            lambda now, until: sorted(e for e in self.expiries if now < e[0] <= until),
         )
 
-    def ask(self, tenant: str = "a", profile: str = "report", mark: int = 0) -> Reservation | float:
-        return self.ledger.reserve(tenant, profile, mark or next(self.marks), self.now)
+    def reserve(
+        self, tenant: str = "a", profile: str = "report", fingerprint: int = 0
+    ) -> Reservation | float:
+        return self.allocator.reserve(tenant, profile, fingerprint or next(self.fingerprints), self.now)
 
-    def keep(self, size: int, ends: float, tenant: str = "a", profile: str = "report") -> bool:
-        room = self.ask(tenant, profile)
-        if not isinstance(room, Reservation) or not room.take(size, self.now):
+    def store_result(self, size: int, expires_at: float, tenant: str = "a", profile: str = "report") -> bool:
+        reservation = self.reserve(tenant, profile)
+        if not isinstance(reservation, Reservation) or not reservation.take(size, self.now):
             return False
-        room.kept(size, size)
-        self.kept.append((ends, size, tenant))
+        reservation.commit_result(size, size)
+        self.expiries.append((expires_at, size, tenant))
         return True
 
-    def fill(self, size: int, ends: float, tenant: str = "a") -> None:
-        self.ledger.hold(tenant, size)
-        self.kept.append((ends, size, tenant))
+    def add_held(self, size: int, expires_at: float, tenant: str = "a") -> None:
+        self.allocator.adjust_held(tenant, size)
+        self.expiries.append((expires_at, size, tenant))
 
-    def go_to(self, now: float) -> None:
+    def advance_to(self, now: float) -> None:
         self.now = now
-        for ends, size, tenant in [k for k in self.kept if k[0] <= now]:
-            self.kept.remove((ends, size, tenant))
-            self.ledger.hold(tenant, -size)
+        for expires_at, size, tenant in [e for e in self.expiries if e[0] <= now]:
+            self.expiries.remove((expires_at, size, tenant))
+            self.allocator.adjust_held(tenant, -size)
 
 
-def test_a_first_result_has_what_the_operator_expects_and_later_ones_what_was_learned() -> None:
-    world = World()
-    assert world.ledger.expected("report") == 1e5
+def test_a_first_result_reserves_the_default_size_and_later_ones_a_learned_size() -> None:
+    scenario = AllocatorScenario()
+    assert scenario.allocator.expected_size("report") == 1e5
     for size in (2e4, 3e4, 2e4, 3e4):
-        world.ledger.learn("report", size)
-    assert 3e4 <= world.ledger.expected("report") <= 3.5e4 and world.ledger.expected("other") == 1e5
-    world.ledger.learn("big", 9e5)
-    assert world.ledger.expected("big") > 9e5  # one large one is believed at once
+        scenario.allocator.learn("report", size)
+    assert (
+        3e4 <= scenario.allocator.expected_size("report") <= 3.5e4
+        and scenario.allocator.expected_size("other") == 1e5
+    )
+    scenario.allocator.learn("big", 9e5)
+    assert scenario.allocator.expected_size("big") > 9e5  # a single large result counts at once
 
 
-def test_sizes_ten_times_larger_take_free_room_and_end_honestly_without_it() -> None:
-    world = World()
+def test_results_ten_times_larger_than_expected_take_free_room_and_fail_without_it() -> None:
+    scenario = AllocatorScenario()
     for _ in range(8):
-        world.ledger.learn("report", 2e4)
-    one, other = world.ask(), world.ask()
-    assert isinstance(one, Reservation) and isinstance(other, Reservation)
-    assert one.take(200_000, 0.0) and other.take(200_000, 0.0)  # ten times what was expected
-    assert not one.take(700_000, 0.0) and world.ledger.outgrown == 1
-    assert one.take(300_000, 0.0) and world.ledger.free() >= 0
-    one.kept(500_000, 900_000)
-    other.free()
-    assert world.ledger.held == {"a": 500_000} and world.ledger.free() == 500_000
-
-
-def test_sizes_ten_times_smaller_give_back_what_they_do_not_use() -> None:
-    world = World()
+        scenario.allocator.learn("report", 2e4)
+    first, second = scenario.reserve(), scenario.reserve()
+    assert isinstance(first, Reservation) and isinstance(second, Reservation)
+    assert first.take(200_000, 0.0) and second.take(200_000, 0.0)  # ten times what was expected
+    assert not first.take(700_000, 0.0) and scenario.allocator.outgrown_count == 1
+    assert first.take(300_000, 0.0) and scenario.allocator.free_bytes() >= 0
+    first.commit_result(500_000, 900_000)
+    second.release()
+    assert scenario.allocator.held == {"a": 500_000} and scenario.allocator.free_bytes() == 500_000
+
+
+def test_results_ten_times_smaller_than_expected_return_the_unused_room() -> None:
+    scenario = AllocatorScenario()
     for _ in range(9):
-        assert world.keep(10_000, 100.0)
-    assert world.ledger.free() == 1e6 - 9e4 and world.ledger.expected("report") <= 1.2e4
+        assert scenario.store_result(10_000, 100.0)
+    assert (
+        scenario.allocator.free_bytes() == 1e6 - 9e4 and scenario.allocator.expected_size("report") <= 1.2e4
+    )
 
 
-def test_the_told_time_holds_for_each_that_comes_back() -> None:
-    world = World()
+def test_every_request_that_retries_at_its_promised_time_gets_room() -> None:
+    scenario = AllocatorScenario()
     for i in range(10):
-        world.fill(100_000, 1.0 + 0.3 * i)
-    told = [world.ask(mark=1 + i) for i in range(6)]
-    assert all(isinstance(wait, float) for wait in told)
-    assert sorted(told) == told and len(set(told)) == len(told)  # each its own time  # type: ignore[type-var]
-    for i, wait in enumerate(told):
+        scenario.add_held(100_000, 1.0 + 0.3 * i)
+    waits = [scenario.reserve(fingerprint=1 + i) for i in range(6)]
+    assert all(isinstance(wait, float) for wait in waits)
+    assert sorted(waits) == waits and len(set(waits)) == len(waits)  # all different  # type: ignore[type-var]
+    for i, wait in enumerate(waits):
         assert isinstance(wait, float)
-        world.go_to(wait - 0.2)
-        assert world.ask(mark=1 + i) == pytest.approx(0.2)  # too early: it keeps its place
-        world.go_to(wait)
-        assert isinstance(world.ask(mark=1 + i), Reservation)
-        assert isinstance(world.ask(), float)  # and a newcomer waits behind all of them
-    assert world.ledger.kept_word == 6 and world.ledger.broken == 0
+        scenario.advance_to(wait - 0.2)
+        assert scenario.reserve(fingerprint=1 + i) == pytest.approx(0.2)  # too early: the promise stays
+        scenario.advance_to(wait)
+        assert isinstance(scenario.reserve(fingerprint=1 + i), Reservation)
+        assert isinstance(scenario.reserve(), float)  # a new request waits behind all promises
+    assert scenario.allocator.kept_count == 6 and scenario.allocator.broken_count == 0
 
 
-def test_newcomers_do_not_take_what_was_promised_until_its_window_is_over() -> None:
-    world = World(share=0.9)
+def test_new_requests_do_not_take_promised_room_until_its_window_is_over() -> None:
+    scenario = AllocatorScenario(share=0.9)
     for i in range(10):
-        world.fill(100_000, 1.0 if i else 3.0, "ab"[i % 2])
-    wait = world.ask("a", mark=1)
+        scenario.add_held(100_000, 1.0 if i else 3.0, "ab"[i % 2])
+    wait = scenario.reserve("a", fingerprint=1)
     assert isinstance(wait, float) and 1.0 <= wait <= 1.3
-    world.go_to(wait)
+    scenario.advance_to(wait)
     for tenant in "bbbbbbbb":
-        assert isinstance(world.ask(tenant), Reservation)
-    assert isinstance(world.ask("b"), float)  # the rest is promised
-    assert isinstance(world.ask("a", mark=1), Reservation)
-    world.kept.clear()
-    assert isinstance(world.ask("b"), float)
+        assert isinstance(scenario.reserve(tenant), Reservation)
+    assert isinstance(scenario.reserve("b"), float)  # the rest is promised
+    assert isinstance(scenario.reserve("a", fingerprint=1), Reservation)
+    scenario.expiries.clear()
+    assert isinstance(scenario.reserve("b"), float)
 
 
-def test_a_promise_that_nobody_keeps_flows_back() -> None:
-    world = World(share=1.0)
-    assert world.keep(950_000, 1.0)
-    wait = world.ask("a")
+def test_room_of_a_promise_whose_client_does_not_return_becomes_free() -> None:
+    scenario = AllocatorScenario(share=1.0)
+    assert scenario.store_result(950_000, 1.0)
+    wait = scenario.reserve("a")
     assert isinstance(wait, float)
-    world.ledger.sizes.clear()
-    world.go_to(wait + WINDOW + EARLY)
+    scenario.allocator.learned_sizes.clear()
+    scenario.advance_to(wait + PROMISE_WINDOW_S + EARLY_TOLERANCE_S)
     for _ in range(10):
-        assert isinstance(world.ask("b"), Reservation)
+        assert isinstance(scenario.reserve("b"), Reservation)
 
 
-def test_one_tenant_has_its_quota_and_no_more() -> None:
-    world = World(share=0.3, big=0.6, none=0.0)
-    taken = {tenant: 0 for tenant in ("a", "big", "none")}
-    for tenant in taken:
-        while isinstance(world.ask(tenant), Reservation):
-            taken[tenant] += 1
-    assert taken == {"a": 3, "big": 6, "none": 0}
-    assert world.ask("none") == math.inf  # never: so nothing is promised
+def test_a_tenant_gets_its_quota_and_no_more() -> None:
+    scenario = AllocatorScenario(share=0.3, big=0.6, none=0.0)
+    reservation_counts = {tenant: 0 for tenant in ("a", "big", "none")}
+    for tenant in reservation_counts:
+        while isinstance(scenario.reserve(tenant), Reservation):
+            reservation_counts[tenant] += 1
+    assert reservation_counts == {"a": 3, "big": 6, "none": 0}
+    assert scenario.reserve("none") == math.inf  # it can never get room, so nothing is promised
 
 
-def test_no_promise_beyond_what_clients_heed_or_where_none_may_be_named() -> None:
-    for heed in (0.0, 2.0):
-        world = World(heed=heed)
-        while world.keep(100_000, 30.0):
+def test_no_promise_beyond_the_longest_retry_after() -> None:
+    for max_retry_after_s in (0.0, 2.0):
+        scenario = AllocatorScenario(max_retry_after_s=max_retry_after_s)
+        while scenario.store_result(100_000, 30.0):
             pass
-        assert isinstance(world.ask(), float) and not world.ledger.promises
-
-
-def test_a_disk_that_fails_closes_the_spool_for_a_while_that_doubles() -> None:
-    world = World()
-    assert world.ledger.failed(0.0) == 0.5
-    assert world.ledger.failed(0.1) == 0.4  # the same failure, seen again
-    assert world.ask() == 0.5
-    world.now = 0.6
-    assert isinstance(world.ask(), Reservation) and world.ledger.failed(0.6) == 1.0
-    world.ledger.worked(2.0)
-    assert world.ledger.failed(2.0) == 0.5
-
-
-def test_the_one_rule_of_expiry() -> None:
-    rule = Lifetimes(keep=10.0, unread=5.0, longest=30.0)
-    assert [rule.ends(100.0, read) for read in (None, 100.0, 112.0, 125.0)] == [105.0, 110.0, 122.0, 130.0]
-    catalogue = Catalog(rule)
+        assert isinstance(scenario.reserve(), float) and not scenario.allocator.promises
+
+
+def test_disk_failures_close_the_spool_with_a_doubling_backoff() -> None:
+    scenario = AllocatorScenario()
+    assert scenario.allocator.on_disk_failure(0.0) == 0.5
+    assert scenario.allocator.on_disk_failure(0.1) == 0.4  # the same failure, reported again
+    assert scenario.reserve() == 0.5
+    scenario.now = 0.6
+    assert isinstance(scenario.reserve(), Reservation) and scenario.allocator.on_disk_failure(0.6) == 1.0
+    scenario.allocator.on_disk_success(2.0)
+    assert scenario.allocator.on_disk_failure(2.0) == 0.5
+
+
+def test_expiry_follows_the_lifetimes() -> None:
+    lifetimes = Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0)
+    assert [lifetimes.expires_at(100.0, read) for read in (None, 100.0, 112.0, 125.0)] == [
+        105.0,
+        110.0,
+        122.0,
+        130.0,
+    ]
+    catalogue = Catalog(lifetimes)
     catalogue.wrote({1: 1000})
     for i in range(3):
         result = Result(i, digest(f"t{i}", "a"), "a", "report", 100.0, 1, 10, 1)
@@ -163,137 +181,144 @@
     found = catalogue.find("t1", "a", 104.0)
     assert found is not None and catalogue.find("t1", "b", 104.0) is None
     catalogue.touch(found, 104.0)
-    over = catalogue.ended(105.0)
-    assert [r.number for r in over] == [0, 2] and catalogue.find("t0", "a", 105.0) is None
-    for result in over:
+    expired = catalogue.pop_expired(105.0)
+    assert [r.number for r in expired] == [0, 2] and catalogue.find("t0", "a", 105.0) is None
+    for result in expired:
         catalogue.remove(result)
-    assert catalogue.ended(113.0) == [] and catalogue.frees(113.0)[-1] == (114.0, 100, "a")
-    catalogue.change(Lifetimes(1.0, 1.0, 1.0))
-    assert [r.number for r in catalogue.ended(105.0)] == [1]
+    assert catalogue.pop_expired(113.0) == [] and catalogue.upcoming_expiries(113.0)[-1] == (114.0, 100, "a")
+    catalogue.set_lifetimes(Lifetimes(1.0, 1.0, 1.0))
+    assert [r.number for r in catalogue.pop_expired(105.0)] == [1]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["ask", "grow", "keep", "free", "pass"]),
+            st.sampled_from(["reserve", "grow", "commit", "release", "advance"]),
             st.integers(0, 5),
             st.integers(1, 300_000),
         ),
         max_size=60,
     )
 )
-def test_never_more_is_given_than_there_is(acts: list[tuple[str, int, int]]) -> None:
-    world, open_ones = World(share=0.6, b=0.3), list[Reservation]()
-    for what, which, size in acts:
-        if what == "ask":
-            room = world.ask("abc"[which % 3], "xy"[which % 2], which % 4)
-            if isinstance(room, Reservation):
-                open_ones.append(room)
+def test_never_more_room_is_reserved_than_there_is(actions: list[tuple[str, int, int]]) -> None:
+    scenario, reservations = AllocatorScenario(share=0.6, b=0.3), list[Reservation]()
+    for action, index, size in actions:
+        if action == "reserve":
+            reservation = scenario.reserve("abc"[index % 3], "xy"[index % 2], index % 4)
+            if isinstance(reservation, Reservation):
+                reservations.append(reservation)
             else:
-                assert room > 0
-        elif what == "pass":
-            world.go_to(world.now + size / 1e5)
-        elif open_ones:
-            room = open_ones[which % len(open_ones)]
-            if what == "grow":
-                before = room.used
-                assert room.take(size, world.now) or room.used == before
+                assert reservation > 0
+        elif action == "advance":
+            scenario.advance_to(scenario.now + size / 1e5)
+        elif reservations:
+            reservation = reservations[index % len(reservations)]
+            if action == "grow":
+                before = reservation.used
+                assert reservation.take(size, scenario.now) or reservation.used == before
             else:
-                open_ones.remove(room)
-                if what == "keep":
-                    stored = max(room.used, 1)
-                    room.kept(stored, stored)
-                    world.kept.append((world.now + size / 1e4, stored, room.tenant))
+                reservations.remove(reservation)
+                if action == "commit":
+                    stored = max(reservation.used, 1)
+                    reservation.commit_result(stored, stored)
+                    scenario.expiries.append((scenario.now + size / 1e4, stored, reservation.tenant))
                 else:
-                    room.free()
-        ledger = world.ledger
-        assert ledger.free() >= -1e-6
+                    reservation.release()
+        allocator = scenario.allocator
+        assert allocator.free_bytes() >= -1e-6
         for tenant in "abc":
-            assert ledger.own(tenant) >= -1e-6
-        assert sum(ledger.reserved.values()) >= -1e-6
-        assert len(ledger.promises) <= len(acts)
+            assert allocator.tenant_remaining(tenant) >= -1e-6
+        assert sum(allocator.reserved.values()) >= -1e-6
+        assert len(allocator.promises) <= len(actions)
 
 
-def test_the_number_of_results_is_bounded_and_the_next_end_is_told() -> None:
-    world = World()
-    world.ledger.most = 3
-    assert all(world.keep(10, 2.0 + i) for i in range(2)) and isinstance(world.ask(), Reservation)
-    wait = world.ask(mark=1)
+def test_the_number_of_results_is_bounded_and_the_next_expiry_is_promised() -> None:
+    scenario = AllocatorScenario()
+    scenario.allocator.max_results = 3
+    assert all(scenario.store_result(10, 2.0 + i) for i in range(2)) and isinstance(
+        scenario.reserve(), Reservation
+    )
+    wait = scenario.reserve(fingerprint=1)
     assert isinstance(wait, float) and 2.0 < wait < 2.5
-    world.go_to(wait)
-    assert isinstance(world.ask(mark=1), Reservation) and isinstance(world.ask(), float)
+    scenario.advance_to(wait)
+    assert isinstance(scenario.reserve(fingerprint=1), Reservation) and isinstance(scenario.reserve(), float)
 
 
-def kept(catalogue: Catalog, number: int, made: float, *spots: tuple[int, int]) -> Result:
+def add_result(catalogue: Catalog, number: int, made: float, *spans: tuple[int, int]) -> Result:
     result = Result(number, digest(f"t{number}", "a"), "a", "report", made, 1, 10, 1)
-    result.lies([(segment << 32 | number, length) for segment, length in spots])
+    result.lies([(segment << 32 | number, length) for segment, length in spans])
     catalogue.add(result)
     return result
 
 
-def test_what_comes_free_is_known_at_once_when_a_result_comes_is_read_or_goes() -> None:
-    catalogue = Catalog(Lifetimes(keep=10.0, unread=5.0, longest=30.0))
+def test_upcoming_expiries_follow_every_add_read_and_removal() -> None:
+    catalogue = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
     catalogue.wrote({1: 300, 2: 300})
-    assert catalogue.frees(0.0) == []
-    one, two = kept(catalogue, 1, 0.0, (1, 100)), kept(catalogue, 2, 1.0, (1, 50))
-    assert catalogue.frees(0.0) == [(5.0, 100, "a"), (6.0, 50, "a")]
-    assert catalogue.frees(0.0, 5.5) == [(5.0, 100, "a")] and catalogue.next_end() == 5.0
-    catalogue.touch(one, 2.0)
-    assert catalogue.frees(0.0) == [(6.0, 50, "a"), (12.0, 100, "a")]
-    catalogue.remove(two)
-    assert catalogue.frees(0.0) == [(12.0, 100, "a")]
-
-
-def test_a_file_goes_when_the_last_of_it_ends_and_not_while_a_drop_in_it_is_needed() -> None:
-    catalogue = Catalog(Lifetimes(keep=10.0, unread=5.0, longest=30.0))
+    assert catalogue.upcoming_expiries(0.0) == []
+    first, second = add_result(catalogue, 1, 0.0, (1, 100)), add_result(catalogue, 2, 1.0, (1, 50))
+    assert catalogue.upcoming_expiries(0.0) == [(5.0, 100, "a"), (6.0, 50, "a")]
+    assert catalogue.upcoming_expiries(0.0, 5.5) == [(5.0, 100, "a")] and catalogue.next_expiry() == 5.0
+    catalogue.touch(first, 2.0)
+    assert catalogue.upcoming_expiries(0.0) == [(6.0, 50, "a"), (12.0, 100, "a")]
+    catalogue.remove(second)
+    assert catalogue.upcoming_expiries(0.0) == [(12.0, 100, "a")]
+
+
+def test_a_file_is_deletable_when_its_last_result_ends_and_no_drop_in_it_is_needed() -> None:
+    catalogue = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
     catalogue.wrote({1: 300, 2: 200, 3: 100})
-    one, two = kept(catalogue, 1, 0.0, (1, 100), (2, 100)), kept(catalogue, 2, 3.0, (2, 100))
-    assert catalogue.clears(0.0) == [(5.0, 300), (8.0, 200)]  # the third is still written
-    catalogue.remove(one)
-    assert catalogue.over(set()) == [1] and catalogue.over({1}) == []
+    first, second = add_result(catalogue, 1, 0.0, (1, 100), (2, 100)), add_result(catalogue, 2, 3.0, (2, 100))
+    assert catalogue.upcoming_deletions(0.0) == [(5.0, 300), (8.0, 200)]  # the third segment is still written
+    catalogue.remove(first)
+    assert catalogue.deletable_segments(set()) == [1] and catalogue.deletable_segments({1}) == []
     drops = catalogue.segments[1].drops
     assert drops is not None
-    drops.append((9, 2))  # something of the ninth may lie in the second file
-    assert catalogue.over(set()) == []
-    catalogue.remove(two)
-    assert catalogue.over(set()) == [1, 2]
-    catalogue.segments[2].copied = True  # an older checkpoint may name what lay there
-    assert catalogue.over(set()) == []
-
-
-def test_a_told_time_waits_for_the_file_as_well_as_for_the_result_and_then_holds() -> None:
-    world, files = World(room=1000.0), [(1.0, 400), (2.0, 600)]
-    world.ledger.expect, used = 100.0, 1000.0
-    world.ledger.clears = lambda now, until: [f for f in files if f[0] <= until]
-    world.ledger.empty = lambda: 1000.0 - used
-    world.fill(1000, 0.5)
-    first = world.ask(mark=1)
-    assert isinstance(first, float) and 1.0 < first < 1.5  # its bytes end at 0.5, and their file goes at 1
-    later = [world.ask(mark=2 + i) for i in range(4)]
-    assert all(isinstance(wait, float) for wait in later) and 2.0 < later[3] < 2.5  # type: ignore[operator]
-    world.go_to(first)
-    assert isinstance(world.ask(), float)  # nothing is deleted yet, and a newcomer has no word
-    assert isinstance(world.ask(mark=1), Reservation) and world.ledger.broken == 0
-
-
-def test_deleting_that_is_slow_moves_the_told_times() -> None:
-    world = World()
-    world.fill(1_000_000, 1.0)
-    quick = world.ask(mark=1)
-    world.ledger.promises.clear()
-    world.ledger.cleared(0.6)
-    slow = world.ask(mark=1)
-    assert isinstance(quick, float) and isinstance(slow, float) and slow == quick - 0.25 + 0.9
-
-
-def test_who_was_told_is_let_in_with_what_it_was_promised_though_sizes_grew() -> None:
-    world = World()
-    world.fill(1_000_000, 1.0)
-    wait = world.ask(mark=1)
+    drops.append((9, 2))  # the second file may hold a record of result 9
+    assert catalogue.deletable_segments(set()) == []
+    catalogue.remove(second)
+    assert catalogue.deletable_segments(set()) == [1, 2]
+    catalogue.segments[2].has_moved_records = True  # an older checkpoint may refer to the moved records
+    assert catalogue.deletable_segments(set()) == []
+
+
+def test_a_promise_waits_for_the_deletion_of_the_file_and_is_then_kept() -> None:
+    scenario, files = AllocatorScenario(room=1000.0), [(1.0, 400), (2.0, 600)]
+    scenario.allocator.default_size, used_bytes = 100.0, 1000.0
+    scenario.allocator.upcoming_deletions = lambda now, until: [f for f in files if f[0] <= until]
+    scenario.allocator.writable_bytes = lambda: 1000.0 - used_bytes
+    scenario.add_held(1000, 0.5)
+    first_wait = scenario.reserve(fingerprint=1)
+    # The result expires at 0.5, but its file is deletable only at 1.
+    assert isinstance(first_wait, float) and 1.0 < first_wait < 1.5
+    later_waits = [scenario.reserve(fingerprint=2 + i) for i in range(4)]
+    assert all(isinstance(wait, float) for wait in later_waits) and 2.0 < later_waits[3] < 2.5  # type: ignore[operator]
+    scenario.advance_to(first_wait)
+    assert isinstance(scenario.reserve(), float)  # nothing is deleted yet, and a new request has no promise
+    assert isinstance(scenario.reserve(fingerprint=1), Reservation) and scenario.allocator.broken_count == 0
+
+
+def test_slow_deletions_delay_the_promised_times() -> None:
+    scenario = AllocatorScenario()
+    scenario.add_held(1_000_000, 1.0)
+    quick_wait = scenario.reserve(fingerprint=1)
+    scenario.allocator.promises.clear()
+    scenario.allocator.record_deletion(0.6)
+    slow_wait = scenario.reserve(fingerprint=1)
+    assert (
+        isinstance(quick_wait, float)
+        and isinstance(slow_wait, float)
+        and slow_wait == quick_wait - 0.25 + 0.9
+    )
+
+
+def test_a_promised_request_gets_the_promised_size_although_sizes_have_grown() -> None:
+    scenario = AllocatorScenario()
+    scenario.add_held(1_000_000, 1.0)
+    wait = scenario.reserve(fingerprint=1)
     assert isinstance(wait, float)
     for _ in range(8):
-        world.ledger.learn("report", 990_000.0)
-    world.go_to(wait)
-    said = world.ask(mark=1)
-    assert isinstance(said, Reservation) and said.size == 100_000
+        scenario.allocator.learn("report", 990_000.0)
+    scenario.advance_to(wait)
+    retried = scenario.reserve(fingerprint=1)
+    assert isinstance(retried, Reservation) and retried.size == 100_000
