--- a/marbleworks/__main__.py
+++ b/marbleworks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: `python -m marbleworks`."""
+"""Runs the command line with `python -m marbleworks`."""
 
 from marbleworks.cli import app
 
--- a/marbleworks/model.py
+++ b/marbleworks/model.py
@@ -1,7 +1,8 @@
-"""The data that all layers share: request classes, deployment rules, engines and the outcomes of attempts.
+"""The data shared by all layers: request classes, deployment rules, engines and outcomes of attempts.
 
-Times are seconds as floats, memory is megabytes, work is seconds on one thread. Engines, request classes,
-tenants, zones and machine kinds are small indices that `settings.Settings` and the engine list give out.
+Times are seconds as floats, memory is in megabytes, work is in seconds on one thread. Engines, request
+classes, tenants, zones and machine kinds are identified by small indices that `settings.Settings` and the
+engine list assign.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a request would do."""
+    """The effect of running a request a second time."""
 
     IDEMPOTENT = "idempotent"
-    """It changes nothing that the first run did not."""
+    """A second run changes nothing that the first did not."""
     IDEMPOTENCY_KEY = "idempotent with a key"
-    """Engines drop it if they know the key, for a limited time and within a limited scope."""
+    """Engines ignore a second run if they recognize the key, for a limited time and in a limited scope."""
     NON_IDEMPOTENT = "non-idempotent"
-    """It takes effect again."""
+    """A second run takes effect again."""
 
 
 class IdempotencyScope(StrEnum):
-    """Which engines know the idempotency key of a request that one of them ran."""
+    """Which engines recognize the idempotency key of a request that one of them ran."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +32,7 @@
 
 
 class EngineStatus(Enum):
-    """What the engine list says of an engine."""
+    """The status of an engine in the engine list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -44,19 +45,19 @@
     ERROR = "error"
     """The engine answered with an error; the request may have run."""
     REJECTED = "rejected"
-    """The engine was full and did not begin it."""
+    """The engine was full and did not start the request."""
     UNREACHABLE = "unreachable"
-    """No connection could be made, and it is not known whether that counts as an attempt."""
+    """No connection was made, and it is unknown whether the engine counts that as an attempt."""
     TIMED_OUT = "timed out"
     """No answer in time; the request may still run."""
     CONNECTION_LOST = "connection lost"
     """The connection broke after the call was sent; the request may still run."""
     CANCELLED = "cancelled"
-    """The router cancelled it; the request may still run."""
+    """The router cancelled the attempt; the request may still run."""
     UNSENT = "unsent"
-    """Nothing was sent, but it counts as an attempt."""
+    """Nothing was sent, but the attempt counts."""
     WITHHELD = "withheld"
-    """Nothing was sent: what allowed the attempt no longer held when it could begin."""
+    """Nothing was sent: the attempt was no longer allowed when it could have started."""
     CONNECTION_REFUSED = "connection refused"
     """Nothing was sent: no process listens at the engine's address."""
     CONNECT_TIMEOUT = "connect timeout"
@@ -64,7 +65,7 @@
 
     @property
     def never_sent(self) -> bool:
-        """Whether no engine has received it, so that it does not count as an attempt."""
+        """Whether no engine received the request, so that the attempt does not count."""
         return self in (
             AttemptOutcome.WITHHELD,
             AttemptOutcome.CONNECTION_REFUSED,
@@ -82,27 +83,27 @@
 
     @property
     def may_still_run(self) -> bool:
-        """Whether the request may go on running at the engine."""
+        """Whether the request may still be running at the engine."""
         return self in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.CANCELLED)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: their weight, their latency target and what may be done with them.
+    """A class of requests: its priority weight, its latency target and the rules for its attempts.
 
     Attributes:
-        priority_weight: what an answer in time is worth.
-        latency_target_s: the latency target of a request without work.
-        latency_target_growth: seconds that the target grows with each second the request runs alone.
-        idempotency: what a second run does.
-        idempotency_scope: which engines know its idempotency key after one of them ran it.
-        idempotency_window_s: for how long they know it.
+        priority_weight: value of an answer within the latency target, relative to other classes.
+        latency_target_s: latency target of a request without work.
+        latency_target_growth: seconds added to the latency target for each second of service time.
+        idempotency: the effect of a second run.
+        idempotency_scope: which engines recognize its idempotency key after one of them ran it.
+        idempotency_window_s: how long they recognize it.
         ordered_by_key: whether requests with the same ordering key run in the order of their arrival.
         allowed_zones: zones that may run it; None: any.
         allowed_machine_kinds: machine kinds that may run it; None: any.
-        threads: the threads that it runs on.
-        is_load: whether it locks its table group on its engine.
-        waits_for_loads: whether it stands still while a load holds its table group.
+        threads: number of threads that a request runs on.
+        is_load: whether a request locks its table group on its engine.
+        waits_for_loads: whether a request waits while a load holds its table group.
     """
 
     priority_weight: float
@@ -121,28 +122,29 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentRules:
-    """What a deployment demands of its routers and what it allows them.
+    """What a deployment requires of its routers and what it permits.
 
     Attributes:
-        slow_start_floor: the share of its capacity that an engine has when it starts.
+        slow_start_floor: share of its capacity that an engine has when it starts.
         slow_start_s: seconds until a started engine has its whole capacity.
-        overload_multiple: an engine in slow start fails when sent more than this multiple of its capacity ...
-        overload_window_s: ... within this time.
-        key_settle_s: seconds for which an ordering key rests after an attempt that may still run.
+        overload_multiple: multiple of its capacity that an engine in slow start fails above, if sent within
+            `overload_window_s`.
+        overload_window_s: time window in which the work sent to an engine in slow start is added up.
+        key_settle_s: seconds that an ordering key is blocked after an attempt that may still run.
         retry_budget_floor: retries allowed in any window, whatever the traffic.
         retry_budget_ratio: further retries for each request of the window; None: retries are not limited.
         retry_budget_window_s: length of that window.
-        max_attempts: attempts of one request.
+        max_attempts: maximum number of attempts of one request.
         allows_hedging: whether two attempts of one request may be in flight together.
-        allows_cancel: whether engines take cancels.
-        accepts_memory_grants: whether engines take the memory that a router grants a request.
+        allows_cancel: whether engines accept cancels.
+        accepts_memory_grants: whether engines accept the memory that a router grants a request.
         allows_peer_messages: whether routers may send each other datagrams.
         allows_probes: whether engines may be asked for their load.
-        engines_swap: whether an engine short of memory begins requests all the same, and all slow down.
-        connect_timeout_s: the time within which a connection to an engine is made, or not at all.
-        max_retry_after_s: the longest Retry-After that clients honour; 0: none may be named.
+        engines_swap: whether an engine short of memory starts requests anyway and slows all of them down.
+        connect_timeout_s: time limit for connecting to an engine.
+        max_retry_after_s: the longest Retry-After that clients honour; 0: no Retry-After may be sent.
         over_quota_weight: factor on the priority weight of a request beyond its tenant's quota.
-        tenant_rates_per_s: requests a second within each tenant's quota, all routers together.
+        tenant_rates_per_s: each tenant's quota in requests per second, for all routers together.
     """
 
     slow_start_floor: float
@@ -168,12 +170,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetInfo:
-    """What the settings say of the fleet before any engine list arrives.
+    """What the settings say about the fleet before any engine list arrives.
 
     Attributes:
-        router_count: routers of the fleet; 0 where the settings do not say.
-        router_index: this router among them, from 0; -1 where the settings do not say.
-        zone: this router's zone; -1 where the settings do not say.
+        router_count: number of routers in the fleet; 0 if the settings do not say.
+        router_index: index of this router, from 0; -1 if the settings do not say.
+        zone: this router's zone; -1 if the settings do not say.
         cores_by_kind: cores of an engine, by machine kind.
         memory_mb_by_kind: memory of an engine, by machine kind.
     """
@@ -187,16 +189,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEntry:
-    """One engine as the engine list has it.
+    """One engine in the engine list.
 
     Attributes:
-        engine_id: its index, which stays while it is listed.
+        engine_id: its index, constant as long as it is listed.
         name: its name, the same at every router.
-        zone: its zone; -1 where it is none of the settings'.
-        machine_kind: its machine kind; -1 where it is none of the settings'.
-        cell: its cell for the scope of idempotency keys; -1 where the list does not say.
-        status: what the list says of it.
-        started_at: Unix time of its process's start; 0: long ago.
+        zone: its zone; -1 if the settings do not name it.
+        machine_kind: its machine kind; -1 if the settings do not name it.
+        cell: its cell, for the scope of idempotency keys; -1 if the list does not say.
+        status: its status in the list.
+        started_at: Unix time at which its process started; 0: long ago.
     """
 
     engine_id: int
@@ -209,30 +211,30 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether it takes new requests."""
+        """Whether the engine takes new requests."""
         return self.status is EngineStatus.UP
 
     @property
     def is_gone(self) -> bool:
-        """Whether it has left the fleet."""
+        """Whether the engine has left the fleet."""
         return self.status is EngineStatus.GONE
 
 
 class ResourceUsage(NamedTuple):
-    """What a request takes: declared by its client before it runs, measured by its engine after."""
+    """What a request uses: declared by its client before it runs, measured by its engine after."""
 
-    work_s: float  # on one thread
+    work_s: float  # seconds on one thread
     memory_mb: float
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine last reported of its load; a field is None where it does not report it.
+    """The load that an engine last reported; a field is None if the engine does not report it.
 
     Attributes:
-        in_flight: requests that run.
-        waiting_for_memory: requests that wait for memory.
-        memory_granted: share of its memory that is granted.
+        in_flight: number of running requests.
+        waiting_for_memory: number of requests that wait for memory.
+        memory_granted: share of the engine's memory that is granted.
         disks_busy: share of the time that its disks are busy.
     """
 
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -1,7 +1,7 @@
-"""The protocols by which layers are joined: what one layer asks of another without importing it.
+"""Protocols between layers: what one layer requires of another without importing it.
 
-Times are seconds as floats, memory is megabytes, work is seconds on one thread. Engines, request classes and
-tenants are named by the small indices that the platform gives out.
+Times are seconds as floats, memory is in megabytes, work is in seconds on one thread. Engines, request
+classes and tenants are identified by the small indices that the platform assigns.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     """A result cannot be stored.
 
     Attributes:
-        retry_after_s: Seconds until a result may be stored again; infinite where that is not known.
+        retry_after_s: seconds until a result may be stored again; infinite if that is not known.
     """
 
     def __init__(self, retry_after_s: float, reason: str) -> None:
@@ -37,43 +37,50 @@
 
 
 class PageUnavailable(str, Enum):
-    """Why there is no page; the values are in answers to clients."""
+    """Why a page is not available; the values are sent to clients."""
 
-    BUSY = "busy"  # now; all others are final
-    UNKNOWN_RESULT = "no such result"  # unknown, expired, released and other tenants' tokens alike
+    BUSY = "busy"  # temporary; all other reasons are final
+    UNKNOWN_RESULT = "no such result"  # token unknown, expired, released or of another tenant
     UNKNOWN_PAGE = "no such page"
     LOST = "the result is lost"
 
 
 class ResultWriter(Protocol):
-    """Takes the rows of one attempt's result in order.
+    """Writes the rows of one attempt's result in order.
 
-    A method that raises `ResultNotStoredError` has discarded what was written before.
+    A method that raises `ResultNotStoredError` has discarded everything written before.
     """
 
     def write(self, rows: bytes, deadline: float) -> None:
-        """Appends whole rows; may block until the deadline (Unix seconds).
+        """Appends whole rows; may block until the deadline.
+
+        Args:
+            rows: the encoded rows.
+            deadline: Unix time by which the rows have to be taken.
 
         Raises:
-            ResultNotStoredError: The rows were not taken by then.
+            ResultNotStoredError: the rows were not taken by the deadline.
         """
 
     def commit(self, deadline: float) -> StoredResult:
-        """Returns once all is durable.
+        """Returns the stored result once it is durable.
+
+        Args:
+            deadline: Unix time by which the result has to be durable.
 
         Raises:
-            ResultNotStoredError: The result was not durable by the deadline.
+            ResultNotStoredError: the result was not durable by the deadline.
         """
 
     def discard(self) -> None:
-        """Drops what was written; without effect once the result is committed."""
+        """Discards what was written; has no effect once the result is committed."""
 
 
 class ResultReservation(Protocol):
-    """Storage reserved for the result of one request.
+    """Space reserved for the result of one request.
 
     Attributes:
-        retry_after_s: None where room was reserved, or the seconds until there is some.
+        retry_after_s: seconds until there may be space; None if space was reserved.
     """
 
     retry_after_s: float | None
@@ -82,42 +89,45 @@
         """Returns the writer for one attempt's result."""
 
     def release(self) -> None:
-        """Returns what is unused: the request has its final answer and no attempt of it is in flight."""
+        """Frees the unused part of the reservation.
+
+        Called when the request has its final answer and no attempt in flight.
+        """
 
     def discard_result(self, result_fields: dict[str, str]) -> None:
-        """Removes the committed result that these fields describe: it reaches no client."""
+        """Removes the committed result described by these fields, which reaches no client."""
 
 
 class ResultStore(Protocol):
     """Stored results, as client sessions use them.
 
     Attributes:
-        page_timeout_s: Seconds that a client may take to read a page.
+        page_timeout_s: seconds that a client may take to read a page.
     """
 
     page_timeout_s: float
 
     def reserve(self, tenant: str, profile: str, statement: bytes) -> ResultReservation:
-        """Reserves room for the result of a statement, as far as there is any."""
+        """Reserves space for the result of a statement, if there is any."""
 
     def read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
-        """Returns a page (numbered from 1), or the reason why there is none.
+        """Returns a page (numbered from 1), or the reason why it is not available.
 
-        May block. A page that is returned counts as held in memory until `page_delivered`.
+        May block. A returned page counts as held in memory until `page_delivered` is called.
         """
 
     def page_delivered(self) -> None:
-        """A page that `read_page` returned is no longer held in memory."""
+        """Records that a page returned by `read_page` is no longer held in memory."""
 
     def release(self, token: str, tenant: str) -> bool:
-        """Removes a result; False where the tenant has none under this token."""
+        """Removes a result; returns False if the tenant has none with this token."""
 
 
 class RequestAdmission(Protocol):
-    """Decides when a request reaches the scheduler, in the dispatcher's greenlet.
+    """Decides when a request is passed to the scheduler; runs in the dispatcher's greenlet.
 
-    `enqueue` takes what `Dispatcher.admit` takes and calls that once for each request whose client does not
-    disconnect before.
+    `enqueue` takes the arguments of `Dispatcher.admit` and calls it once for each request, unless the client
+    disconnects first.
     """
 
     def enqueue(
@@ -126,66 +136,96 @@
         """Takes a new request."""
 
     def on_client_disconnect(self, ref: str) -> bool:
-        """Drops a waiting request; False where it was admitted before or is unknown."""
+        """Removes a waiting request; returns False if it was admitted before or is unknown."""
 
     def on_answer(self, ref: str, need: tuple[float, float] | None) -> None:
-        """An engine answered an admitted request. need: its work (s) and memory (MB), where reported."""
+        """Records that an engine answered an admitted request.
+
+        Args:
+            ref: the request.
+            need: its work (s) and memory (MB); None if the engine does not report them.
+        """
 
     def on_final_answer(self, ref: str, shed: bool) -> None:
-        """An admitted request is settled; shed: without having been answered for want of capacity."""
+        """Records that an admitted request is settled.
+
+        Args:
+            ref: the request.
+            shed: whether it was shed for lack of capacity.
+        """
 
     def engines_changed(self) -> None:
-        """The list of engines changed."""
+        """Handles a change of the engine list."""
 
     def stop(self) -> None:
-        """Rejects all that waits: the router stops."""
+        """Rejects all waiting requests, because the router stops."""
 
 
 class SharedBudgets(Protocol):
-    """What this router may use of the budgets that it shares with others, as the scheduler sees it.
+    """This router's part of the budgets shared among routers, as the scheduler uses it.
 
-    It says how much may be used; which engine, whether to retry and what to shed stay with the scheduler.
-    class_index, tenant and engine_id are the platform's indices.
+    The budgets limit how much may be used. The scheduler decides which engine runs a request, whether to
+    retry it and what to shed. class_index, tenant and engine_id are the platform's indices.
+
+    Attributes:
+        begin_by: latest start of the attempt that was acquired last; infinite if there is no limit.
     """
 
-    begin_by: float  # the latest start of the attempt that was last acquired; infinite mostly
+    begin_by: float
 
     def admission_wait(self, ref: str, class_index: int, tenant: int, wait_budget_s: float) -> float | None:
-        """Returns None if the request may be sent or wait for its turn within wait_budget_s.
+        """Returns None if the request may be sent or may wait for a free unit.
 
-        Otherwise the seconds after which its client may try again.
+        Otherwise returns the seconds after which its client may try again.
+
+        Args:
+            ref: the request.
+            class_index: its request class.
+            tenant: its tenant.
+            wait_budget_s: the longest time that it can wait.
         """
 
     def is_within_quota(self, ref: str, tenant: int) -> bool | None:
-        """Returns whether the tenant is within its quota, None where quotas are not divided here."""
+        """Returns whether the tenant is within its quota; None if quotas are not divided here."""
 
     def has_room(self, ref: str, class_index: int, tenant: int, engine_id: int) -> bool:
         """Returns whether one more attempt may be in flight at the engine."""
 
     def max_in_flight(self) -> float:
-        """Returns how many requests may be in flight at all engines; infinite if engines have no budget."""
+        """Returns the maximum of requests in flight at all engines; infinite without engine budgets."""
 
     def retry_allowance(self, spare: float, earned: float) -> float:
-        """Returns how many retries may be made, in place of those that this router earned by itself."""
+        """Returns how many retries may be made, in place of those that this router earned itself.
+
+        Args:
+            spare: multiple of the retries, including the new one, that the budget has to cover.
+            earned: the retries that this router earned itself.
+        """
 
     def slow_start_share(self, engine_id: int) -> float | None:
-        """Returns our part of what a warming engine bears; None where that is not divided here."""
+        """Returns this router's share of a warming engine's floor; None if it is not divided here."""
 
     def acquire(self, ref: str, attempt_no: int, class_index: int, tenant: int, engine_id: int) -> None:
         """Counts an attempt that is about to start."""
 
     def release(self, ref: str, attempt_no: int, may_still_run: bool) -> None:
-        """Counts an attempt as ended. may_still_run: its engine may go on with it."""
+        """Counts an attempt as ended.
+
+        Args:
+            ref: the request.
+            attempt_no: the number of the attempt.
+            may_still_run: whether the engine may still be running it.
+        """
 
     def stop_waiting(self, ref: str) -> None:
-        """The request is completed and waits for no budget."""
+        """Records that the request is completed and waits for no budget."""
 
     def engines_changed(self) -> None:
-        """Engines were added or removed."""
+        """Handles engines that were added or removed."""
 
 
 class SchedulerPort(Protocol):
-    """What the scheduler asks of the platform. A request is named by the ref it was submitted with."""
+    """What the scheduler requires of the platform; requests are named by the ref of their submission."""
 
     def now(self) -> float:
         """Returns the time in seconds."""
@@ -193,32 +233,49 @@
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
         """Sends a request to an engine; the attempts of one request are numbered from 0.
 
-        The platform ends it at the deadline. It withdraws an attempt of which no byte has left by begin_by,
-        whose engine drains or whose client has gone.
+        The platform ends the attempt at the deadline. It withdraws an attempt of which nothing was sent by
+        `begin_by`, whose engine drains or whose client has disconnected.
+
+        Args:
+            ref: the request.
+            engine_id: the engine.
+            deadline: time (s) at which the attempt ends.
+            begin_by: time (s) by which the first byte has to be sent.
         """
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
         """Cancels an attempt that is in flight."""
 
     def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
-        """Sets the priority, at once, and the memory of later attempts; 0 leaves that to the engine."""
+        """Sets the terms of a request.
+
+        Args:
+            ref: the request.
+            priority: priority at the engine, applied at once.
+            memory_mb: memory granted to later attempts; 0 leaves the amount to the engine.
+        """
 
     def shed(self, ref: str, retry_after_s: float) -> None:
-        """Answers that the request was not run and when its client may try again."""
+        """Answers that the request was not run.
+
+        Args:
+            ref: the request.
+            retry_after_s: seconds after which the client may try again.
+        """
 
     def fail(self, ref: str) -> None:
         """Answers that the request failed."""
 
     def probe_load(self, engine_id: int) -> None:
-        """Asks an engine for its load; the answer comes to `Scheduler.on_probe_result`."""
+        """Asks an engine for its load; the result is passed to `Scheduler.on_probe_result`."""
 
     def broadcast(self, data: bytes) -> None:
         """Sends a load update to all other routers."""
 
     def schedule_wakeup(self, at: float) -> None:
-        """Has `Scheduler.on_timer` be called by then.
+        """Requests a call of `Scheduler.on_timer` by the given time.
 
-        A platform may keep only the earliest time until it has called it.
+        A platform may keep only the earliest requested time until it has made the call.
         """
 
     def log(self, text: str) -> None:
--- a/marbleworks/settings.py
+++ b/marbleworks/settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings of a deployment, and is the only place that knows their names.
+"""Decodes the settings of a deployment; the only module that knows the names of the settings.
 
-Both platforms, the router on sockets and the simulation, read their settings here. Everything behind this
-module uses the types of `model.py`.
+Both platforms, the router on sockets and the simulation, read their settings here. All other modules use the
+types of `model.py`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 
 UNKNOWN_INDEX = -1
-"""Stands for a zone or machine kind that the settings do not name."""
+"""Index of a zone or machine kind that the settings do not name."""
 
 IDEMPOTENCY_BY_SETTING = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -38,26 +38,29 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be read, with the part that is wrong."""
+    """Settings that cannot be read; the message names the missing or invalid part."""
 
 
 class Settings:
-    """The settings of one router, decoded.
+    """The decoded settings of one router.
 
     Args:
-        raw: the settings as JSON decodes them.
+        raw: the settings as decoded from JSON.
 
     Attributes:
-        zone_index: index of each zone by its name; so for machine kinds, tenants and request classes.
+        zone_index: index of each zone by its name.
+        machine_kind_index: index of each machine kind by its name.
+        tenant_index: index of each tenant by its name.
+        class_index: index of each request class by its name.
         request_classes: the request classes, by index.
         client_timeouts_s: how long clients wait for an answer, by request class.
         load_report_columns: the names of a load report's columns, in order.
-        idle_timeout_s: after this time an idle connection to an engine is closed.
-        rules: what the deployment demands and allows.
-        fleet: what is known of the fleet before any engine list arrives.
+        idle_timeout_s: time after which an idle connection to an engine is closed.
+        rules: what the deployment requires and permits.
+        fleet: what is known about the fleet before any engine list arrives.
 
     Raises:
-        SettingsError: a setting is missing or has a value that it may not have.
+        SettingsError: a setting is missing or has an invalid value.
     """
 
     def __init__(self, raw: Any) -> None:
@@ -112,13 +115,22 @@
         self,
         engine_id: int,
         name: str,
-        words: tuple[str, str],
+        zone_and_kind: tuple[str, str],
         cell: int,
         status: EngineStatus,
         started_at: float,
     ) -> EngineEntry:
-        """Makes an engine's entry from an engine list's words; words: its zone and its machine kind."""
-        zone, machine_kind = words
+        """Returns the entry of an engine from the fields of an engine list.
+
+        Args:
+            engine_id: the index assigned to the engine.
+            name: its name.
+            zone_and_kind: the names of its zone and its machine kind.
+            cell: its cell; -1 if the list does not say.
+            status: its status in the list.
+            started_at: Unix time at which its process started; 0: long ago.
+        """
+        zone, machine_kind = zone_and_kind
         return EngineEntry(
             engine_id,
             name,
@@ -130,28 +142,33 @@
         )
 
     def load_report(self, values: Mapping[str, str]) -> LoadReport | None:
-        """Reads a load report from its columns' values by name; None where there are no values.
+        """Decodes a load report; returns None if there are no values.
+
+        Args:
+            values: the values of the report, by column name.
 
         Raises:
-            ValueError: a value is no number, is below 0 or is not finite.
+            ValueError: a value is not a number, is below 0 or is not finite.
         """
         if not values:
             return None
-        known = {
+        reported_values = {
             LOAD_REPORT_FIELDS[name]: float(value)
             for name, value in values.items()
             if name in LOAD_REPORT_FIELDS
         }
-        if not all(0 <= value < math.inf for value in known.values()):
-            raise ValueError("a load report out of range")
-        return LoadReport(**known)
+        if not all(0 <= value < math.inf for value in reported_values.values()):
+            raise ValueError("load report out of range: each value must be finite and at least 0")
+        return LoadReport(**reported_values)
 
 
 def _index(names: Iterable[str]) -> dict[str, int]:
+    """Returns the index of each name, in the order of the names."""
     return {name: i for i, name in enumerate(names)}
 
 
 def _indices(names: list[str] | None, index: dict[str, int]) -> tuple[int, ...] | None:
+    """Returns the indices of the names; None if there are no names."""
     return None if not names else tuple(index.get(name, UNKNOWN_INDEX) for name in names)
 
 
--- a/marbleworks/startup_signals.py
+++ b/marbleworks/startup_signals.py
@@ -1,7 +1,7 @@
-"""Records signals that arrive while a router is still being imported and wired.
+"""Records signals that arrive while a router is still importing modules and starting up.
 
-Without it SIGHUP would end the process, and SIGTERM would end it without a planned stop. Nothing slow may be
-imported here: until this module is imported, signals have their default effect.
+Without this module, SIGHUP would end the process, and SIGTERM would end it without an orderly shutdown. This
+module must not import anything slow: signals have their default effect until it is imported.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class StartupSignals:
-    """Records signals from its creation until other handlers are set.
+    """Records signals from its creation until other handlers are installed.
 
     Attributes:
         received: the numbers of the signals that arrived.
