--- a/marbleworks/scheduling/__init__.py
+++ b/marbleworks/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling decisions: which engine runs a request, whether it is retried, what is shed."""
+"""Scheduling decisions: which engine runs a request, whether it is retried and what is shed."""
--- a/marbleworks/scheduling/attempt_start.py
+++ b/marbleworks/scheduling/attempt_start.py
@@ -1,4 +1,4 @@
-"""Starts attempts: the last check of the rules, the terms and what each attempt counts in."""
+"""Starts attempts: checks the rules a last time, sets the terms and updates all counts."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 CHEAP_PRIORITY = 3
 LOAD_PRIORITY = 2
 NORMAL_PRIORITY = 1
-MEMORY_GRANT_RATIO = 1.15  # of the estimate
+MEMORY_GRANT_RATIO = 1.15  # memory granted, as a multiple of the corrected estimate
 
 
 class AttemptStarter:
-    """Sends requests to engines. start_slack_s: how long after its decision an attempt may leave."""
+    """Sends requests to engines.
 
-    def __init__(  # noqa: PLR0913 - each part is one that an attempt counts in
+    Args:
+        start_slack_s: the longest time (s) between the decision to start an attempt and its first byte.
+    """
+
+    def __init__(  # noqa: PLR0913 - each of these parts checks or counts attempts
         self,
         port: SchedulerPort,
         rules: DeploymentRules,
@@ -72,10 +76,11 @@
         request.in_flight.append(attempt)
         request.tried_engines.append(engine)
         self._pool.add_attempt(attempt)
-        self._port.start_attempt(request.ref, engine_id, request.answer_by, begin_by)
+        self._port.start_attempt(request.ref, engine_id, request.attempts_deadline, begin_by)
         return True
 
     def _set_terms(self, request: RequestState) -> None:
+        """Sets the priority and the memory grant of the request's next attempt."""
         if request.work <= self._estimates.cheap_threshold:
             priority = CHEAP_PRIORITY
         else:
@@ -85,16 +90,17 @@
         self._port.set_attempt_terms(request.ref, priority, memory_mb)
 
     def _begin_by(self, request: RequestState, engine: EngineState, now: float) -> float:
-        """Returns the latest moment for an attempt's first byte: until then all rules still allow it.
+        """Returns the time until which all rules still allow the attempt to start.
 
-        Descriptors and connections may keep it waiting.
+        The first byte may leave later than the decision, because the attempt may wait for a file descriptor
+        or a connection.
         """
-        begin_by = request.answer_by
+        begin_by = request.attempts_deadline
         if self.shared_budgets is not None:
             begin_by = min(begin_by, self.shared_budgets.begin_by)
         if request.counted_attempts or self._slow_start.is_warming(engine, now):
             begin_by = min(begin_by, now + self._start_slack_s)
         has_key = request.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
-        if has_key and (request.may_have_run is not None or request.in_flight):
-            begin_by = min(begin_by, self._retry_budget.repeat_by(request))
+        if has_key and (request.earliest_possible_run is not None or request.in_flight):
+            begin_by = min(begin_by, self._retry_budget.repeat_deadline(request))
         return begin_by
--- a/marbleworks/scheduling/attempt_watch.py
+++ b/marbleworks/scheduling/attempt_watch.py
@@ -1,4 +1,4 @@
-"""Looks at attempts in flight: silent engines, runaway plans, answers that will come too late."""
+"""Watches attempts in flight for silent engines and for runaway plans, and moves them to other engines."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from marbleworks.scheduling.request_state import RequestState
     from marbleworks.scheduling.retry_budget import RetryBudget
 
-OVERDUE_RATIO = 3.0  # times its expected time after which an attempt is overdue ...
-OVERDUE_S = 0.7  # ... and so much more
-MIN_OVERDUE_GROUPS = 2  # an engine is silent when attempts of so many table groups are overdue there ...
-SILENCE_S = 1.0  # ... and it was not heard for so long
-RUNAWAY_RATIO = 5.0  # times its expected time that an attempt may still need before it is moved
-RUNAWAY_S = 1.0  # and so much more
-UNREPORTED_RATIO = 2.0  # times what it ran that an attempt is thought to need without a progress note ...
-UNREPORTED_RATIO_READER = 1.0  # ... and where it may wait for a load
-MOVE_SPARE = 2.0  # moves leave half of the retry budget
+OVERDUE_RATIO = 3.0  # multiple of its expected time in an attempt's overdue limit
+OVERDUE_S = 0.7  # fixed part of an attempt's overdue limit
+MIN_OVERDUE_GROUPS = 2  # table groups with overdue attempts before an engine counts as silent
+SILENCE_S = 1.0  # time without contact before an engine counts as silent
+RUNAWAY_RATIO = 5.0  # multiple of its expected time in the limit on an attempt's remaining time
+RUNAWAY_S = 1.0  # fixed part of the limit on an attempt's remaining time
+UNREPORTED_RATIO = 2.0  # remaining over elapsed time, assumed without a progress report
+UNREPORTED_RATIO_READER = 1.0  # remaining over elapsed time, assumed for a reader that may wait for a load
+MOVE_BUDGET_FACTOR = 2.0  # moves may use half of the retry budget, the rest is for other retries
 
 
 class AttemptWatch:
-    """Moves attempts that hang to other engines."""
+    """Moves attempts that hang or run away to other engines."""
 
     def __init__(
         self,
@@ -48,21 +48,22 @@
         self._start_attempt = start_attempt
 
     def check(self, now: float) -> None:
-        """Ejects silent engines and moves their overdue attempts, and those that run away."""
+        """Ejects silent engines and moves their overdue attempts; moves runaway attempts."""
         self._move_from_silent_engines(now)
         for attempt in [a for a in self._pool.in_flight if not a.is_stalled and not a.is_cancelled]:
-            # A runaway plan is drawn anew for each attempt; if the next runs away too, the estimate is off.
+            # Each attempt gets a new query plan. If the next one runs away too, the estimate is wrong rather
+            # than the plan, so the limit doubles with each move.
             request = attempt.request
             max_ratio = RUNAWAY_RATIO * 2.0**request.runaway_count
-            longest = max_ratio * request.solo_time_s() * attempt.engine.pace + RUNAWAY_S
-            if _remaining_time(attempt, now) > longest and self._move(attempt, now):
+            max_remaining_s = max_ratio * request.service_time_s() * attempt.engine.pace + RUNAWAY_S
+            if _remaining_time_s(attempt, now) > max_remaining_s and self._move(attempt, now):
                 request.runaway_count += 1
 
     def _move_from_silent_engines(self, now: float) -> None:
         overdue = [
             a
             for a in self._pool.in_flight
-            if now - a.started_at > OVERDUE_RATIO * a.request.solo_time_s() * a.engine.pace + OVERDUE_S
+            if now - a.started_at > OVERDUE_RATIO * a.request.service_time_s() * a.engine.pace + OVERDUE_S
         ]
         for attempt in overdue:
             engine = attempt.engine
@@ -72,17 +73,17 @@
                 self._move(attempt, now)
 
     def _move(self, attempt: Attempt, now: float) -> bool:
-        """Starts another attempt elsewhere and cancels this one, where effect and budget allow that."""
+        """Starts another attempt elsewhere and cancels this one, if idempotency and retry budget allow it."""
         request = attempt.request
         if request.completed or attempt.is_cancelled or len(request.in_flight) > 1:
             return False
         if not self._rules.allows_cancel or not self._retry_budget.may_retry(request, now):
             return False
-        # A shared retry budget learns from each question how much is wanted: it is asked for every engine.
+        # The shared retry budget measures demand by these calls, so it is asked for every engine.
         alternatives = [
             e
             for e in self._placement.candidates(request, now)
-            if e is not attempt.engine and self._retry_budget.may_retry(request, now, MOVE_SPARE)
+            if e is not attempt.engine and self._retry_budget.may_retry(request, now, MOVE_BUDGET_FACTOR)
         ]
         if not alternatives:
             return False
@@ -92,9 +93,10 @@
         return True
 
 
-def _remaining_time(attempt: Attempt, now: float) -> float:
+def _remaining_time_s(attempt: Attempt, now: float) -> float:
+    """Returns the estimated remaining time of an attempt."""
     ran = now - attempt.started_at
     if attempt.progress:
         return ran * ((1.0 - attempt.progress) / attempt.progress)
-    waits = attempt.request.request_class.waits_for_loads
-    return ran * (UNREPORTED_RATIO_READER if waits else UNREPORTED_RATIO)
+    may_wait = attempt.request.request_class.waits_for_loads
+    return ran * (UNREPORTED_RATIO_READER if may_wait else UNREPORTED_RATIO)
--- a/marbleworks/scheduling/key_order.py
+++ b/marbleworks/scheduling/key_order.py
@@ -1,4 +1,4 @@
-"""Requests of one ordering key run one after the other."""
+"""Runs the requests of one ordering key one after the other."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class KeyOrder:
-    """A queue of requests for each ordering key; its head may be sent."""
+    """A queue of requests for each ordering key; only the head of a queue may be sent."""
 
     def __init__(self) -> None:
         self.queues: dict[str, list[RequestState]] = {}
 
     def add(self, request: RequestState, ordering_key: str) -> None:
-        """Puts a request at the end of its key's queue."""
+        """Appends a request to the queue of its key."""
         request.ordering_key = ordering_key
         self.queues.setdefault(ordering_key, []).append(request)
 
     def has_turn(self, request: RequestState, now: float) -> bool:
-        """Returns whether no earlier request of its key can still take effect."""
+        """Returns whether no earlier request of the same key can still take effect."""
         if not request.ordering_key:
             return True
         queue = self.queues[request.ordering_key]
-        while queue[0] is not request and queue[0].has_settled(now):
+        while queue[0] is not request and queue[0].cannot_take_effect(now):
             queue.pop(0)
         return queue[0] is request
 
     def prune(self, now: float) -> None:
-        """Forgets keys of which no request can still take effect."""
+        """Removes keys none of whose requests can still take effect."""
         self.queues = {
             key: queue
             for key, queue in self.queues.items()
-            if not all(request.has_settled(now) for request in queue)
+            if not all(request.cannot_take_effect(now) for request in queue)
         }
--- a/marbleworks/scheduling/latency.py
+++ b/marbleworks/scheduling/latency.py
@@ -1,4 +1,8 @@
-"""Pace, by engine and over the fleet: how many times its time alone a request takes."""
+"""Measures the pace of each engine and of the fleet.
+
+The pace is the slowdown of requests: elapsed time over service time, the time that a request takes on an idle
+engine.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +14,29 @@
 if TYPE_CHECKING:
     from marbleworks.scheduling.engine_state import Attempt, EnginePool
 
-SLOW_PACE = 1.6  # an engine above it is under pressure
-STRAINED_RATIO = 0.25  # close calls among the answers from which on the fleet is strained
+SLOW_PACE = 1.6  # pace above which an engine is under pressure
+OVERLOAD_RATIO = 0.25  # share of close calls above which the fleet is overloaded
 MIN_PACE_SAMPLES = 3
-MIN_ANSWERS = 4  # an idle fleet is not strained by the few answers that it gives
+MIN_OVERLOAD_SAMPLES = 4  # minimum sample count, so that few answers of an idle fleet do not signal overload
 
 
 def observed_pace(
     slowdowns: deque[TimedValue], in_flight: list[Attempt], now: float, default: float
 ) -> float:
-    """Returns the median of recent slowdowns and of attempts that are late by now, at least 1.
+    """Returns the median pace of recent answers and of attempts that are already late.
+
+    Args:
+        slowdowns: measured paces; those older than HISTORY_S are removed.
+        in_flight: attempts in flight, of which those slower than SLOW_PACE count.
+        now: the current time (s).
+        default: the result if there are too few measurements.
 
-    Returns the default where there are too few of both.
+    Returns:
+        The median, at least 1.
     """
     drop_until(slowdowns, now - HISTORY_S)
     running = [
-        (now - attempt.started_at) / (attempt.request.solo_time_s() + TIME_MARGIN_S)
+        (now - attempt.started_at) / (attempt.request.service_time_s() + TIME_MARGIN_S)
         for attempt in in_flight
         if not attempt.is_stalled
     ]
@@ -34,36 +45,38 @@
 
 
 class LatencyMonitor:
-    """The paces of the fleet and of its engines, and whether the fleet is strained."""
+    """The paces of the fleet and of its engines, and whether the fleet is overloaded."""
 
     def __init__(self, pool: EnginePool) -> None:
         self._pool = pool
         self.slowdowns: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)
         self.close_calls: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)  # 1 for each close call, else 0
         self.fleet_pace = 1.0
-        self.slow_quartile_pace = 1.0  # of the slower quarter of the last answers
-        self.is_strained = False
+        self.upper_quartile_pace = 1.0  # 75th percentile of the paces of recent answers
+        self.is_overloaded = False
 
-    def record_answer(self, attempt: Attempt, finished_at: float, solo_time_s: float) -> None:
-        """Adds the pace of an attempt that was answered."""
+    def record_answer(self, attempt: Attempt, finished_at: float, service_time_s: float) -> None:
+        """Records the pace of an attempt that was answered."""
         self.close_calls.append((finished_at, attempt.request.close_call(finished_at)))
-        pace = (finished_at - attempt.started_at) / (solo_time_s + TIME_MARGIN_S)
+        pace = (finished_at - attempt.started_at) / (service_time_s + TIME_MARGIN_S)
         attempt.engine.slowdowns.append((finished_at, pace))
         self.slowdowns.append((finished_at, pace))
 
     def record_rejection(self, now: float) -> None:
-        """Adds an attempt that a full engine rejected: a close call."""
+        """Records that a full engine rejected an attempt, which counts as a close call."""
         self.close_calls.append((now, 1.0))
 
     def refresh(self, now: float) -> None:
-        """Works the paces out anew."""
+        """Recomputes all paces and whether the fleet is overloaded."""
         in_flight = self._pool.in_flight
         self.fleet_pace = observed_pace(self.slowdowns, in_flight, now, 1.0)
         for engine in self._pool.up:
             engine.pace = observed_pace(engine.slowdowns, engine.in_flight, now, self.fleet_pace)
         paces = sorted([pace for _, pace in self.slowdowns] or [1.0])
-        self.slow_quartile_pace = paces[3 * len(self.slowdowns) // 4]
-        close = sum(was_close for _, was_close in drop_until(self.close_calls, now - HISTORY_S))
-        close += sum(attempt.request.close_call(now) for attempt in in_flight)
-        answers = max(len(self.close_calls) + len(in_flight), MIN_ANSWERS)
-        self.is_strained = close > STRAINED_RATIO * answers
+        self.upper_quartile_pace = paces[3 * len(self.slowdowns) // 4]
+        close_call_count = sum(
+            is_close_call for _, is_close_call in drop_until(self.close_calls, now - HISTORY_S)
+        )
+        close_call_count += sum(attempt.request.close_call(now) for attempt in in_flight)
+        sample_count = max(len(self.close_calls) + len(in_flight), MIN_OVERLOAD_SAMPLES)
+        self.is_overloaded = close_call_count > OVERLOAD_RATIO * sample_count
--- a/marbleworks/scheduling/load_shedding.py
+++ b/marbleworks/scheduling/load_shedding.py
@@ -1,4 +1,4 @@
-"""Which requests are given up, and how their clients are answered."""
+"""Decides which requests are given up and how their clients are answered."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LoadShedder:
-    """Gives up requests that can't be answered in time."""
+    """Gives up requests that cannot be answered in time."""
 
     def __init__(self, port: SchedulerPort, rules: DeploymentRules, latency: LatencyMonitor) -> None:
         self._port = port
@@ -22,34 +22,40 @@
         self._latency = latency
 
     def is_too_late(self, request: RequestState, now: float) -> bool:
-        """Returns whether its time alone no longer fits at the pace of the slower quarter of answers.
+        """Returns whether the remaining time is too short for the request.
 
-        On a strained fleet it has to fit before the latency target: late answers take capacity from requests
-        that are still in time.
+        Its service time has to fit before its deadline. On an overloaded fleet, its service time at the
+        upper-quartile pace has to fit before its latency target, because late answers take capacity from
+        requests that are still in time.
         """
-        pace = self._latency.slow_quartile_pace
-        solo_time_s = request.solo_time_s()
-        if self._latency.is_strained and now + solo_time_s * pace > request.target_at:
+        pace = self._latency.upper_quartile_pace
+        service_time_s = request.service_time_s()
+        if self._latency.is_overloaded and now + service_time_s * pace > request.target_at:
             return True
-        return now + solo_time_s * min(pace, 1.0) >= request.answer_by
+        return now + service_time_s * min(pace, 1.0) >= request.attempts_deadline
 
-    def answer(self, request: RequestState, retry_after_s: float | None) -> None:
-        """Sheds a request where another try is known to do no harm, else fails it.
+    def shed_or_fail(self, request: RequestState, retry_after_s: float | None) -> None:
+        """Sheds a request that may safely be repeated and fails any other.
 
-        retry_after_s: when another try may find what this one lacked; None if nothing is known of that.
+        Args:
+            request: the request to answer.
+            retry_after_s: seconds until what it lacked may be available; None if that is not known.
         """
         if not self._is_safe_to_repeat(request):
             self._port.fail(request.ref)
             return
-        longest = self._rules.max_retry_after_s
-        self._port.shed(request.ref, longest if retry_after_s is None else min(longest, retry_after_s))
+        max_retry_after_s = self._rules.max_retry_after_s
+        self._port.shed(
+            request.ref, max_retry_after_s if retry_after_s is None else min(max_retry_after_s, retry_after_s)
+        )
 
     @staticmethod
     def _is_safe_to_repeat(request: RequestState) -> bool:
+        """Returns whether the client may send the request again without a second effect."""
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if request.may_have_run is None and not request.in_flight:
+        if request.earliest_possible_run is None and not request.in_flight:
             return True
         return (
             request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
--- a/marbleworks/scheduling/outcomes.py
+++ b/marbleworks/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""What the scheduler learns from the outcome of an attempt."""
+"""Updates the scheduler's parts with the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class OutcomeRecorder:
-    """Passes outcomes on to what counts them."""
+    """Passes the outcome of an attempt to the parts that count it."""
 
-    def __init__(  # noqa: PLR0913 - each part is one that an outcome counts in
+    def __init__(  # noqa: PLR0913 - each of these parts counts outcomes
         self,
         port: SchedulerPort,
         rules: DeploymentRules,
@@ -43,7 +43,13 @@
         self.shared_budgets: SharedBudgets | None = None
 
     def record_answer(self, attempt: Attempt, cost: Cost | None, report: LoadReport | None) -> None:
-        """An attempt was answered; cost: work and memory it took, where engines report them."""
+        """Records an attempt that was answered.
+
+        Args:
+            attempt: the attempt.
+            cost: the work and memory that it took; None if the engine does not report them.
+            report: the engine's load report; None if there is none.
+        """
         request = attempt.request
         self._pool.remove_attempt(attempt)
         if cost is not None:
@@ -51,21 +57,21 @@
         self._release(attempt, may_still_run=False)
         now = self._port.now()
         work = cost[0] if cost is not None else request.work
-        solo_time_s = work / request.request_class.threads
-        self._latency.record_answer(attempt, attempt.finished_at or now, solo_time_s)
+        service_time_s = work / request.request_class.threads
+        self._latency.record_answer(attempt, attempt.finished_at or now, service_time_s)
         self._outliers.on_answer(attempt.engine, now)
         if report is not None:
             self._load_reports.on_report(attempt.engine, report, now)
 
     def record_failure(self, attempt: Attempt, outcome: AttemptOutcome, now: float) -> None:
-        """An attempt ended without an answer."""
+        """Records an attempt that ended without an answer."""
         request = attempt.request
         self._pool.remove_attempt(attempt)
         self._release(attempt, outcome.may_still_run)
         if outcome.never_sent:
             request.unsent_count += 1
-            self._retry_budget.forget(attempt)
-            self._slow_start.forget(attempt)
+            self._retry_budget.refund(attempt)
+            self._slow_start.refund(attempt)
         if outcome.may_still_run:
             request.may_run_until = now + self._rules.key_settle_s
         self._outliers.on_failure(attempt.engine, outcome, now, request)
--- a/marbleworks/scheduling/placement.py
+++ b/marbleworks/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Which engines may run a request, which two of them are compared and which have room."""
+"""Decides which engines may run a request, which two are compared and which have room."""
 
 from __future__ import annotations
 
@@ -22,17 +22,25 @@
     from marbleworks.scheduling.slow_start import SlowStart
     from marbleworks.scheduling.work_estimates import WorkEstimates
 
-HOME_RATIO = 0.5  # part of the fleet that is a table group's home
-MAX_HOME_SETS = 1024  # different ones
-MEMORY_RATIO = 0.9  # part of a swapping engine's memory that all routers together may use
-THREADS_PER_CORE = 3.0  # that all routers together may use under pressure
-MIN_FREE_SHARE = 0.05  # part of an engine that restricted classes leave to the others at least
+HOME_RATIO = 0.5  # share of the fleet's engines that are homes of a table group
+MAX_HOME_SETS = 1024  # number of distinct home sets
+MEMORY_RATIO = 0.9  # share of an engine's memory for all routers together, where engines swap
+THREADS_PER_CORE = 3.0  # limit for all routers together on an engine under pressure
+MIN_FREE_SHARE = 0.05  # minimum share of an engine left for unrestricted classes
 
 
 class Placement:
-    """Chooses engines. seed: of the draws among equal engines."""
+    """Chooses engines for requests.
 
-    def __init__(  # noqa: PLR0913 - each part is one that a choice depends on
+    Args:
+        seed: seed of the pseudo-random choice among equally loaded engines.
+
+    Attributes:
+        shared_budgets: the budgets shared with other routers; None if there are none.
+        home_sets: engines of each home set, kept until the engine list changes.
+    """
+
+    def __init__(  # noqa: PLR0913 - a choice depends on each of these parts
         self,
         seed: int,
         rules: DeploymentRules,
@@ -58,43 +66,53 @@
         self._draw_count = 0
 
     def refresh(self) -> None:
-        """Works out how much of each engine the classes that may use only some engines need.
+        """Recomputes the share of each engine that restricted classes leave free.
 
-        Other requests would crowd those few engines.
+        Restricted classes may run on some engines only. Without this share, other requests would fill those
+        engines.
         """
-        restricted = self._pool.cores_of_restricted
-        works = self._estimates.recent_work
-        scale = (1.0 - 1.0 / self._share.divisor) * self._pool.cores / (sum(work for _, work in works) or 1.0)
-        used = {
-            index: scale * sum(work for other, work in works if other == index) / cores
+        restricted = self._pool.cores_by_restricted_class
+        recent_work = self._estimates.recent_work
+        scale = (
+            (1.0 - 1.0 / self._share.divisor)
+            * self._pool.cores
+            / (sum(work for _, work in recent_work) or 1.0)
+        )
+        used_shares = {
+            index: scale * sum(work for other, work in recent_work if other == index) / cores
             for index, cores in restricted.items()
         }
-        if not used:
+        if not used_shares:
             return
         for engine in self._pool.up:
-            taken = sum(part for index, part in used.items() if engine.allowed_classes[index])
-            engine.free_share = max(1.0 - taken, MIN_FREE_SHARE)
+            reserved_share = sum(
+                used_share for index, used_share in used_shares.items() if engine.allowed_classes[index]
+            )
+            engine.unrestricted_share = max(1.0 - reserved_share, MIN_FREE_SHARE)
 
     def homes(self, table_group: int) -> dict[EngineState, None]:
-        """Returns the group's homes, the same at each router: the first in its hash over engine names."""
-        number = table_group % MAX_HOME_SETS
-        if number not in self.home_sets:
-            up = sorted(self._pool.up, key=lambda e: zlib.crc32(f"{number}/{e.entry.name}".encode()))
-            self.home_sets[number] = dict.fromkeys(up[: math.ceil(HOME_RATIO * len(up))])
-        return self.home_sets[number]
+        """Returns the homes of a table group, the engines that its loads run on.
+
+        All routers choose the same homes by rendezvous hashing of engine names.
+        """
+        home_set_index = table_group % MAX_HOME_SETS
+        if home_set_index not in self.home_sets:
+            up = sorted(self._pool.up, key=lambda e: zlib.crc32(f"{home_set_index}/{e.entry.name}".encode()))
+            self.home_sets[home_set_index] = dict.fromkeys(up[: math.ceil(HOME_RATIO * len(up))])
+        return self.home_sets[home_set_index]
 
     def candidates(self, request: RequestState, now: float) -> list[EngineState]:
-        """Returns the healthy engines that may run the request, untried ones where there are any."""
+        """Returns the healthy engines that may run the request, only untried ones if there are any."""
         healthy = self._outliers.healthy([e for e in self._pool.up if self.allows(request, e, now)], now)
         return [e for e in healthy if e not in request.tried_engines] or healthy
 
     def allows(self, request: RequestState, engine: EngineState, now: float) -> bool:
         """Returns whether the rules allow the request on the engine."""
-        if engine.is_draining or now >= request.answer_by - TIME_MARGIN_S / 2:
+        if engine.is_draining or now >= request.attempts_deadline - TIME_MARGIN_S / 2:
             return False
         if not engine.allowed_classes[request.class_index]:
             return False
-        if request.may_have_run is not None and not self._drops_repeats(request, engine):
+        if request.earliest_possible_run is not None and not self._recognizes_key(request, engine):
             return False
         if self.shared_budgets is not None and not self.shared_budgets.has_room(
             request.ref, request.class_index, request.tenant, engine.entry.engine_id
@@ -103,21 +121,25 @@
         return not self._slow_start.is_warming(engine, now) or self._slow_start.admits(request, engine, now)
 
     @staticmethod
-    def _drops_repeats(request: RequestState, engine: EngineState) -> bool:
-        """Returns whether an idempotency key holds from the engine that may have run it to this one."""
+    def _recognizes_key(request: RequestState, engine: EngineState) -> bool:
+        """Returns whether the engine recognizes a key that the request's earlier engine may have seen."""
         request_class = request.request_class
-        if request.may_have_run is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
+        if (
+            request.earliest_possible_run is None
+            or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY
+        ):
             return True
-        first = request.may_have_run.engine.entry
+        first = request.earliest_possible_run.engine.entry
         if request_class.idempotency_scope == "zone":
             return first.zone == engine.entry.zone
         return request_class.idempotency_scope != "cell" or first.cell == engine.entry.cell
 
     def prefer_by_home(self, request: RequestState, candidates: list[EngineState]) -> list[EngineState]:
-        """Returns the homes for a load and the other engines for readers that wait for loads.
+        """Returns the homes for a load, and the engines outside the homes for readers that wait for loads.
 
-        Loads of other routers are not known, but can only be at the homes. Readers leave those for two
-        engines at least: one alone would be crowded by all readers of a group.
+        The loads of other routers are not known, but they can only run at the homes. Readers avoid the homes
+        only if at least two other engines remain: a single one would be overloaded by all readers of the
+        group.
         """
         request_class = request.request_class
         is_load = request_class.is_load
@@ -128,35 +150,40 @@
         return preferred if len(preferred) >= (1 if is_load else 2) else candidates
 
     def prefer_zone(self, request: RequestState, engines: list[EngineState]) -> list[EngineState]:
-        """Returns the engines of our zone for a cheap request: it balances little and saves a crossing."""
-        if request.work > self._estimates.cheap_threshold or self._latency.is_strained:
+        """Returns the engines of this router's zone for a cheap request, if there are any.
+
+        A cheap request hardly affects the balance of load, and staying in the zone saves a network round trip
+        between zones.
+        """
+        if request.work > self._estimates.cheap_threshold or self._latency.is_overloaded:
             return engines
         return [e for e in engines if e.entry.zone == self._fleet.zone] or engines
 
     def two_choices(self, request: RequestState, engines: list[EngineState], now: float) -> list[EngineState]:
-        """Returns the two with the fewest of our threads per core, by chance among equals.
+        """Returns the two engines with the fewest threads in use by this router per unit of capacity.
 
-        A slow engine counts as a smaller one.
+        Ties are broken at random. The capacity of an engine is divided by its pace, so that a slow engine
+        counts as a smaller one.
         """
-        restricted = self._pool.cores_of_restricted
-        is_free = bool(restricted) and request.class_index not in restricted
+        restricted = self._pool.cores_by_restricted_class
+        is_unrestricted = bool(restricted) and request.class_index not in restricted
         capacity = {
-            e: (e.free_share if is_free else 1.0) * self._slow_start.capacity(e, now) / e.pace
+            e: (e.unrestricted_share if is_unrestricted else 1.0) * self._slow_start.capacity(e, now) / e.pace
             for e in engines
         }
-        return sorted(engines, key=lambda e: (e.threads_in_use + self._draw()) / capacity[e])[:2]
+        return sorted(engines, key=lambda e: (e.threads_in_use + self._random_tie_break()) / capacity[e])[:2]
 
     @staticmethod
-    def less_loaded(two: list[EngineState], now: float) -> EngineState:
-        """Returns the one that reports less load if all reported recently, else the first."""
-        if all(e.reported_at > now - RECENT_REPORT_S for e in two):
-            return min(two, key=lambda e: e.threads_in_use / e.cores + e.reported_load)
-        return two[0]
+    def less_loaded(choices: list[EngineState], now: float) -> EngineState:
+        """Returns the engine that reports less load if all reported recently, else the first."""
+        if all(e.reported_at > now - RECENT_REPORT_S for e in choices):
+            return min(choices, key=lambda e: e.threads_in_use / e.cores + e.reported_load)
+        return choices[0]
 
     def has_room(self, request: RequestState, engine: EngineState, now: float) -> bool:
-        """Returns whether our part of the thread bound has room; it binds only under pressure.
+        """Returns whether the engine has room for the request within this router's share.
 
-        Cheap requests have twice the bound.
+        The limit on threads applies only under pressure and is twice as high for cheap requests.
         """
         divisor = self._share.divisor
         max_memory_mb = self._fleet.memory_mb_by_kind[engine.entry.machine_kind] * MEMORY_RATIO / divisor
@@ -165,23 +192,24 @@
             and self._rules.engines_swap
             and engine.memory_in_use_mb + request.memory_mb > max_memory_mb
         ):
-            return False  # memory that runs over slows all requests there
+            return False  # swapping slows all requests on the engine
         is_full = engine.reported_full and engine.reported_at > now - HISTORY_S
         if engine.pace <= SLOW_PACE and not is_full:
             return True
         is_cheap = request.work <= self._estimates.cheap_threshold
-        bound = THREADS_PER_CORE / divisor * (2 if is_cheap else 1)
+        max_threads_per_core = THREADS_PER_CORE / divisor * (2 if is_cheap else 1)
         threads = request.request_class.threads
         if engine.in_flight:
-            return engine.threads_in_use + threads <= bound * engine.cores
-        if not self._latency.is_strained:
+            return engine.threads_in_use + threads <= max_threads_per_core * engine.cores
+        if not self._latency.is_overloaded:
             return True
-        # With many routers one request from each would fill the engine.
-        ours = sum(attempt.request.request_class.threads for attempt in self._pool.in_flight)
-        return not ours or ours + threads <= bound * self._pool.cores
+        # With many routers, one request from each would already fill the engine.
+        own_threads = sum(attempt.request.request_class.threads for attempt in self._pool.in_flight)
+        return not own_threads or own_threads + threads <= max_threads_per_core * self._pool.cores
 
-    def _draw(self) -> float:
-        # One checksum is linear: engines would keep their places among equals from draw to draw.
+    def _random_tie_break(self) -> float:
+        # CRC-32 is linear: with a single one, equal engines would keep the same order in every draw.
+        """Returns a pseudo-random number from 0 to 1 that orders equally loaded engines."""
         self._draw_count += 1
-        once = zlib.crc32(f"{self.seed}/{self._draw_count}".encode())
-        return zlib.crc32(str(once).encode()) / 2**32
+        checksum = zlib.crc32(f"{self.seed}/{self._draw_count}".encode())
+        return zlib.crc32(str(checksum).encode()) / 2**32
--- a/marbleworks/scheduling/retry_budget.py
+++ b/marbleworks/scheduling/retry_budget.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent once more: by its effect, its number of attempts and the retry budget."""
+"""Decides whether a request may be sent again: by its idempotency, its attempts and the retry budget."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class RetryBudget:
-    """The requests and the retries of the budget's window.
+    """Counts the requests and the retries in the window of the retry budget.
 
-    start_slack_s: how long after its decision an attempt may leave.
+    Args:
+        start_slack_s: the longest time (s) between the decision to start an attempt and its first byte.
     """
 
     def __init__(self, rules: DeploymentRules, start_slack_s: float) -> None:
@@ -30,7 +31,7 @@
         self.retries = deque[TimedValue]()
 
     def record_request(self, now: float) -> None:
-        """Counts a request: it earns a part of a retry."""
+        """Counts a request, which earns a fraction of a retry."""
         drop_until(self.requests, now - self._rules.retry_budget_window_s).append((now, 1.0))
 
     def record_retry(self, attempt: Attempt) -> None:
@@ -38,23 +39,26 @@
         attempt.retry_cost = 1.0
         self.retries.append((attempt.started_at, attempt.retry_cost))
 
-    def forget(self, attempt: Attempt) -> None:
-        """Counts an attempt no longer: it never left."""
+    def refund(self, attempt: Attempt) -> None:
+        """Removes an attempt of which nothing was sent from the count of retries."""
         counted = (attempt.started_at, attempt.retry_cost)
         if attempt.retry_cost and counted in self.retries:
             self.retries.remove(counted)
 
-    def may_retry(self, request: RequestState, now: float, spare: float = 1.0) -> bool:
-        """Returns whether one more attempt is allowed; a first one needs no budget.
+    def may_retry(self, request: RequestState, now: float, budget_factor: float = 1.0) -> bool:
+        """Returns whether one more attempt is allowed; the first one needs no budget.
 
-        spare: how many times the budget has to allow it.
+        Args:
+            request: the request.
+            now: the current time (s).
+            budget_factor: the budget has to cover this multiple of the retries made and the new one.
         """
         rules = self._rules
         if request.counted_attempts >= rules.max_attempts or (request.in_flight and not rules.allows_hedging):
             return False
         if not self._may_run_again(request, now):
             return False
-        # An earlier retry may have left late and this one may too: each counts at its worst.
+        # Each attempt may start late by up to the slack, so both windows assume the worst case.
         window = rules.retry_budget_window_s
         spent = len(drop_until(self.retries, now - window - self._start_slack_s))
         requests = len(drop_until(self.requests, now - window + self._start_slack_s))
@@ -62,19 +66,20 @@
         if rules.retry_budget_ratio is not None:
             earned = rules.retry_budget_floor + rules.retry_budget_ratio * requests
         if self.shared_budgets is not None:
-            earned = self.shared_budgets.retry_allowance(spare, earned)
-        return not request.counted_attempts or spare * (spent + 1) <= earned
+            earned = self.shared_budgets.retry_allowance(budget_factor, earned)
+        return not request.counted_attempts or budget_factor * (spent + 1) <= earned
 
     def _may_run_again(self, request: RequestState, now: float) -> bool:
-        if request.may_have_run is None and not request.in_flight:
+        """Returns whether a second run of the request would have no further effect."""
+        if request.earliest_possible_run is None and not request.in_flight:
             return True
         idempotency = request.request_class.idempotency
         if idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        return idempotency is not Idempotency.IDEMPOTENCY_KEY or now < self.repeat_by(request)
+        return idempotency is not Idempotency.IDEMPOTENCY_KEY or now < self.repeat_deadline(request)
 
-    def repeat_by(self, request: RequestState) -> float:
-        """Returns when engines may begin to forget the first attempt that may have run."""
-        attempts = [request.may_have_run, *request.in_flight]
+    def repeat_deadline(self, request: RequestState) -> float:
+        """Returns when engines may begin to discard the key of the first attempt that may have run."""
+        attempts = [request.earliest_possible_run, *request.in_flight]
         first = min(attempt.started_at for attempt in attempts if attempt)
         return first + request.request_class.idempotency_window_s - TIME_MARGIN_S
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -1,9 +1,9 @@
-"""The scheduler of a router: what runs, where, when and on what terms.
+"""The scheduler of a router: decides what runs, where, when and on which terms.
 
-A platform makes one `Scheduler` for each router and calls `update_engines`, `submit` (which returns the
-handle that takes later events of the request) and `on_timer`. The scheduler asks the platform through
-`SchedulerPort`.
-The ordinary path of a request is `Scheduler.try_schedule`; docs/design.md says what is kept of the paper.
+A platform creates one `Scheduler` for each router and calls `update_engines`, `submit` (which returns the
+handle for later events of the request) and `on_timer`. The scheduler calls the platform through
+`SchedulerPort`. `Scheduler.try_schedule` is the path of a request in the ordinary case; docs/design.md
+describes what is taken from the paper.
 """
 
 from __future__ import annotations
@@ -23,11 +23,20 @@
     from marbleworks.scheduling.engine_state import Attempt, EngineState
     from marbleworks.scheduling.work_estimates import Cost
 
-LAG_DECAY = 0.999  # of the longest recent lag, with each request
+LAG_DECAY = 0.999  # decay of the longest recent submission lag on each request
 
 
 class Scheduler:
-    """The scheduler of one router. seed: of its draws among equal engines."""
+    """The scheduler of one router.
+
+    Args:
+        seed: seed of the pseudo-random choice among equally loaded engines.
+
+    Attributes:
+        parts: the parts of the scheduler.
+        engines: the listed engines, keyed by engine id.
+        pending: requests that wait for an attempt, keyed by sequence number.
+    """
 
     def __init__(
         self,
@@ -53,34 +62,34 @@
         self._timers = parts.timers
         self.pending: dict[int, RequestState] = {}  # by sequence
         self._shared_budgets: SharedBudgets | None = None
-        self._kinds_without_room = set[tuple[int, bool]]()  # class index and cheapness, since the last review
+        self._kinds_without_room = set[tuple[int, bool]]()  # (class index, is cheap), since the last review
         self._submitted_count = 0
-        self._recent_lag_s = 0.0  # for which requests lately waited to be submitted
+        self._recent_lag_s = 0.0  # longest recent time from receipt to submission, decaying
         self._refreshed_at = -math.inf
 
     @property
     def up(self) -> list[EngineState]:
-        """The engines that may be used."""
+        """The engines that take requests, ordered by name."""
         return self.parts.pool.up
 
     @property
     def cores(self) -> int:
-        """The cores of the engines that may be used."""
+        """The total cores of the engines that take requests."""
         return self.parts.pool.cores
 
     @property
     def routers(self) -> float:
-        """What the fleet's capacity is divided by for our share."""
+        """The number that the fleet's capacity is divided by for this router's share."""
         return self.parts.share.divisor
 
     @property
     def estimate_bias(self) -> list[Cost]:
-        """By class index: what requests took over their estimates."""
+        """The ratios of measured to estimated cost, by class index."""
         return self._estimates.bias
 
     @property
     def shared_budgets(self) -> SharedBudgets | None:
-        """The budgets shared with other routers, where there are any."""
+        """The budgets shared with other routers; None if there are none."""
         return self._shared_budgets
 
     @shared_budgets.setter
@@ -101,7 +110,12 @@
         return self._retry_budget.may_retry(request, now)
 
     def update_engines(self, entries: list[EngineEntry], complete: bool) -> None:
-        """Applies the engine list; complete: engines that are not among the entries are gone."""
+        """Applies the engine list or a change of it.
+
+        Args:
+            entries: the entries of the list, or those that changed.
+            complete: whether engines that are not among the entries have left the fleet.
+        """
         self._placement.home_sets.clear()
         self.parts.pool.update(entries, complete, self.parts.share.slow_start_rank)
         self.review()
@@ -111,19 +125,24 @@
         share: float,
         router_count: int,
         router_index: int,
-        until: float = math.inf,
-        guaranteed: float = 1.0,
+        valid_until: float = math.inf,
+        guaranteed_share: float = 1.0,
     ) -> None:
-        """Sets our share of what all routers have together and our place among the slow-start senders.
-
-        router_index: -1 for no place, for now. guaranteed: the share from `until` on, notified or not.
+        """Sets this router's share of the fleet and its place among the slow-start senders.
+
+        Args:
+            share: this router's share, above 0 and at most 1.
+            router_count: number of routers that may send to an engine that is warming up.
+            router_index: this router's index among them; -1 if it is not one of them for now.
+            valid_until: time (s) until which the share holds.
+            guaranteed_share: the share after that time, even if no notice of the change arrives.
         """
-        self.parts.share.valid_until = until
-        self.parts.share.guaranteed = guaranteed
+        self.parts.share.valid_until = valid_until
+        self.parts.share.guaranteed_share = guaranteed_share
         if self.parts.assign_share(share, router_count, router_index if router_index >= 0 else None):
             self._schedule_review()
 
-    def submit(  # noqa: PLR0913 - a request has these parts, and an object for them would cost on each
+    def submit(  # noqa: PLR0913 - a parameter object would cost time on each request
         self,
         ref: str,
         class_index: int,
@@ -135,9 +154,21 @@
         time_left_s: float,
         retry_after_s: float | None = None,
     ) -> RequestState:
-        """Takes a request that the router received at that time; an estimate of 0 is none.
-
-        tenant: -1 if not known. retry_after_s: seconds until there is room for its result, None if there is.
+        """Takes a request from the router and tries to start it.
+
+        Args:
+            ref: reference of the request towards the platform.
+            class_index: index of its request class.
+            table_group: the table group that it reads or loads.
+            ordering_key: its ordering key; empty if it has none.
+            estimate: work and memory as estimated by the client; a work of 0 means no estimate.
+            tenant: index of its tenant; -1 if unknown.
+            received_at: time (s) at which the router received it.
+            time_left_s: seconds until its deadline.
+            retry_after_s: seconds until there is room for its result; None if there is room now.
+
+        Returns:
+            The handle for later events of the request.
         """
         now = self.port.now()
         self._submitted_count += 1
@@ -159,14 +190,14 @@
         request.reserve_answer_time(time_left_s, self._recent_lag_s)
         request.priority_weight *= self.parts.tenant_quotas.weight(ref, tenant, received_at)
         if retry_after_s is None and self._shared_budgets is not None:
-            wait_budget_s = request.target_at - now - request.solo_time_s()
+            wait_budget_s = request.target_at - now - request.service_time_s()
             retry_after_s = self._shared_budgets.admission_wait(ref, class_index, tenant, wait_budget_s)
         self._estimates.record_request(class_index, request.work)
         self._retry_budget.record_request(now)
         if request.request_class.ordered_by_key and ordering_key:
             self._key_order.add(request, ordering_key)
         self.pending[request.sequence] = request
-        # In a router short of CPU a request may have spent most of the time to its target waiting in it.
+        # In a router short of CPU, a request may have waited for most of the time to its latency target.
         if retry_after_s is not None or request.close_call(now):
             self.give_up(request, retry_after_s)
         else:
@@ -175,13 +206,16 @@
         return request
 
     def try_schedule(self, request: RequestState) -> None:
-        """The ordinary path of a pending request to an engine."""
+        """Starts an attempt of a pending request if an engine may run it now.
+
+        Gives the request up if it can no longer be answered in time.
+        """
         now = self.port.now()
         self._refresh(now)
         if self._load_shedder.is_too_late(request, now):
             self.give_up(request)
             return
-        self._timers.request_expiry(request.answer_by)
+        self._timers.request_expiry(request.attempts_deadline)
         kind = (request.class_index, request.work <= self._estimates.cheap_threshold)
         if kind in self._kinds_without_room or not self._key_order.has_turn(request, now):
             return
@@ -196,11 +230,11 @@
         if not preferred:
             return
         preferred = self._placement.prefer_zone(request, preferred)
-        two = [e for e in request.probed_engines if e in preferred]
-        two = two or self._placement.two_choices(request, preferred, now)
-        if self.parts.load_probes.awaits_answer(request, two, now):
+        choices = [e for e in request.probed_engines if e in preferred]
+        choices = choices or self._placement.two_choices(request, preferred, now)
+        if self.parts.load_probes.awaits_load_reports(request, choices, now):
             return
-        engine = self._placement.less_loaded(two, now)
+        engine = self._placement.less_loaded(choices, now)
         if not self._placement.has_room(request, engine, now):
             self._kinds_without_room.add(kind)
         elif self.parts.attempt_starter.start(request, engine, now):
@@ -209,7 +243,7 @@
     def on_attempt_answered(
         self, request: RequestState, attempt: Attempt, cost: Cost | None, report: LoadReport | None
     ) -> None:
-        """Learns from an answer and completes the request."""
+        """Records the outcome of an answered attempt and completes its request."""
         self.parts.outcomes.record_answer(attempt, cost, report)
         self.complete(request)
         self.review()
@@ -217,7 +251,7 @@
     def on_attempt_failed(
         self, request: RequestState, attempt: Attempt, outcome: AttemptOutcome, already_completed: bool
     ) -> None:
-        """Learns from an attempt without an answer; tries again or gives up."""
+        """Records the outcome of an attempt without an answer, then retries or gives up."""
         now = self.port.now()
         self.parts.outcomes.record_failure(attempt, outcome, now)
         if already_completed:
@@ -231,12 +265,17 @@
         self.review()
 
     def give_up(self, request: RequestState, retry_after_s: float | None = None) -> None:
-        """Answers finally, at once; retry_after_s: when another try may find what this one lacked."""
-        self._load_shedder.answer(request, retry_after_s)
+        """Gives the request its final answer without a result.
+
+        Args:
+            request: the request.
+            retry_after_s: seconds until what it lacked may be available; None if that is not known.
+        """
+        self._load_shedder.shed_or_fail(request, retry_after_s)
         self.complete(request)
 
     def complete(self, request: RequestState) -> None:
-        """Cancels the attempts of a request that has its final answer: they no longer matter."""
+        """Cancels the remaining attempts of a request that has its final answer."""
         request.completed = True
         self.pending.pop(request.sequence, None)
         if self._shared_budgets is not None:
@@ -249,7 +288,7 @@
             self.port.cancel_attempt(request.ref, attempt.number)
 
     def on_probe_result(self, engine_id: int, is_reachable: bool, report: LoadReport | None) -> None:
-        """Applies the answer to a probe of an engine, which may be gone meanwhile."""
+        """Applies the result of a probe; the engine may have left the list since."""
         engine = self.engines.get(engine_id)
         if engine is not None and not is_reachable:
             self.parts.outliers.on_failure(engine, AttemptOutcome.UNREACHABLE, self.port.now())
@@ -258,48 +297,57 @@
         self.review()
 
     def receive_load_update(self, peer: int, data: bytes) -> None:
-        """Applies a load update of another router."""
+        """Applies a load update from another router."""
         self.parts.load_reports.on_peer_update(data, self.port.now())
 
     def review(self) -> None:
-        """Tries to schedule all pending requests: cheapest per priority weight first, with ageing."""
+        """Tries to start all pending requests in the order of their queue rank.
+
+        The rank is the work per priority weight, reduced with waiting time so that no request starves.
+        """
         now = self.port.now()
         if self.pending and self._timers.may_review(now):
             self._kinds_without_room.clear()
             for request in sorted(self.pending.values(), key=lambda r: r.queue_rank(now)):
                 if request.sequence in self.pending:
                     self.try_schedule(request)
-            # A long review leaves as much time to all else.
+            # After a long review, as much time is left to other work before the next one.
             self._timers.reviewed_at = 2.0 * self.port.now() - now
         elif self.pending:
-            if self._shared_budgets is not None:  # what was just released is used at once
+            if self._shared_budgets is not None:  # a budget unit that was just released is used at once
                 self.try_schedule(min(self.pending.values(), key=lambda r: r.queue_rank(now)))
             self._timers.request_review(self._timers.reviewed_at + MIN_REVIEW_INTERVAL_S)
         self._schedule_review()
 
     def on_timer(self) -> None:
-        """Gives up what has expired, reviews what is pending and watches what is in flight."""
+        """Gives up expired requests, reviews pending ones and checks attempts in flight."""
         now = self.port.now()
         if self._timers.is_expiry_due(now):
             self._expire_pending(now)
-        if self._timers.take_review(now):
+        if self._timers.consume_due_review(now):
             self._refresh(self.port.now())
             now = self.port.now()
-            if self._timers.take_watch(now):
+            if self._timers.consume_due_watch(now):
                 self.parts.attempt_watch.check(now)
             self.review()
-        self._timers.repeat()
+        self._timers.rearm()
 
     def _expire_pending(self, now: float) -> None:
-        for request in [r for r in self.pending.values() if now >= r.answer_by - TIMER_EARLINESS_S / 2]:
+        for request in [
+            r for r in self.pending.values() if now >= r.attempts_deadline - TIMER_EARLINESS_S / 2
+        ]:
             self.give_up(request)
-        self._timers.next_expiry_at = min((r.answer_by for r in self.pending.values()), default=math.inf)
+        self._timers.next_expiry_at = min(
+            (r.attempts_deadline for r in self.pending.values()), default=math.inf
+        )
 
     def _refresh(self, now: float) -> None:
-        """Works derived figures out anew, once in a tick."""
+        """Recomputes derived figures, at most once in each tick."""
         share = self.parts.share
-        if now >= share.valid_until:  # others may have our share by now
-            self.set_router_share(share.guaranteed, share.sender_count, -1, guaranteed=share.guaranteed)
+        if now >= share.valid_until:  # other routers may have this share by now
+            self.set_router_share(
+                share.guaranteed_share, share.sender_count, -1, guaranteed_share=share.guaranteed_share
+            )
         if now < self._refreshed_at + TICK_S:
             return
         self._refreshed_at = now
--- a/marbleworks/scheduling/slow_start.py
+++ b/marbleworks/scheduling/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a warming engine bears, and this router's share of it."""
+"""Slow start: the capacity of an engine that is warming up, and this router's share of it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
     from marbleworks.scheduling.router_share import RouterShare
     from marbleworks.scheduling.work_estimates import WorkEstimates
 
-SLOW_START_TRUST = 0.7  # part of a warming engine's nominal floor that is relied on
-SLOW_START_SENDERS = 4  # routers that send to an engine at its start: each share holds one request
+SLOW_START_TRUST = 0.7  # share of a warming engine's nominal floor that routers use
+SLOW_START_SENDERS = 4  # routers that send to a starting engine: few enough that each share fits a request
 
 
 class SlowStart:
     """Limits the attempts sent to engines that are warming up.
 
-    start_slack_s: how long after its decision an attempt may leave. router_started_at: attempts of an earlier
-    router process of our number, before it, are not known.
+    Args:
+        start_slack_s: the longest time (s) between the decision to start an attempt and its first byte.
+        router_started_at: start of this router process (s); attempts that an earlier process of the same
+            router sent before are unknown.
     """
 
     def __init__(
@@ -41,36 +43,47 @@
         self.shared_budgets: SharedBudgets | None = None
 
     def is_warming(self, engine: EngineState, now: float) -> bool:
-        """Returns whether the engine started a short while ago."""
+        """Returns whether the engine is still within its slow-start time."""
         started_at = engine.entry.started_at
         return started_at > 0 and now - started_at < self._rules.slow_start_s
 
     def capacity(self, engine: EngineState, now: float) -> float:
-        """Returns its cores; while warming, as far as warm, times the routers that one sender stands for."""
+        """Returns the capacity of an engine, in cores, for the comparison with other engines.
+
+        Only some routers send to an engine that is warming up. Its present capacity is multiplied by the
+        number of routers that each of those senders stands for.
+        """
         if not self.is_warming(engine, now):
             return engine.cores
-        stands_for = self._share.sender_count * self.share_of(engine, now) / self._growth(engine, now)
-        return engine.cores * self._warmth(engine, now) * stands_for
+        routers_per_sender = (
+            self._share.sender_count * self.share_of(engine, now) / self._capacity_growth(engine, now)
+        )
+        return engine.cores * self._capacity_ratio(engine, now) * routers_per_sender
 
     def share_of(self, engine: EngineState, now: float) -> float:
-        """Returns our share of what an engine bears at its start.
+        """Returns this router's share of the floor of an engine that is warming up.
 
-        As it warms up senders are added, each with the same share; once all routers send, the shares grow.
+        Senders with equal shares are added as the engine warms up. Once all routers send, their shares grow.
         """
         share = self._budgeted_share(engine)
         if share is not None:
             return share
         if not self._share.is_sender:
             return 0.0
-        growth = self._growth(engine, now)
-        if self._share.sender_index is None or SLOW_START_SENDERS * growth >= self._share.sender_count:
-            return growth / self._share.sender_count
-        return (engine.slow_start_rank + 1 <= SLOW_START_SENDERS * growth) / SLOW_START_SENDERS
+        capacity_growth = self._capacity_growth(engine, now)
+        if (
+            self._share.sender_index is None
+            or SLOW_START_SENDERS * capacity_growth >= self._share.sender_count
+        ):
+            return capacity_growth / self._share.sender_count
+        return (engine.slow_start_rank + 1 <= SLOW_START_SENDERS * capacity_growth) / SLOW_START_SENDERS
 
     def admits(self, request: RequestState, engine: EngineState, now: float) -> bool:
-        """Returns whether a warming engine may be sent the request.
+        """Returns whether the request may be sent to an engine that is warming up.
 
-        It has no more in flight than its floor and its answers so far, and a budget of work.
+        This router's threads there are limited by the floor and by the answers so far, and the work that it
+        sends in each overload window is limited by a budget. Nothing is sent until the attempts of an earlier
+        router process have left the window.
         """
         rules = self._rules
         floor = rules.slow_start_floor * engine.cores * self.share_of(engine, now)
@@ -80,39 +93,47 @@
             return False
         if now < self.router_started_at + rules.overload_window_s:
             return False
-        budget = floor * SLOW_START_TRUST * rules.overload_multiple * rules.overload_window_s
-        start = now - rules.overload_window_s - self._start_slack_s
-        sent = sum(work for _, work in drop_until(engine.slow_start_work, start))
-        return sent + self._cost(request) <= budget
+        work_budget = floor * SLOW_START_TRUST * rules.overload_multiple * rules.overload_window_s
+        window_start = now - rules.overload_window_s - self._start_slack_s
+        sent_work = sum(work for _, work in drop_until(engine.slow_start_work, window_start))
+        return sent_work + self._cost(request) <= work_budget
 
     def record(self, attempt: Attempt) -> None:
-        """Counts an attempt in its engine's budget."""
+        """Counts an attempt in the budget of its engine."""
         attempt.slow_start_cost = self._cost(attempt.request)
         attempt.engine.slow_start_work.append((attempt.started_at, attempt.slow_start_cost))
 
-    def forget(self, attempt: Attempt) -> None:
-        """Counts an attempt no longer: it never left."""
+    def refund(self, attempt: Attempt) -> None:
+        """Removes an attempt of which nothing was sent from the budget of its engine."""
         counted = (attempt.started_at, attempt.slow_start_cost)
         if attempt.slow_start_cost and counted in attempt.engine.slow_start_work:
             attempt.engine.slow_start_work.remove(counted)
 
     def _cost(self, request: RequestState) -> float:
-        """Returns the mean work of the class, as engines' limits count, or its own where that is more."""
+        """Returns the work that a request counts as: the mean of its class, or its own if that is more.
+
+        The limits of engines count the mean work of the class.
+        """
         return max(request.work, self._estimates.mean_work(request.class_index))
 
     def _budgeted_share(self, engine: EngineState) -> float | None:
+        """Returns the share assigned by shared budgets; None if they do not divide it."""
         if self.shared_budgets is None:
             return None
         return self.shared_budgets.slow_start_share(engine.entry.engine_id)
 
-    def _warmth(self, engine: EngineState, now: float) -> float:
+    def _capacity_ratio(self, engine: EngineState, now: float) -> float:
+        """Returns the engine's capacity at the given time, as a share of its whole capacity."""
         floor = self._rules.slow_start_floor
         age = max((now - engine.entry.started_at) / self._rules.slow_start_s, 0.0)
         return floor + (1.0 - floor) * age
 
-    def _growth(self, engine: EngineState, now: float) -> float:
-        """Returns how many times its floor it bore when the oldest attempt that counts now may have left."""
+    def _capacity_growth(self, engine: EngineState, now: float) -> float:
+        """Returns the engine's past capacity as a multiple of its floor.
+
+        The time is the earliest at which an attempt that still counts may have started.
+        """
         if self._budgeted_share(engine) is not None:
             return 1.0
-        oldest = now - self._rules.overload_window_s - self._start_slack_s
-        return self._warmth(engine, oldest) / max(self._rules.slow_start_floor, 1e-9)
+        oldest_counted_at = now - self._rules.overload_window_s - self._start_slack_s
+        return self._capacity_ratio(engine, oldest_counted_at) / max(self._rules.slow_start_floor, 1e-9)
--- a/marbleworks/scheduling/wiring.py
+++ b/marbleworks/scheduling/wiring.py
@@ -1,4 +1,4 @@
-"""The parts of one router's scheduler, each with what it needs of the others."""
+"""Creates the parts of one router's scheduler and connects them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,13 @@
 
 
 class SchedulerParts:
-    """Makes the parts; used by `Scheduler` alone, no part is given this."""
+    """The parts of a scheduler.
+
+    Only `Scheduler` uses this object; each part is given only the parts that it needs.
+
+    Attributes:
+        start_slack_s: the longest time (s) between the decision to start an attempt and its first byte.
+    """
 
     def __init__(
         self,
@@ -39,7 +45,7 @@
         rules: DeploymentRules,
         fleet: FleetInfo,
     ) -> None:
-        start_slack_s = rules.connect_timeout_s + TIME_MARGIN_S  # an attempt may leave so late, or not at all
+        start_slack_s = rules.connect_timeout_s + TIME_MARGIN_S  # an attempt starts within it or not at all
         self.start_slack_s = start_slack_s
         self.share = RouterShare(fleet)
         self.estimates = WorkEstimates(len(request_classes))
@@ -99,7 +105,7 @@
         )
 
     def use_shared_budgets(self, budgets: SharedBudgets | None) -> None:
-        """Gives the budgets that routers share to each part that asks them."""
+        """Passes the budgets shared among routers to each part that uses them."""
         self.placement.shared_budgets = budgets
         self.retry_budget.shared_budgets = budgets
         self.slow_start.shared_budgets = budgets
@@ -108,7 +114,7 @@
         self.outcomes.shared_budgets = budgets
 
     def refresh(self, now: float) -> None:
-        """Works out anew what the parts derive from what they saw."""
+        """Recomputes the figures that the parts derive from their measurements."""
         self.latency.refresh(now)
         self.estimates.refresh()
         self.table_groups.prune()
@@ -116,7 +122,7 @@
         self.placement.refresh()
 
     def assign_share(self, share: float, sender_count: int, sender_index: int | None) -> bool:
-        """Sets our share of what all routers have together; returns whether it changed."""
+        """Sets this router's share and its role in slow start; returns whether anything changed."""
         if not self.share.assign(share, sender_count, sender_index):
             return False
         for engine in self.pool.engines.values():
--- a/marbleworks/scheduling/wtpg.py
+++ b/marbleworks/scheduling/wtpg.py
@@ -6,35 +6,46 @@
 
 
 class Wtpg:
-    """Weighted transaction-precedence graph of one table group (paper, 3.1)."""
+    """Weighted transaction-precedence graph of one table group (paper, 3.1).
+
+    Attributes:
+        start_weights: weight of each node's edge from the start node T0: its remaining cost.
+        conflicts: weights of the undecided conflict edges, stored for both directions.
+        precedes: weights of the edges whose direction is decided.
+    """
 
     def __init__(self) -> None:
-        self.start: dict[int, float] = {}  # node -> remaining cost
-        self.conflicts = dict[int, dict[int, float]]()  # i -> j -> weight of i->j, kept for either direction
+        self.start_weights: dict[int, float] = {}  # keyed by node
+        self.conflicts = dict[int, dict[int, float]]()  # i -> j -> weight of edge i->j
         self.precedes = dict[int, dict[int, float]]()
 
     def e(self, node: int) -> float:
-        """E: the critical path if the node's request were granted now (paper, figure 5)."""
-        after = self.precedes | {node: self.precedes.get(node, {}) | self.conflicts.get(node, {})}
-        settled = False
-        while not settled:  # an order that follows from those known settles further conflict edges
-            settled = True
-            for i in self.conflicts.keys() & after.keys():
-                open_to = self.conflicts[i].items() - after[i].items()
-                if follows := {j: weight for j, weight in open_to if self._leads(after, i, j)}:
-                    after[i], settled = after[i] | follows, False
-        tails: dict[int, float] = {}
-
-        def tail(i: int) -> float:
-            if i in after and i not in tails:
-                tails[i] = math.inf  # met again while being worked out: a cycle, a deadlock
-                tails[i] = max([weight + tail(j) for j, weight in after[i].items()], default=0.0)
-            return tails.get(i, 0.0)
-
-        return max(cost + tail(i) for i, cost in self.start.items())
-
-    def _leads(self, after: dict[int, dict[int, float]], i: int, j: int) -> bool:
-        seen = [i]
-        for at in seen:  # grows while it is walked
-            seen += [b for b in after.get(at, ()) if b not in seen]
-        return j in seen
+        """Returns E: the critical path's length if the node's request were granted now (paper, figure 5)."""
+        successors = self.precedes | {node: self.precedes.get(node, {}) | self.conflicts.get(node, {})}
+        is_stable = False
+        while not is_stable:  # an implied order may decide further conflict edges
+            is_stable = True
+            for i in self.conflicts.keys() & successors.keys():
+                undecided = self.conflicts[i].items() - successors[i].items()
+                if implied := {j: weight for j, weight in undecided if self._reaches(successors, i, j)}:
+                    successors[i], is_stable = successors[i] | implied, False
+        longest_paths: dict[int, float] = {}
+
+        def longest_path_from(i: int) -> float:
+            if i in successors and i not in longest_paths:
+                longest_paths[i] = math.inf  # kept if the node reaches itself: a cycle, hence a deadlock
+                longest_paths[i] = max(
+                    [weight + longest_path_from(j) for j, weight in successors[i].items()], default=0.0
+                )
+            return longest_paths.get(i, 0.0)
+
+        return max(cost + longest_path_from(i) for i, cost in self.start_weights.items())
+
+    def _reaches(self, successors: dict[int, dict[int, float]], i: int, j: int) -> bool:
+        """Returns whether a path leads from node i to node j."""
+        reached = [i]
+        for node_reached in reached:  # the list grows during iteration
+            reached += [
+                successor for successor in successors.get(node_reached, ()) if successor not in reached
+            ]
+        return j in reached
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -98,7 +98,7 @@
     cmd = stage.take(LOAD)
     first = stage.port.sent(cmd.ref)[0]
     cmd.on_attempt_end(0, AttemptOutcome.WITHHELD, False, None)
-    assert len(stage.port.sent(cmd.ref)) == 2 and not cmd.may_have_run
+    assert len(stage.port.sent(cmd.ref)) == 2 and not cmd.earliest_possible_run
     engine = stage.gateway.engines[first]
     assert not engine.recent_failures and engine.ejected_until < stage.port.clock
 
@@ -548,7 +548,7 @@
 def test_a_part_ends_at_its_time_though_nobody_says_so() -> None:
     """A router that stood still has the mail that tells it behind commands that it must not send."""
     stage = Stage(4)
-    stage.gateway.set_router_share(0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1)
+    stage.gateway.set_router_share(0.5, 2, 0, valid_until=stage.port.clock + 1.0, guaranteed_share=0.1)
     stage.gateway.update_engines([engine(9, started=stage.port.clock - 5.0)], complete=False)
     fresh = stage.gateway.engines[9]
     assert stage.gateway.parts.slow_start.share_of(
@@ -556,7 +556,7 @@
     ) == 0.5 and stage.gateway.routers == pytest.approx(2.0)
     stage.port.clock += 0.9
     stage.gateway.set_router_share(
-        0.5, 2, 0, until=stage.port.clock + 1.0, guaranteed=0.1
+        0.5, 2, 0, valid_until=stage.port.clock + 1.0, guaranteed_share=0.1
     )  # it is given anew
     stage.port.clock += 0.9
     stage.take(FREE)
@@ -639,7 +639,8 @@
     stage.pass_time(RULES.key_settle_s + 1.0)
     stage.take()
     assert (
-        len(stage.gateway.parts.key_order.queues) <= 1 and len(stage.gateway.parts.table_groups.members) <= 1
+        len(stage.gateway.parts.key_order.queues) <= 1
+        and len(stage.gateway.parts.table_groups.requests_by_group) <= 1
     )
 
 
--- a/tests/scheduling/test_wtpg.py
+++ b/tests/scheduling/test_wtpg.py
@@ -8,7 +8,7 @@
 def figure_6() -> Wtpg:
     """T4 precedes T5 and T6 precedes T7; (T5, T6) and (T4, T7) are still open. Edges of T0 weigh nothing."""
     graph = Wtpg()
-    graph.start = {4: 0.0, 5: 0.0, 6: 0.0, 7: 0.0}
+    graph.start_weights = {4: 0.0, 5: 0.0, 6: 0.0, 7: 0.0}
     graph.precedes = {4: {5: 1.0}, 6: {7: 1.0}}
     graph.conflicts = {5: {6: 1.0}, 6: {5: 1.0}, 4: {7: 10.0}, 7: {4: 10.0}}
     return graph
@@ -29,7 +29,7 @@
     """Found on sockets: E walked over dozens of running nodes, which only ever come first."""
     graph, folded = Wtpg(), Wtpg()
     for each, running in ((graph, {1: 3.0, 2: 7.0, 3: 5.0}), (folded, {2: 7.0})):
-        each.start = {**running, 8: 2.0, 9: 4.0}
+        each.start_weights = {**running, 8: 2.0, 9: 4.0}
         each.precedes = {node: {8: 2.0, 9: 4.0} for node in running}
         each.conflicts = {8: {9: 4.0}, 9: {8: 2.0}}
     assert [graph.e(8), graph.e(9)] == [folded.e(8), folded.e(9)] == [13.0, 13.0]
