--- a/marbleworks/model.py
+++ b/marbleworks/model.py
@@ -47,7 +47,7 @@
     REJECTED = "rejected"
     """The engine was full and did not start the request."""
     UNREACHABLE = "unreachable"
-    """No connection was made, and it is unknown whether the engine counts that as an attempt."""
+    """No connection was made, and it is unknown whether that counts as an attempt."""
     TIMED_OUT = "timed out"
     """No answer in time; the request may still run."""
     CONNECTION_LOST = "connection lost"
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -133,7 +133,7 @@
     def enqueue(
         self, ref: str, new: Any, group: int, key: str, estimate: tuple[float, float], tenant: int
     ) -> None:
-        """Takes a new request."""
+        """Takes a new request with the arguments of `Dispatcher.admit`."""
 
     def on_client_disconnect(self, ref: str) -> bool:
         """Removes a waiting request; returns False if it was admitted before or is unknown."""
--- a/marbleworks/scheduling/attempt_watch.py
+++ b/marbleworks/scheduling/attempt_watch.py
@@ -55,7 +55,7 @@
             # than the plan, so the limit doubles with each move.
             request = attempt.request
             max_ratio = RUNAWAY_RATIO * 2.0**request.runaway_count
-            max_remaining_s = max_ratio * request.service_time_s() * attempt.engine.pace + RUNAWAY_S
+            max_remaining_s = max_ratio * request.service_time_s() * attempt.engine.slowdown + RUNAWAY_S
             if _remaining_time_s(attempt, now) > max_remaining_s and self._move(attempt, now):
                 request.runaway_count += 1
 
@@ -63,7 +63,7 @@
         overdue = [
             a
             for a in self._pool.in_flight
-            if now - a.started_at > OVERDUE_RATIO * a.request.service_time_s() * a.engine.pace + OVERDUE_S
+            if now - a.started_at > OVERDUE_RATIO * a.request.service_time_s() * a.engine.slowdown + OVERDUE_S
         ]
         for attempt in overdue:
             engine = attempt.engine
--- a/marbleworks/scheduling/engine_state.py
+++ b/marbleworks/scheduling/engine_state.py
@@ -34,7 +34,7 @@
         self.loading_groups = list[int]()  # table groups of this router's loads in flight here
         self.threads_in_use = 0  # by this router's attempts
         self.memory_in_use_mb = 0.0
-        self.pace = 1.0  # elapsed time over service time here; the fleet's pace if unknown
+        self.slowdown = 1.0  # elapsed time over service time; the fleet's slowdown if unknown
         self.reset()
 
     def reset(self) -> None:
--- a/marbleworks/scheduling/history.py
+++ b/marbleworks/scheduling/history.py
@@ -7,7 +7,7 @@
 TimedValue = tuple[float, float]  # (time of the measurement, value)
 
 MAX_SAMPLES = 16  # measurements kept in one history
-HISTORY_S = 10.0  # how long paces, loads and request rates of tenants are kept
+HISTORY_S = 10.0  # how long slowdowns, load reports and request times of tenants are used
 TICK_S = 0.05  # review interval while requests are pending; also refresh interval of derived figures
 TIME_MARGIN_S = 0.02  # safety margin before a time limit
 
--- a/marbleworks/scheduling/latency.py
+++ b/marbleworks/scheduling/latency.py
@@ -1,7 +1,7 @@
-"""Measures the pace of each engine and of the fleet.
+"""Measures the slowdown of each engine and of the fleet.
 
-The pace is the slowdown of requests: elapsed time over service time, the time that a request takes on an idle
-engine.
+The slowdown of a request is its elapsed time divided by its service time, which is the time that it takes on
+an idle engine.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 if TYPE_CHECKING:
     from marbleworks.scheduling.engine_state import Attempt, EnginePool
 
-SLOW_PACE = 1.6  # pace above which an engine is under pressure
+PRESSURE_SLOWDOWN = 1.6  # slowdown above which an engine is under pressure
 OVERLOAD_RATIO = 0.25  # share of close calls above which the fleet is overloaded
-MIN_PACE_SAMPLES = 3
+MIN_SLOWDOWN_SAMPLES = 3
 MIN_OVERLOAD_SAMPLES = 4  # minimum sample count, so that few answers of an idle fleet do not signal overload
 
 
-def observed_pace(
+def observed_slowdown(
     slowdowns: deque[TimedValue], in_flight: list[Attempt], now: float, default: float
 ) -> float:
-    """Returns the median pace of recent answers and of attempts that are already late.
+    """Returns the median slowdown of recent answers and of attempts that are already late.
 
     Args:
-        slowdowns: measured paces; those older than HISTORY_S are removed.
-        in_flight: attempts in flight, of which those slower than SLOW_PACE count.
+        slowdowns: measured slowdowns; those older than HISTORY_S are removed.
+        in_flight: attempts in flight, of which those slower than PRESSURE_SLOWDOWN count.
         now: the current time (s).
         default: the result if there are too few measurements.
 
     Returns:
-        The median, at least 1.
+        The median, but not less than 1.
     """
     drop_until(slowdowns, now - HISTORY_S)
     running = [
@@ -40,40 +40,47 @@
         for attempt in in_flight
         if not attempt.is_stalled
     ]
-    paces = sorted([pace for _, pace in slowdowns] + [pace for pace in running if pace > SLOW_PACE])
-    return max(paces[len(paces) // 2], 1.0) if len(paces) >= MIN_PACE_SAMPLES else default
+    sorted_slowdowns = sorted(
+        [slowdown for _, slowdown in slowdowns]
+        + [slowdown for slowdown in running if slowdown > PRESSURE_SLOWDOWN]
+    )
+    return (
+        max(sorted_slowdowns[len(sorted_slowdowns) // 2], 1.0)
+        if len(sorted_slowdowns) >= MIN_SLOWDOWN_SAMPLES
+        else default
+    )
 
 
 class LatencyMonitor:
-    """The paces of the fleet and of its engines, and whether the fleet is overloaded."""
+    """The slowdowns of the fleet and of its engines, and whether the fleet is overloaded."""
 
     def __init__(self, pool: EnginePool) -> None:
         self._pool = pool
         self.slowdowns: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)
         self.close_calls: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)  # 1 for each close call, else 0
-        self.fleet_pace = 1.0
-        self.upper_quartile_pace = 1.0  # 75th percentile of the paces of recent answers
+        self.fleet_slowdown = 1.0
+        self.upper_quartile_slowdown = 1.0  # 75th percentile over recent answers
         self.is_overloaded = False
 
     def record_answer(self, attempt: Attempt, finished_at: float, service_time_s: float) -> None:
-        """Records the pace of an attempt that was answered."""
+        """Records the slowdown of an attempt that was answered."""
         self.close_calls.append((finished_at, attempt.request.close_call(finished_at)))
-        pace = (finished_at - attempt.started_at) / (service_time_s + TIME_MARGIN_S)
-        attempt.engine.slowdowns.append((finished_at, pace))
-        self.slowdowns.append((finished_at, pace))
+        slowdown = (finished_at - attempt.started_at) / (service_time_s + TIME_MARGIN_S)
+        attempt.engine.slowdowns.append((finished_at, slowdown))
+        self.slowdowns.append((finished_at, slowdown))
 
     def record_rejection(self, now: float) -> None:
         """Records that a full engine rejected an attempt, which counts as a close call."""
         self.close_calls.append((now, 1.0))
 
     def refresh(self, now: float) -> None:
-        """Recomputes all paces and whether the fleet is overloaded."""
+        """Recomputes all slowdowns and whether the fleet is overloaded."""
         in_flight = self._pool.in_flight
-        self.fleet_pace = observed_pace(self.slowdowns, in_flight, now, 1.0)
+        self.fleet_slowdown = observed_slowdown(self.slowdowns, in_flight, now, 1.0)
         for engine in self._pool.up:
-            engine.pace = observed_pace(engine.slowdowns, engine.in_flight, now, self.fleet_pace)
-        paces = sorted([pace for _, pace in self.slowdowns] or [1.0])
-        self.upper_quartile_pace = paces[3 * len(self.slowdowns) // 4]
+            engine.slowdown = observed_slowdown(engine.slowdowns, engine.in_flight, now, self.fleet_slowdown)
+        sorted_slowdowns = sorted([slowdown for _, slowdown in self.slowdowns] or [1.0])
+        self.upper_quartile_slowdown = sorted_slowdowns[3 * len(self.slowdowns) // 4]
         close_call_count = sum(
             is_close_call for _, is_close_call in drop_until(self.close_calls, now - HISTORY_S)
         )
--- a/marbleworks/scheduling/load_shedding.py
+++ b/marbleworks/scheduling/load_shedding.py
@@ -25,14 +25,14 @@
         """Returns whether the remaining time is too short for the request.
 
         Its service time has to fit before its deadline. On an overloaded fleet, its service time at the
-        upper-quartile pace has to fit before its latency target, because late answers take capacity from
+        upper-quartile slowdown has to fit before its latency target, because late answers take capacity from
         requests that are still in time.
         """
-        pace = self._latency.upper_quartile_pace
+        slowdown = self._latency.upper_quartile_slowdown
         service_time_s = request.service_time_s()
-        if self._latency.is_overloaded and now + service_time_s * pace > request.target_at:
+        if self._latency.is_overloaded and now + service_time_s * slowdown > request.target_at:
             return True
-        return now + service_time_s * min(pace, 1.0) >= request.attempts_deadline
+        return now + service_time_s * min(slowdown, 1.0) >= request.attempts_deadline
 
     def shed_or_fail(self, request: RequestState, retry_after_s: float | None) -> None:
         """Sheds a request that may safely be repeated and fails any other.
--- a/marbleworks/scheduling/outlier_detection.py
+++ b/marbleworks/scheduling/outlier_detection.py
@@ -65,9 +65,7 @@
             request.has_returned_error = True
             if had_returned_error:
                 return
-        if (
-            outcome is AttemptOutcome.REJECTED
-        ):  # a full engine is not faulty, but is left out for a short time
+        if outcome is AttemptOutcome.REJECTED:  # a full engine is not faulty, but needs a short pause
             engine.ejected_until = max(now + FIRST_EJECTION_S / 2, engine.ejected_until)
             self._latency.record_rejection(now)
         elif outcome not in OUTCOMES_WITHOUT_FAULT and not is_alive:
--- a/marbleworks/scheduling/placement.py
+++ b/marbleworks/scheduling/placement.py
@@ -8,7 +8,7 @@
 
 from marbleworks.model import Idempotency
 from marbleworks.scheduling.history import HISTORY_S, TIME_MARGIN_S
-from marbleworks.scheduling.latency import SLOW_PACE
+from marbleworks.scheduling.latency import PRESSURE_SLOWDOWN
 from marbleworks.scheduling.load_reports import RECENT_REPORT_S
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
             engine.unrestricted_share = max(1.0 - reserved_share, MIN_FREE_SHARE)
 
     def homes(self, table_group: int) -> dict[EngineState, None]:
-        """Returns the homes of a table group, the engines that its loads run on.
+        """Returns the homes of a table group, the engines that are preferred for its loads.
 
         All routers choose the same homes by rendezvous hashing of engine names.
         """
@@ -122,7 +122,10 @@
 
     @staticmethod
     def _recognizes_key(request: RequestState, engine: EngineState) -> bool:
-        """Returns whether the engine recognizes a key that the request's earlier engine may have seen."""
+        """Returns whether a repeat on the engine is safe as far as an idempotency key is concerned.
+
+        The scope of the key has to cover both this engine and the first one that may have run the request.
+        """
         request_class = request.request_class
         if (
             request.earliest_possible_run is None
@@ -137,7 +140,7 @@
     def prefer_by_home(self, request: RequestState, candidates: list[EngineState]) -> list[EngineState]:
         """Returns the homes for a load, and the engines outside the homes for readers that wait for loads.
 
-        The loads of other routers are not known, but they can only run at the homes. Readers avoid the homes
+        The loads of other routers are not known, but they can only be at the homes. Readers avoid the homes
         only if at least two other engines remain: a single one would be overloaded by all readers of the
         group.
         """
@@ -152,8 +155,8 @@
     def prefer_zone(self, request: RequestState, engines: list[EngineState]) -> list[EngineState]:
         """Returns the engines of this router's zone for a cheap request, if there are any.
 
-        A cheap request hardly affects the balance of load, and staying in the zone saves a network round trip
-        between zones.
+        A cheap request hardly affects the balance of load, and staying in the zone avoids traffic between
+        zones.
         """
         if request.work > self._estimates.cheap_threshold or self._latency.is_overloaded:
             return engines
@@ -162,13 +165,15 @@
     def two_choices(self, request: RequestState, engines: list[EngineState], now: float) -> list[EngineState]:
         """Returns the two engines with the fewest threads in use by this router per unit of capacity.
 
-        Ties are broken at random. The capacity of an engine is divided by its pace, so that a slow engine
+        Ties are broken at random. The capacity of an engine is divided by its slowdown, so that a slow engine
         counts as a smaller one.
         """
         restricted = self._pool.cores_by_restricted_class
         is_unrestricted = bool(restricted) and request.class_index not in restricted
         capacity = {
-            e: (e.unrestricted_share if is_unrestricted else 1.0) * self._slow_start.capacity(e, now) / e.pace
+            e: (e.unrestricted_share if is_unrestricted else 1.0)
+            * self._slow_start.capacity(e, now)
+            / e.slowdown
             for e in engines
         }
         return sorted(engines, key=lambda e: (e.threads_in_use + self._random_tie_break()) / capacity[e])[:2]
@@ -194,7 +199,7 @@
         ):
             return False  # swapping slows all requests on the engine
         is_full = engine.reported_full and engine.reported_at > now - HISTORY_S
-        if engine.pace <= SLOW_PACE and not is_full:
+        if engine.slowdown <= PRESSURE_SLOWDOWN and not is_full:
             return True
         is_cheap = request.work <= self._estimates.cheap_threshold
         max_threads_per_core = THREADS_PER_CORE / divisor * (2 if is_cheap else 1)
@@ -208,8 +213,8 @@
         return not own_threads or own_threads + threads <= max_threads_per_core * self._pool.cores
 
     def _random_tie_break(self) -> float:
-        # CRC-32 is linear: with a single one, equal engines would keep the same order in every draw.
         """Returns a pseudo-random number from 0 to 1 that orders equally loaded engines."""
+        # CRC-32 is linear: with a single checksum, equal engines would keep the same order in every draw.
         self._draw_count += 1
         checksum = zlib.crc32(f"{self.seed}/{self._draw_count}".encode())
         return zlib.crc32(str(checksum).encode()) / 2**32
--- a/marbleworks/scheduling/retry_budget.py
+++ b/marbleworks/scheduling/retry_budget.py
@@ -70,7 +70,7 @@
         return not request.counted_attempts or budget_factor * (spent + 1) <= earned
 
     def _may_run_again(self, request: RequestState, now: float) -> bool:
-        """Returns whether a second run of the request would have no further effect."""
+        """Returns whether the request has not run, or a second run would have no further effect."""
         if request.earliest_possible_run is None and not request.in_flight:
             return True
         idempotency = request.request_class.idempotency
--- a/marbleworks/scheduling/table_groups.py
+++ b/marbleworks/scheduling/table_groups.py
@@ -107,13 +107,13 @@
 
 
 def _remaining_cost(request: RequestState, now: float) -> float:
-    """Returns the remaining work, by progress reports or else by elapsed time over the engine's pace.
+    """Returns the remaining work, by progress reports or else by elapsed time over the engine's slowdown.
 
-    On a slow engine less work is done in the same time; dividing by the pace corrects for that.
+    On a slow engine less work is done in the same time; dividing by the slowdown corrects for that.
     """
     remaining = request.work
     for attempt in request.in_flight:
-        done = (now - attempt.started_at) * request.request_class.threads / attempt.engine.pace
+        done = (now - attempt.started_at) * request.request_class.threads / attempt.engine.slowdown
         by_attempt = request.work * (1.0 - attempt.progress) if attempt.progress else request.work - done
         remaining = min(remaining, by_attempt)
     return max(remaining, 0.0)
