--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -1,4 +1,4 @@
-"""A slow, plain model of the rules beside the module; both must agree on what is allowed."""
+"""Random walks over the scheduler, checked against a slow and simple model of the rules."""
 
 from typing import Any
 
@@ -14,107 +14,135 @@
 
 STEP = st.one_of(
     st.tuples(
-        st.just("take"),
+        st.just("submit"),
         st.integers(0, 4),
         st.integers(0, 2),
         st.floats(0.0, 6.0),
         st.sampled_from([0.05, 1.0, 6.0, 25.0]),
     ),
     st.tuples(st.just("end"), st.integers(0, 40), st.sampled_from([None, *AttemptOutcome])),
-    st.tuples(st.just("leave"), st.integers(0, 40)),
-    st.tuples(st.just("note"), st.integers(0, 40), st.floats(0.0, 1.0)),
+    st.tuples(st.just("disconnect"), st.integers(0, 40)),
+    st.tuples(st.just("progress"), st.integers(0, 40), st.floats(0.0, 1.0)),
     st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from(list(EngineStatus)), st.booleans()),
     st.tuples(st.just("wait"), st.sampled_from([0.01, 0.3, 1.0, 5.2])),
-    st.tuples(st.just("rush"), st.integers(0, 4), st.integers(1, 60)),
+    st.tuples(st.just("burst"), st.integers(0, 4), st.integers(1, 60)),
 )
 
 
-class Model(Recorder):
-    """Objects to whatever the rules forbid. It keeps every event whole and searches them each time."""
+class ReferenceModel(Recorder):
+    """Rejects every call that the rules forbid; keeps all events and searches them on each call."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.takes: dict[str, dict[str, Any]] = {}
-        self.sends: list[dict[str, Any]] = []
-        self.lists: dict[int, tuple[EngineStatus, float, int]] = {}
-        self.before_start: dict[int, int] = {}  # sends made before an engine last started
+        self.submissions: dict[str, dict[str, Any]] = {}
+        self.attempts: list[dict[str, Any]] = []
+        self.listings: dict[int, tuple[EngineStatus, float, int]] = {}
+        self.attempts_before_start: dict[int, int] = {}  # number of attempts before an engine last started
 
-    def of(self, ref: str) -> list[dict[str, Any]]:
-        return [s for s in self.sends if s["ref"] == ref]
+    def attempts_of(self, ref: str) -> list[dict[str, Any]]:
+        return [s for s in self.attempts if s["ref"] == ref]
 
-    def that_left(self, ref: str) -> list[dict[str, Any]]:
-        """What an engine got, or may still get."""
-        return [s for s in self.of(ref) if s["how"] is None or not s["how"].never_sent]
+    def possibly_sent(self, ref: str) -> list[dict[str, Any]]:
+        """Returns the attempts that an engine received or may still receive."""
+        return [s for s in self.attempts_of(ref) if s["outcome"] is None or not s["outcome"].never_sent]
 
-    def may_have_run(self, ref: str) -> list[dict[str, Any]]:
-        return [s for s in self.of(ref) if s["how"] is None or not s["how"].never_ran]
+    def possibly_run(self, ref: str) -> list[dict[str, Any]]:
+        """Returns the attempts that may have run."""
+        return [s for s in self.attempts_of(ref) if s["outcome"] is None or not s["outcome"].never_ran]
 
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
-        take, now = self.takes[ref], self.clock
-        p, earlier, doubtful = take["profile"], self.of(ref), self.may_have_run(ref)
-        listed, started, kind = self.lists[engine_id]
-        assert not take["over"] and now < take["deadline"], "sent for a command that is over"
-        assert listed is EngineStatus.UP, "sent to an engine that drains or is gone"
-        assert p.allowed_machine_kinds is None or kind in p.allowed_machine_kinds, "placement"
-        assert len(self.that_left(ref)) < RULES.max_attempts, "too many sends"
-        assert len(earlier) < 2 * RULES.max_attempts, "too many tries"
-        if doubtful:
-            assert p.idempotency is not Idempotency.NON_IDEMPOTENT, "may run twice"
-            age = now - min(s["at"] for s in doubtful)
+        submission, now = self.submissions[ref], self.clock
+        request_class, earlier_attempts, possible_runs = (
+            submission["request_class"],
+            self.attempts_of(ref),
+            self.possibly_run(ref),
+        )
+        status, started_at, kind = self.listings[engine_id]
+        assert (
+            not submission["completed"] and now < submission["deadline"]
+        ), "started for a request that is completed or expired"
+        assert status is EngineStatus.UP, "sent to an engine that drains or has left"
+        assert (
+            request_class.allowed_machine_kinds is None or kind in request_class.allowed_machine_kinds
+        ), "started on a machine kind that is not allowed"
+        assert len(self.possibly_sent(ref)) < RULES.max_attempts, "too many attempts that were sent"
+        assert len(earlier_attempts) < 2 * RULES.max_attempts, "too many attempts"
+        if possible_runs:
+            assert (
+                request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+            ), "a non-idempotent request may run twice"
+            age = now - min(s["started_at"] for s in possible_runs)
             assert (
-                p.idempotency is not Idempotency.IDEMPOTENCY_KEY or age < p.idempotency_window_s
-            ), "repeat outside the window"
-            first = min(s["at"] for s in doubtful)
+                request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY
+                or age < request_class.idempotency_window_s
+            ), "repeated after the idempotency window"
+            first = min(s["started_at"] for s in possible_runs)
             assert (
-                p.idempotency is not Idempotency.IDEMPOTENCY_KEY or begin_by < first + p.idempotency_window_s
-            ), "may begin outside it"
-        if p.ordered_by_key and take["key"]:
-            for ref2, other in self.takes.items():
+                request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY
+                or begin_by < first + request_class.idempotency_window_s
+            ), "may start after the idempotency window"
+        if request_class.ordered_by_key and submission["key"]:
+            for other_ref, other in self.submissions.items():
                 if (
-                    other["no"] < take["no"]
-                    and other["key"] == take["key"]
-                    and other["profile"].ordered_by_key
+                    other["number"] < submission["number"]
+                    and other["key"] == submission["key"]
+                    and other["request_class"].ordered_by_key
                 ):
-                    assert other["over"], "an earlier command of the key is not over"
-                    for s in self.of(ref2):
-                        assert s["how"] is not None, "an earlier send of the key has no outcome"
-                        rested = now >= s["ended"] + RULES.key_settle_s
-                        assert rested or not s["how"].may_still_run, "the key does not rest"
-        if further := bool(self.that_left(ref)):
-            since = now - RULES.retry_budget_window_s
-            # Each may leave as late as it may: those before within the window of now, and this one then.
-            counted = [s for s in self.sends if s["how"] is None or not s["how"].never_sent]
-            spent = sum(s["further"] and s["by"] >= since for s in counted) + 1
-            took = sum(t["at"] > begin_by - RULES.retry_budget_window_s for t in self.takes.values())
+                    assert other["completed"], "an earlier request of the key is not completed"
+                    for s in self.attempts_of(other_ref):
+                        assert s["outcome"] is not None, "an earlier attempt of the key has no outcome"
+                        is_settled = now >= s["ended_at"] + RULES.key_settle_s
+                        assert (
+                            is_settled or not s["outcome"].may_still_run
+                        ), "the settle time of the key has not passed"
+        if is_retry := bool(self.possibly_sent(ref)):
+            window_start = now - RULES.retry_budget_window_s
+            # In the worst case each attempt starts as late as it may: the earlier ones within the window
+            # before now, and this one at its latest start.
+            counted_attempts = [
+                s for s in self.attempts if s["outcome"] is None or not s["outcome"].never_sent
+            ]
+            retry_count = sum(s["is_retry"] and s["begin_by"] >= window_start for s in counted_attempts) + 1
+            submitted_count = sum(
+                t["submitted_at"] > begin_by - RULES.retry_budget_window_s for t in self.submissions.values()
+            )
             assert (
-                spent <= RULES.retry_budget_floor + RULES.retry_budget_ratio * took
-            ), "budget of further sends"
-        send = {"ref": ref, "no": len(earlier), "be": engine_id, "at": now, "how": None, "further": further}
-        send["by"] = begin_by
-        self.sends.append(send)
-        if started > 0 and now < started + RULES.slow_start_s:
-            # Every command of a profile weighs the same, and no share of the other router is used up.
-            since_start = self.sends[self.before_start[engine_id] :]
-            here = [
-                s for s in since_start if s["be"] == engine_id and s["by"] >= now - RULES.overload_window_s
+                retry_count <= RULES.retry_budget_floor + RULES.retry_budget_ratio * submitted_count
+            ), "retry budget exceeded"
+        attempt = {
+            "ref": ref,
+            "number": len(earlier_attempts),
+            "engine_id": engine_id,
+            "started_at": now,
+            "outcome": None,
+            "is_retry": is_retry,
+        }
+        attempt["begin_by"] = begin_by
+        self.attempts.append(attempt)
+        if started_at > 0 and now < started_at + RULES.slow_start_s:
+            # Every request of a class counts the same work, and the other router uses none of its share.
+            attempts_since_start = self.attempts[self.attempts_before_start[engine_id] :]
+            attempts_here = [
+                s
+                for s in attempts_since_start
+                if s["engine_id"] == engine_id and s["begin_by"] >= now - RULES.overload_window_s
             ]
-            left = [s for s in here if s["how"] is None or not s["how"].never_sent]
-            weights = [self.takes[s["ref"]]["usual"] for s in left]
-            age = (
-                max(now - RULES.overload_window_s - started, 0.0) / RULES.slow_start_s
-            )  # when the span began
-            warm = RULES.slow_start_floor + (1.0 - RULES.slow_start_floor) * age
-            budget = warm * RULES.overload_multiple * RULES.overload_window_s * 8 / 2
-            assert sum(weights) <= budget, "a fresh engine is pushed over"
-
-    def finish(self, ref: str, how: str) -> None:
-        assert not self.takes[ref]["over"], f"{how} of a command that is over"
-        assert self.clock <= self.takes[ref]["deadline"] + 0.02, "the final answer is late"
-        self.takes[ref]["over"] = True
+            sent_attempts = [s for s in attempts_here if s["outcome"] is None or not s["outcome"].never_sent]
+            works = [self.submissions[s["ref"]]["mean_work"] for s in sent_attempts]
+            # The engine's warm-up at the start of the window limits the work in it.
+            age = max(now - RULES.overload_window_s - started_at, 0.0) / RULES.slow_start_s
+            capacity_share = RULES.slow_start_floor + (1.0 - RULES.slow_start_floor) * age
+            budget = capacity_share * RULES.overload_multiple * RULES.overload_window_s * 8 / 2
+            assert sum(works) <= budget, "a warming engine is overloaded"
+
+    def finish(self, ref: str, outcome: str) -> None:
+        assert not self.submissions[ref]["completed"], f"{outcome} of a request that is completed"
+        assert self.clock <= self.submissions[ref]["deadline"] + 0.02, "the final answer is late"
+        self.submissions[ref]["completed"] = True
 
     def shed(self, ref: str, retry_after_s: float) -> None:
-        effect = self.takes[ref]["profile"].idempotency
-        assert effect is not Idempotency.NON_IDEMPOTENT or not self.may_have_run(
+        idempotency = self.submissions[ref]["request_class"].idempotency
+        assert idempotency is not Idempotency.NON_IDEMPOTENT or not self.possibly_run(
             ref
         ), "shed after it may have run"
         self.finish(ref, "shed")
@@ -123,122 +151,162 @@
         self.finish(ref, "fail")
 
 
-class Day:
+class RandomWalk:
+    """Drives a scheduler through random events."""
+
     def __init__(self) -> None:
-        self.model = Model()
-        self.gateway = Scheduler(self.model, 3, PROFILES, RULES, FLEET)
-        self.commands: dict[str, RequestState] = {}
-        for be in range(4):
-            self.listed(be, EngineStatus.UP, False)
+        self.model = ReferenceModel()
+        self.scheduler = Scheduler(self.model, 3, PROFILES, RULES, FLEET)
+        self.requests: dict[str, RequestState] = {}
+        for engine_id in range(4):
+            self.list_engine(engine_id, EngineStatus.UP, False)
 
-    def listed(self, be: int, listed: EngineStatus, restarted: bool) -> None:
+    def list_engine(self, engine_id: int, status: EngineStatus, restarted: bool) -> None:
         if restarted:
-            self.model.before_start[be] = len(self.model.sends)
-        started = self.model.clock if restarted else self.model.lists.get(be, (listed, 0.0, 0))[1]
-        self.model.lists[be] = (listed, started, be % 2)
-        self.gateway.update_engines([engine(be, listed, started, be % 2)], complete=False)
-
-    def take(self, profile: int, key: int, work: float, left: float) -> None:
-        ref, model = f"c{len(model_takes := self.model.takes)}", self.model
-        usual = [
-            *(w for q, w in self.gateway.parts.estimates.recent_work if q == profile),
-            work or self.gateway.mean_work(profile),
+            self.model.attempts_before_start[engine_id] = len(self.model.attempts)
+        started_at = (
+            self.model.clock if restarted else self.model.listings.get(engine_id, (status, 0.0, 0))[1]
+        )
+        self.model.listings[engine_id] = (status, started_at, engine_id % 2)
+        self.scheduler.update_engines([engine(engine_id, status, started_at, engine_id % 2)], complete=False)
+
+    def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
+        ref, model = f"c{len(model_submissions := self.model.submissions)}", self.model
+        class_work = [
+            *(
+                work_s
+                for other_index, work_s in self.scheduler.parts.estimates.recent_work
+                if other_index == class_index
+            ),
+            work or self.scheduler.mean_work(class_index),
         ]
-        model_takes[ref] = {
-            "profile": PROFILES[profile],
+        model_submissions[ref] = {
+            "request_class": PROFILES[class_index],
             "key": f"k{key}",
-            "no": len(model_takes),
-            "at": model.clock,
-            "deadline": model.clock + left,
-            "over": False,
-            "usual": sum(usual[-128:]) / len(usual[-128:]),
+            "number": len(model_submissions),
+            "submitted_at": model.clock,
+            "deadline": model.clock + time_left_s,
+            "completed": False,
+            "mean_work": sum(class_work[-128:]) / len(class_work[-128:]),
         }
-        self.commands[ref] = self.gateway.submit(
-            ref, profile, key, f"k{key}", (work, 10.0), -1, model.clock, left
+        self.requests[ref] = self.scheduler.submit(
+            ref, class_index, key, f"k{key}", (work, 10.0), -1, model.clock, time_left_s
         )
 
-    def leave(self, which: int) -> None:
-        ref = list(self.commands)[which % len(self.commands)]
-        if not self.model.takes[ref]["over"]:
-            self.model.takes[ref]["over"] = True
-            self.commands[ref].on_client_disconnect()
-
-    def end(self, send: dict[str, Any], how: AttemptOutcome | None) -> None:
-        """An answer where how is None. Unused sends come only after their command is over."""
-        cmd, take = self.commands[send["ref"]], self.model.takes[send["ref"]]
-        how = AttemptOutcome.ERROR if how is AttemptOutcome.UNSENT else how
-        send["ended"] = self.model.clock
-        send["how"], was_over = how or AttemptOutcome.ERROR, take["over"]
-        if how is None:
-            take["over"] = True
-            cmd.on_answer(send["no"], None, None)
+    def disconnect_client(self, index: int) -> None:
+        ref = list(self.requests)[index % len(self.requests)]
+        if not self.model.submissions[ref]["completed"]:
+            self.model.submissions[ref]["completed"] = True
+            self.requests[ref].on_client_disconnect()
+
+    def end_attempt(self, attempt: dict[str, Any], outcome: AttemptOutcome | None) -> None:
+        """Ends an attempt; an outcome of None is an answer.
+
+        An attempt is unsent only after its request is completed, so ERROR replaces that outcome.
+        """
+        request, submission = self.requests[attempt["ref"]], self.model.submissions[attempt["ref"]]
+        outcome = AttemptOutcome.ERROR if outcome is AttemptOutcome.UNSENT else outcome
+        attempt["ended_at"] = self.model.clock
+        attempt["outcome"], was_completed = outcome or AttemptOutcome.ERROR, submission["completed"]
+        if outcome is None:
+            submission["completed"] = True
+            request.on_answer(attempt["number"], None, None)
         else:
-            cmd.on_attempt_end(send["no"], how, was_over, None)
+            request.on_attempt_end(attempt["number"], outcome, was_completed, None)
 
-    def out(self) -> list[dict[str, Any]]:
-        return [s for s in self.model.sends if s["how"] is None]
+    def attempts_in_flight(self) -> list[dict[str, Any]]:
+        return [s for s in self.model.attempts if s["outcome"] is None]
 
-    def wait(self, seconds: float) -> None:
-        """Time runs to the next waking or time-out, whichever comes first."""
+    def advance(self, seconds: float) -> None:
+        """Advances the clock by the given seconds, with each wake-up and timeout on the way."""
         end = self.model.clock + seconds
         while True:
-            cut = {id(s): self.model.takes[s["ref"]]["deadline"] - 0.01 for s in self.out()}
-            wakes = min(self.gateway.parts.timers.next_review_at, self.gateway.parts.timers.next_expiry_at)
-            at = min([wakes, *cut.values(), end])
+            timeouts = {
+                id(s): self.model.submissions[s["ref"]]["deadline"] - 0.01 for s in self.attempts_in_flight()
+            }
+            next_wakeup = min(
+                self.scheduler.parts.timers.next_review_at, self.scheduler.parts.timers.next_expiry_at
+            )
+            at = min([next_wakeup, *timeouts.values(), end])
             self.model.clock = max(at, self.model.clock)
-            due = [s for s in self.out() if cut.get(id(s), end) <= self.model.clock]
-            for send in due:
-                self.end(send, AttemptOutcome.TIMED_OUT)
-            if wakes <= self.model.clock:
-                self.gateway.on_timer()
+            due = [s for s in self.attempts_in_flight() if timeouts.get(id(s), end) <= self.model.clock]
+            for attempt in due:
+                self.end_attempt(attempt, AttemptOutcome.TIMED_OUT)
+            if next_wakeup <= self.model.clock:
+                self.scheduler.on_timer()
             elif not due and at >= end:
                 return
 
 
-class Behind(Day):
-    """The same with a door in front, which holds commands back, turns some away and lets them in in its
-    order."""
+class RandomWalkWithAdmission(RandomWalk):
+    """A random walk with an admission controller in front, which delays, rejects and reorders requests."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.door = AdmissionController(
+        self.admission = AdmissionController(
             self,
             FlowClassifier(16, 3, {}, {}),
             Bounds(20, 1e5, 50, False, False),
             2.0,
             RULES.max_retry_after_s,
         )
-        self.held: dict[str, tuple[int, int, float, float]] = {}
+        self.waiting_arrivals: dict[str, tuple[int, int, float, float]] = {}
 
-    def take(self, profile: int, key: int, work: float, left: float) -> None:
-        takes, now, p = self.model.takes, self.model.clock, PROFILES[profile]
-        ref = f"c{len(takes)}"
-        takes[ref] = {
-            "profile": p,
+    def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
+        submissions, now, request_class = self.model.submissions, self.model.clock, PROFILES[class_index]
+        ref = f"c{len(submissions)}"
+        submissions[ref] = {
+            "request_class": request_class,
             "key": f"k{key}",
-            "no": len(takes),
-            "at": now,
-            "deadline": now + left,
-            "over": False,
+            "number": len(submissions),
+            "submitted_at": now,
+            "deadline": now + time_left_s,
+            "completed": False,
         }
-        self.held[ref] = profile, key, work, now + left
-        said = work or self.gateway.mean_work(profile)
-        new = Arrival(
-            ref, f"m{key % 3}", "", f"k{key}", said, p.threads, 99, left / 2, left - 0.05, len(takes)
+        self.waiting_arrivals[ref] = class_index, key, work, now + time_left_s
+        work_estimate = work or self.scheduler.mean_work(class_index)
+        arrival = Arrival(
+            ref,
+            f"m{key % 3}",
+            "",
+            f"k{key}",
+            work_estimate,
+            request_class.threads,
+            99,
+            time_left_s / 2,
+            time_left_s - 0.05,
+            len(submissions),
         )
-        self.door.arrive(new, now)
-        self.settle()
-
-    def admit(self, ref: str, wait: float | None) -> None:
-        profile, key, work, deadline = self.held.pop(ref)
-        take, gateway = self.model.takes[ref], self.gateway
-        usual = [
-            *(w for q, w in gateway.parts.estimates.recent_work if q == profile),
-            work or gateway.mean_work(profile),
+        self.admission.arrive(arrival, now)
+        self.remove_completed()
+
+    def admit(self, ref: str, retry_after_s: float | None) -> None:
+        class_index, key, work, deadline = self.waiting_arrivals.pop(ref)
+        submission, scheduler = self.model.submissions[ref], self.scheduler
+        class_work = [
+            *(
+                work_s
+                for other_index, work_s in scheduler.parts.estimates.recent_work
+                if other_index == class_index
+            ),
+            work or scheduler.mean_work(class_index),
         ]
-        take["usual"], left = sum(usual[-128:]) / len(usual[-128:]), deadline - self.model.clock
-        told = work, 10.0
-        self.commands[ref] = gateway.submit(ref, profile, key, f"k{key}", told, -1, take["at"], left, wait)
+        submission["mean_work"], time_left_s = (
+            sum(class_work[-128:]) / len(class_work[-128:]),
+            deadline - self.model.clock,
+        )
+        estimate = work, 10.0
+        self.requests[ref] = scheduler.submit(
+            ref,
+            class_index,
+            key,
+            f"k{key}",
+            estimate,
+            -1,
+            submission["submitted_at"],
+            time_left_s,
+            retry_after_s,
+        )
 
     def let_in(self, ref: str) -> None:
         self.admit(ref, None)
@@ -252,79 +320,81 @@
 
     def broke(self, ref: str, member: str, cause: str) -> None: ...
 
-    def settle(self) -> None:
-        """What is over leaves the door."""
-        while over := [ref for ref in self.door.inside if self.model.takes[ref]["over"]]:
-            for ref in over:
-                self.door.over(ref, True, self.model.clock)
-
-    def leave(self, which: int) -> None:
-        waiting = list(self.door.waiting)
-        if waiting and which % 2:
-            ref = waiting[which % len(waiting)]
-            assert self.door.left(ref)
-            self.model.takes[ref]["over"] = True
-            del self.held[ref]
+    def remove_completed(self) -> None:
+        """Removes completed requests from the admission controller."""
+        while completed := [ref for ref in self.admission.inside if self.model.submissions[ref]["completed"]]:
+            for ref in completed:
+                self.admission.over(ref, True, self.model.clock)
+
+    def disconnect_client(self, index: int) -> None:
+        waiting = list(self.admission.waiting)
+        if waiting and index % 2:
+            ref = waiting[index % len(waiting)]
+            assert self.admission.left(ref)
+            self.model.submissions[ref]["completed"] = True
+            del self.waiting_arrivals[ref]
         else:
-            super().leave(which)
-        self.settle()
+            super().disconnect_client(index)
+        self.remove_completed()
 
-    def end(self, send: dict[str, Any], how: AttemptOutcome | None) -> None:
-        super().end(send, how)
-        if how is None:
-            self.door.answered(send["ref"], 0.5, 0.5, self.model.clock)
-        self.settle()
+    def end_attempt(self, attempt: dict[str, Any], outcome: AttemptOutcome | None) -> None:
+        super().end_attempt(attempt, outcome)
+        if outcome is None:
+            self.admission.answered(attempt["ref"], 0.5, 0.5, self.model.clock)
+        self.remove_completed()
 
-    def wait(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         end = self.model.clock + seconds
         while self.model.clock < end - 1e-9:
-            super().wait(min(0.02, end - self.model.clock))
-            self.door.tick(self.model.clock)
-            self.settle()
+            super().advance(min(0.02, end - self.model.clock))
+            self.admission.tick(self.model.clock)
+            self.remove_completed()
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.lists(STEP, min_size=5, max_size=60))
-def test_the_module_does_nothing_that_the_model_forbids(steps: list[Any]) -> None:
-    played(Day(), steps)
+def test_the_scheduler_does_nothing_that_the_model_forbids(steps: list[Any]) -> None:
+    replay(RandomWalk(), steps)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(STEP, min_size=5, max_size=60))
-def test_nor_does_it_with_a_door_in_front(steps: list[Any]) -> None:
-    played(Behind(), steps)
+def test_the_scheduler_with_admission_does_nothing_that_the_model_forbids(steps: list[Any]) -> None:
+    replay(RandomWalkWithAdmission(), steps)
 
 
-def played(day: Day, steps: list[Any]) -> None:
+def replay(walk: RandomWalk, steps: list[Any]) -> None:
     for name, *args in steps:
-        if name == "take":
-            day.take(*args)
-        elif name == "end" and day.out():
-            day.end(day.out()[args[0] % len(day.out())], args[1])
-        elif name == "leave" and day.commands:
-            day.leave(args[0])
-        elif name == "note" and day.out():
-            send = day.out()[args[0] % len(day.out())]
-            day.commands[send["ref"]].on_progress(send["no"], args[1])
+        if name == "submit":
+            walk.submit_request(*args)
+        elif name == "end" and walk.attempts_in_flight():
+            walk.end_attempt(walk.attempts_in_flight()[args[0] % len(walk.attempts_in_flight())], args[1])
+        elif name == "disconnect" and walk.requests:
+            walk.disconnect_client(args[0])
+        elif name == "progress" and walk.attempts_in_flight():
+            attempt = walk.attempts_in_flight()[args[0] % len(walk.attempts_in_flight())]
+            walk.requests[attempt["ref"]].on_progress(attempt["number"], args[1])
         elif name == "list":
-            day.listed(*args)
+            walk.list_engine(*args)
         elif name == "wait":
-            day.wait(args[0])
-        elif name == "rush":
+            walk.advance(args[0])
+        elif name == "burst":
             for n in range(args[1]):
-                day.take(args[0], n, 0.3, 8.0)
-                for send in day.out():
-                    day.end(send, None)
-    day.wait(30.0)
-    assert all(take["over"] for take in day.model.takes.values()), "a command was lost"
+                walk.submit_request(args[0], n, 0.3, 8.0)
+                for attempt in walk.attempts_in_flight():
+                    walk.end_attempt(attempt, None)
+    walk.advance(30.0)
+    assert all(
+        submission["completed"] for submission in walk.model.submissions.values()
+    ), "a request was not answered"
 
 
-def test_nothing_that_could_be_sent_is_starved() -> None:
-    day = Day()
+def test_no_request_that_could_be_sent_is_starved() -> None:
+    walk = RandomWalk()
     for n in range(300):
-        day.take(n % 5, n % 3, 0.1 + n % 7 * 0.2, 9.0)
-        day.wait(0.3)
-        for send in day.out():
-            day.end(send, None)
-    answered = sum(s["how"] is AttemptOutcome.ERROR for s in day.model.sends)
+        walk.submit_request(n % 5, n % 3, 0.1 + n % 7 * 0.2, 9.0)
+        walk.advance(0.3)
+        for attempt in walk.attempts_in_flight():
+            walk.end_attempt(attempt, None)
+    answered = sum(s["outcome"] is AttemptOutcome.ERROR for s in walk.model.attempts)
     assert answered >= 290
