--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -1,12 +1,10 @@
-"""Wholes of budgets leased from one level of the fleet to the next: from the level above to a cell, and from
-the cell's leader to its routers. No I/O, no clock.
-
-The same books serve each level (`budgets/allocation_ledger.py`). A `BudgetLeaseGranter` keeps those whose
-members are cells; a `BudgetLeaseHolder` is a cell's leader towards the level above: a purse whose use is what
-its own books may have out, and
-the backing of those books. It must never let more be given out in a cell than the cell holds, or a part be
-held for longer than the cell's lease bears. docs/design/cell-leases.md has the proof. Times are float seconds
-of one clock.
+"""Totals of budgets leased from one level of the fleet to the next: to a cell, and by it to its routers.
+
+The same ledger serves each level (`budgets/allocation_ledger.py`). A `BudgetLeaseGranter` keeps the one whose
+members are cells. A `BudgetLeaseHolder` belongs to a cell's leader: it reports to the level above what the
+leader's own ledger may have granted, and is the source of what that ledger divides. Routers of a cell are
+never granted more than the cell holds, nor for longer than the cell's lease allows.
+docs/design/cell-leases.md has the proof. No I/O, no clock; times are float seconds of one clock.
 """
 
 from __future__ import annotations
@@ -26,29 +24,42 @@
 from marbleworks.membership.codec import checked_counter, seal, unseal, wrap_decode_errors
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-SILENT = 1.2  # seconds without an answer after which a leader looks for whoever has the right above
-ASKS = 0.2  # seconds between its questions for that
+ANSWER_TIMEOUT_S = 1.2  # without an answer, after which a cell's leader looks for the granter again
+HELLO_INTERVAL_S = 0.2  # between two messages that look for the granter
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Of a cell's leader to a machine of the level above. router, start, reign: who leads the cell, and which
-    right of it; token: echoed by the answer."""
+    """Asks a machine of the level above whether it is the granter, and registers the cell's leader there.
+
+    Attributes:
+        cell: that is led.
+        router: index of the router that leads it.
+        incarnation: of that router's process.
+        term: of that incarnation as the cell's leader.
+        token: comes back in the answer.
+    """
 
     cell: int
     router: int
-    start: int
-    reign: int
+    incarnation: int
+    term: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """start, reign: of whoever has the right above. epoch: under which this leader tells it of its cell; one
-    given later, to another leader, ends it."""
+    """The granter's answer to a `Hello`.
+
+    Attributes:
+        incarnation: of the granter's process.
+        term: of that incarnation as the granter.
+        token: of the `Hello`.
+        epoch: under which this leader reports for its cell. It ends when another leader is given a later one.
+    """
 
-    start: int
-    reign: int
+    incarnation: int
+    term: int
     token: int
     epoch: int
 
@@ -56,16 +67,28 @@
 Said = Hello | Welcome | BudgetReport | BudgetAnswer
 
 
-def encode_hello(group: int, h: Hello) -> bytes:
-    return seal(FORMAT, group, {0: 2, 1: h.start, 2: h.token, 3: h.cell, 4: h.router, 6: h.reign})
+def encode_hello(group: int, hello: Hello) -> bytes:
+    """Encodes a Hello for a group."""
+    return seal(
+        FORMAT,
+        group,
+        {0: 2, 1: hello.incarnation, 2: hello.token, 3: hello.cell, 4: hello.router, 6: hello.term},
+    )
 
 
-def encode_welcome(group: int, w: Welcome) -> bytes:
-    return seal(FORMAT, group, {0: 3, 1: w.start, 2: w.token, 5: w.epoch, 6: w.reign})
+def encode_welcome(group: int, welcome: Welcome) -> bytes:
+    """Encodes a Welcome for a group."""
+    return seal(
+        FORMAT, group, {0: 3, 1: welcome.incarnation, 2: welcome.token, 5: welcome.epoch, 6: welcome.term}
+    )
 
 
 def decode(group: int, data: bytes) -> Said:
-    """Also what is told of budgets as it is among routers. Raises Unreadable."""
+    """Decodes a datagram between levels; reports and answers have the same form as between routers.
+
+    Raises:
+        DatagramDecodeError: it is damaged, of another group or not of this kind.
+    """
     fields = unseal(FORMAT, group, data)
     with wrap_decode_errors():
         if fields[0] == 2:
@@ -75,203 +98,336 @@
     return decode_budgets(group, data)
 
 
-def lifted(whole: Budget, lease: float) -> Budget:
-    """A budget as the level above has it. lease: of the level below, whose parts may be given until a cell's
-    own lease ends, and so hold for another of theirs, and what is out beyond them for `settle` more."""
-    return replace(whole, settle_s=whole.settle_s + lease)
+def lifted(budget: Budget, lease_s: float) -> Budget:
+    """Returns a budget as the level above a cell has it, with a longer time to settle.
+
+    A cell may grant leases until its own ends. The last of them then lasts for one more lease of the cell's
+    level, and what is in use beyond it for the budget's own `settle_s`.
+
+    Args:
+        budget: as the cell has it.
+        lease_s: how long a lease lasts that the cell grants.
+    """
+    return replace(budget, settle_s=budget.settle_s + lease_s)
 
 
 class Places(MemberPolicy):
-    """Routers in the places of one cell. shares: routers that the fleet may have at the most; each has an
-    even share of what is kept, in whichever cell it is, so that no plan moves a base.
+    """Members that are routers in the places of one cell.
 
-    One that is followed in its place may live on in another cell: its parts run out by their leases."""
+    `share_count` is the most routers that the fleet may have. Each has an even share of the guaranteed units
+    in whichever cell it is, so that no plan changes a router's guaranteed units.
+    """
 
-    def predecessor_settled_at(self, book: BudgetAllocation, lease: float, now: float) -> float:
-        return now + (lease + book.settle_s) * (1 + MAX_CLOCK_DRIFT)
+    def predecessor_settled_at(self, allocation: BudgetAllocation, lease_s: float, now: float) -> float:
+        """When all has ended that the former router of a place had.
 
+        It may have moved to another cell rather than have died; then only its leases' expiry ends what it
+        had.
+        """
+        return now + (lease_s + allocation.settle_s) * (1 + MAX_CLOCK_DRIFT)
 
-class Cells(MemberPolicy):
-    """Cells, or regions: they tell what is beyond the bases of their routers, and the largest of these."""
 
-    def all_guaranteed_units(self, book: BudgetAllocation) -> int:
-        told = [account.guaranteed_units for account in book.accounts.values()]
-        unknown = self.max_unreported_guarantee(book) if len(told) < self.member_count else 0
-        return self.share_count * max([unknown, *told])
+class CellPolicy(MemberPolicy):
+    """Members that are cells or regions.
 
-    def observed_use(self, entry: BudgetUsage) -> tuple[int, int]:
-        """What a cell wants is what its books believe of its routers. To doubt it by what is used, again,
-        makes parts swing: a cell needs a while until its routers use what it is given."""
-        return max(entry.used_units, entry.wanted_units), 0
+    They report units beyond the guaranteed ones of their routers, and the most guaranteed units of any one
+    router.
+    """
+
+    def all_guaranteed_units(self, allocation: BudgetAllocation) -> int:
+        """Guaranteed units of all routers of the fleet, each with the most that any cell reports."""
+        guarantees = [account.guaranteed_units for account in allocation.accounts.values()]
+        unreported = self.max_unreported_guarantee(allocation) if len(guarantees) < self.member_count else 0
+        return self.share_count * max([unreported, *guarantees])
+
+    def observed_use(self, usage: BudgetUsage) -> tuple[int, int]:
+        """Units that count as used by a cell: what it wants, if that is more than it uses.
+
+        A cell's demand is what its ledger estimates for its routers. To estimate it a second time from what
+        is used makes shares oscillate, for it takes a while until routers use what their cell is granted.
+        """
+        return max(usage.used_units, usage.wanted_units), 0
 
     def is_use_unknown(self, report: BudgetReport) -> bool:
+        """Whether the leader does not know yet what leaders before it granted."""
         return report.age_ms == 0
 
-    def predecessors_settled_at(self, book: BudgetAllocation, lease: float, age: float, now: float) -> float:
-        return now  # who tells for a cell tells for all that were ever in it
+    def predecessors_settled_at(
+        self, allocation: BudgetAllocation, lease_s: float, age_s: float, now: float
+    ) -> float:
+        """The present: a cell's leader reports for all routers that were ever in the cell."""
+        return now
 
     def on_new_incarnation(
-        self, book: BudgetAllocation, account: MemberAccount, before: bool, lease: float, now: float
+        self,
+        allocation: BudgetAllocation,
+        account: MemberAccount,
+        has_reported: bool,
+        lease_s: float,
+        now: float,
     ) -> None:
-        """Another leader, the same cell: what it was given, its routers may have."""
+        """Keeps the account for another leader of the cell: routers may have what the cell was granted."""
         account.report_token = None
 
 
 class BudgetLeaseGranter:
-    """Made anew each time that this machine gains the right of its level. count: cells that there may be.
-    shares: routers of the fleet at the most. backing: what there is to divide, if it is leased itself."""
+    """Leases budgets to cells for one term of this machine as the granter of its level.
+
+    Args:
+        machine_index: of this machine among those of its level.
+        cell_count: the most cells that there may be.
+        share_count: the most routers that the fleet may have.
+        incarnation: of our process.
+        term: counts the terms of this incarnation, from 1.
+        guaranteed_ratio: the part of each total of which each router always has an even share.
+        lease_s: how long a grant lasts.
+        now: when the term began.
+        known_totals: totals of each budget that our configuration had lately, by budget id.
+        source: what is divided, where this level is leased it by another; by default the totals.
+    """
 
     def __init__(
         self,
-        me: int,
-        count: int,
-        shares: int,
-        start: int,
-        reign: int,
-        kept: float,
-        lease: float,
+        machine_index: int,
+        cell_count: int,
+        share_count: int,
+        incarnation: int,
+        term: int,
+        guaranteed_ratio: float,
+        lease_s: float,
         now: float,
-        seen: Mapping[int, set[int]] = MappingProxyType({}),
-        backing: BudgetSource | None = None,
+        known_totals: Mapping[int, set[int]] = MappingProxyType({}),
+        source: BudgetSource | None = None,
     ) -> None:
-        members = Cells(count, kept, shares)
-        self.ledger = AllocationLedger(me, count, start, reign, kept, lease, now, seen, members, backing)
-        self.leaders: dict[int, tuple[int, int, int]] = {}  # by cell: a router, its start, which right of it
-        self.epochs: dict[int, int] = {}
-
-    def hello(self, h: Hello) -> Welcome | None:
-        """The one that asked last is a cell's leader. One that is late has lost its cell's right, and does
-        nothing with what it hears; the leader that there is asks again."""
-        if not 0 <= h.cell < self.ledger.member_count:
+        policy = CellPolicy(cell_count, guaranteed_ratio, share_count)
+        self.ledger = AllocationLedger(
+            machine_index,
+            cell_count,
+            incarnation,
+            term,
+            guaranteed_ratio,
+            lease_s,
+            now,
+            known_totals,
+            policy,
+            source,
+        )
+        self.leaders: dict[int, tuple[int, int, int]] = {}  # by cell: router, its incarnation, its term
+        self.epochs: dict[int, int] = {}  # by cell: of its present leader
+
+    def hello(self, hello: Hello) -> Welcome | None:
+        """Registers a cell's leader: the one that asked last.
+
+        A late Hello of a former leader is registered too. That leader does nothing with the answer, and the
+        present one asks again.
+
+        Returns:
+            None where there is no such cell.
+        """
+        if not 0 <= hello.cell < self.ledger.member_count:
             return None
-        leader = (h.router, h.start, h.reign)
-        if self.leaders.get(h.cell) != leader:
-            self.leaders[h.cell] = leader
-            self.epochs[h.cell] = self.epochs.get(h.cell, 0) + 1
-        return Welcome(self.ledger.incarnation, self.ledger.term, h.token, self.epochs[h.cell])
+        leader = (hello.router, hello.incarnation, hello.term)
+        if self.leaders.get(hello.cell) != leader:
+            self.leaders[hello.cell] = leader
+            self.epochs[hello.cell] = self.epochs.get(hello.cell, 0) + 1
+        return Welcome(self.ledger.incarnation, self.ledger.term, hello.token, self.epochs[hello.cell])
 
     def reported(self, cell: int, report: BudgetReport, now: float) -> BudgetAnswer | None:
-        """None to a leader that another has followed: what it says of its cell is old."""
+        """Answers a cell's report; None where another leader has followed its sender, whose data are old."""
         if report.incarnation != self.epochs.get(cell):
             return None
         return self.ledger.handle_report(cell, report, now)
 
 
 @dataclass(eq=False, slots=True)
-class Lease(LocalBudget):
-    """One budget as a cell has it, beyond its routers' bases. out: what its books may have given out; sure:
-    whether that is all that may be out."""
+class CellBudget(LocalBudget):
+    """One budget as a cell has it, beyond the guaranteed units of its routers.
+
+    `in_flight` is what the cell's ledger may have granted to its routers.
 
-    sure: bool = False
-    uses: int = 0
-    wants: int = 0
+    Attributes:
+        is_in_flight_known: whether the cell's routers can hold no more than `in_flight`.
+        routers_used_units: used by the cell's routers.
+        routers_wanted_units: wanted by the cell's routers.
+    """
+
+    is_in_flight_known: bool = False
+    routers_used_units: int = 0
+    routers_wanted_units: int = 0
 
     def used_units(self, now: float) -> int:
-        return self.uses
+        """Units that the cell's routers use."""
+        return self.routers_used_units
 
     def held_units(self, now: float) -> int:
+        """Units that are leased to the cell, or that its routers may have if these are more."""
         return max(self.valid_lease_units(now), self.in_flight)
 
-    def estimate_demand(self, now: float, since: float, share: int) -> int:
-        return self.wants
+    def estimate_demand(self, now: float, interval_s: float, engine_count: int) -> int:
+        """Units that the cell's routers want."""
+        return self.routers_wanted_units
 
 
 class BudgetLeaseHolder(LocalBudgets, BudgetSource):
-    """Made with each right over a cell. leader: us, as `Hello` says it. asked: the machines of the level
-    above. lease: of that level; below: of our own parts."""
-
-    BUDGET_TYPE = Lease
-
-    def __init__(self, cell: int, leader: tuple[int, int, int], above: int, lease: float, now: float) -> None:
-        LocalBudgets.__init__(self, cell, 1, 0.0, lease, now)
-        self.leader, self.above = leader, above
-        self.books: AllocationLedger | None = None  # ours, which divide what we hold
-        self.left: dict[int, int] = {}  # by budget: units that the leaders before us may have given out
-        self.epoch, self.nonce, self.asked_at, self.heard_at, self.turn = 0, 0, now - ASKS, now, leader[0]
+    """Leases budgets for a cell, for one term of our router as the cell's leader.
 
-    # As our own books see it.
+    Args:
+        cell: that we lead.
+        leader: our router, its incarnation and its term, as in `Hello`.
+        machine_count: machines of the level above, one of which is the granter.
+        lease_s: how long a lease of that level lasts.
+        now: when the term began.
 
-    def leasable_units(self, book: BudgetAllocation, now: float) -> int:
-        pocket = self.budgets.get(book.budget_id)
-        return pocket.valid_lease_units(now) if pocket is not None else 0
+    Attributes:
+        books: our own ledger, which divides what we hold among the cell's routers.
+        predecessor_units: by budget id: units that leaders before us may have granted.
+        epoch: of the granter's Welcome; 0: the granter is not known.
+        hello_count: Hellos sent in this term.
+        hello_machine: to which the last of them went.
+    """
 
-    def agreed_total(self, book: BudgetAllocation) -> int:
-        pocket = self.budgets.get(book.budget_id)
-        return min(book.total_units, pocket.agreed_total) if pocket is not None else book.total_units
+    BUDGET_TYPE = CellBudget
 
-    def can_renew(self, book: BudgetAllocation, now: float) -> bool:
-        """Not beyond our own lease: what is out by then ends before the level above counts on it."""
-        pocket = self.budgets.get(book.budget_id)
-        return pocket is not None and now < pocket.lease_expires_at
-
-    def max_earlier_grants(self, book: BudgetAllocation, members: MemberPolicy) -> int:
-        """All that the cell was leased may be out, until its routers have told what they hold."""
-        return self.left.get(book.budget_id, MAX_BUDGET_UNITS)
-
-    # As the level above sees it.
+    def __init__(
+        self, cell: int, leader: tuple[int, int, int], machine_count: int, lease_s: float, now: float
+    ) -> None:
+        LocalBudgets.__init__(self, cell, 1, 0.0, lease_s, now)
+        self.leader, self.machine_count = leader, machine_count
+        self.books: AllocationLedger | None = None
+        self.predecessor_units: dict[int, int] = {}
+        self.epoch, self.hello_count, self.last_hello_at, self.last_answer_at, self.hello_machine = (
+            0,
+            0,
+            now - HELLO_INTERVAL_S,
+            now,
+            leader[0],
+        )
+
+    # The source of what our own ledger divides.
+
+    def leasable_units(self, allocation: BudgetAllocation, now: float) -> int:
+        """Units that are leased to the cell."""
+        local = self.budgets.get(allocation.budget_id)
+        return local.valid_lease_units(now) if local is not None else 0
+
+    def agreed_total(self, allocation: BudgetAllocation) -> int:
+        """The smaller of the cell's total and the one agreed with the level above."""
+        local = self.budgets.get(allocation.budget_id)
+        return (
+            min(allocation.total_units, local.agreed_total) if local is not None else allocation.total_units
+        )
+
+    def can_renew(self, allocation: BudgetAllocation, now: float) -> bool:
+        """Whether the cell's own lease is in force.
+
+        After its end nothing is granted, so that all grants end before the level above counts the units as
+        free.
+        """
+        local = self.budgets.get(allocation.budget_id)
+        return local is not None and now < local.lease_expires_at
+
+    def max_earlier_grants(self, allocation: BudgetAllocation, members: MemberPolicy) -> int:
+        """All that the cell was leased: leaders before us may have granted it.
+
+        The ledger counts these units until the cell's routers have reported what they hold.
+        """
+        return self.predecessor_units.get(allocation.budget_id, MAX_BUDGET_UNITS)
+
+    # Reports to the level above.
 
     def tells(self, now: float) -> list[tuple[int, Hello | BudgetReport]]:
-        """What is said, and to which machine: reports to the one with the right, or a question for it to each
-        in turn."""
-        if not self.epoch or now >= self.heard_at + SILENT:
-            if now < self.asked_at + ASKS:
+        """Returns the messages to send, each with the index of the machine that it is for.
+
+        These are reports to the granter or, while it is not known, a Hello to each machine in turn.
+        """
+        if not self.epoch or now >= self.last_answer_at + ANSWER_TIMEOUT_S:
+            if now < self.last_hello_at + HELLO_INTERVAL_S:
                 return []
-            self.asked_at, self.turn, self.nonce = now, (self.turn + 1) % self.above, self.nonce + 1
-            return [(self.turn, Hello(self.router_index, *self.leader, self._nonce()))]
-        self._sum(now)
+            self.last_hello_at, self.hello_machine, self.hello_count = (
+                now,
+                (self.hello_machine + 1) % self.machine_count,
+                self.hello_count + 1,
+            )
+            return [(self.hello_machine, Hello(self.router_index, *self.leader, self._hello_token()))]
+        self._refresh(now)
         return [(self.granter[0], r) for r in self.make_reports(*self.granter, self.epoch, now)]
 
-    def _nonce(self) -> int:
-        """What no answer to an earlier right of ours carries."""
-        _, start, reign = self.leader
-        return (start & 0xFFF) << 28 | (reign & 0xFFF) << 16 | self.nonce & 0xFFFF
+    def _hello_token(self) -> int:
+        """The token of our last Hello, which no answer to a Hello of an earlier term of ours has."""
+        _, incarnation, term = self.leader
+        return (incarnation & 0xFFF) << 28 | (term & 0xFFF) << 16 | self.hello_count & 0xFFFF
 
-    def _sum(self, now: float) -> None:
-        """What our books have, beyond bases; of budgets that our file has."""
+    def _refresh(self, now: float) -> None:
+        """Takes over the sums of our ledger, beyond guaranteed units, for budgets of our configuration."""
         if self.books is None:
             return
-        told = dict[int, AllocationSummary]()
-        for number, book in self.books.allocations.items():
-            if number in self.books.budgets:
-                told[number] = self.books.summarize(book, now)
-        wholes = [replace(self.books.budgets[n], units=self.books.allocations[n].total_units) for n in told]
-        self.set_budgets([lifted(whole, self.books.lease_s) for whole in wholes], now)
-        for number, sums in told.items():
-            pocket = self.budgets[number]
-            assert isinstance(pocket, Lease)
-            # What leaders before us gave out is in the cell's account, or in that of nobody above yet.
-            pocket.sure = number in self.left or sums.unreported_units == 0
-            pocket.in_flight = sums.committed_units + (sums.unreported_units if pocket.sure else 0)
-            pocket.uses, pocket.wants, pocket.guaranteed_units = (
-                sums.used_units,
-                sums.wanted_units,
-                sums.max_guaranteed_units,
+        summaries = dict[int, AllocationSummary]()
+        for budget_id, allocation in self.books.allocations.items():
+            if budget_id in self.books.budgets:
+                summaries[budget_id] = self.books.summarize(allocation, now)
+        budgets = [
+            replace(self.books.budgets[n], units=self.books.allocations[n].total_units) for n in summaries
+        ]
+        self.set_budgets([lifted(budget, self.books.lease_s) for budget in budgets], now)
+        for budget_id, summary in summaries.items():
+            local = self.budgets[budget_id]
+            assert isinstance(local, CellBudget)
+            # What leaders before us granted is in the cell's account above, or in no account there yet.
+            local.is_in_flight_known = budget_id in self.predecessor_units or summary.unreported_units == 0
+            local.in_flight = summary.committed_units + (
+                summary.unreported_units if local.is_in_flight_known else 0
+            )
+            local.routers_used_units, local.routers_wanted_units, local.guaranteed_units = (
+                summary.used_units,
+                summary.wanted_units,
+                summary.max_guaranteed_units,
+            )
+            local.waiting, local.waiting_weight = (
+                {""} if summary.wanted_units else set(),
+                summary.priority_weight,
             )
-            pocket.waiting, pocket.waiting_weight = {""} if sums.wanted_units else set(), sums.priority_weight
 
     def age_ms(self, usages: tuple[BudgetUsage, ...], now: float) -> int:
-        """0: we don't know what leaders before us gave out, and what the cell was leased is to stand."""
-        leases = [self.budgets[entry.budget_id] for entry in usages]
-        sure = all(isinstance(lease, Lease) and lease.sure for lease in leases)
-        return max(LocalBudgets.age_ms(self, usages, now), 1) if sure else 0
-
-    def heard(self, by: int, said: Welcome | BudgetAnswer, now: float) -> bool:
-        """Whether it was meant for us."""
-        if isinstance(said, Welcome):
-            if not self.nonce or said.token != self._nonce():
+        """Time since our term began, as a report of these usages says it.
+
+        Returns:
+            Milliseconds, 1 or more; 0 where we do not know what leaders before us granted, and the cell's
+            account is to stay as it is.
+        """
+        budgets = [self.budgets[usage.budget_id] for usage in usages]
+        is_known = all(isinstance(local, CellBudget) and local.is_in_flight_known for local in budgets)
+        return max(LocalBudgets.age_ms(self, usages, now), 1) if is_known else 0
+
+    def heard(self, sender: int, message: Welcome | BudgetAnswer, now: float) -> bool:
+        """Handles a message of the level above.
+
+        Args:
+            sender: index of the machine that sent it.
+            message: an answer to a Hello or to a report.
+            now: seconds.
+
+        Returns:
+            Whether it was an answer to us.
+        """
+        if isinstance(message, Welcome):
+            if not self.hello_count or message.token != self._hello_token():
                 return False
-            if (by, said.start, said.reign, said.epoch) != (*self.granter, self.granter_term, self.epoch):
-                self.follow_granter(by, said.start, said.reign)
-                self.epoch = said.epoch
-            self.heard_at = now
+            if (sender, message.incarnation, message.term, message.epoch) != (
+                *self.granter,
+                self.granter_term,
+                self.epoch,
+            ):
+                self.follow_granter(sender, message.incarnation, message.term)
+                self.epoch = message.epoch
+            self.last_answer_at = now
             return True
-        reign = self.granter_term
-        if not self.handle_answer(by, said, now):
+        term_before = self.granter_term
+        if not self.handle_answer(sender, message, now):
             return False
-        if said.leader_term != reign:
-            self.epoch = 0  # another time that it has the right: it knows no leaders
+        if message.leader_term != term_before:
+            self.epoch = 0  # in its new term the granter knows no leaders of cells
             return True
-        self.heard_at = now
-        for grant in said.grants:
-            self.left.setdefault(grant.budget_id, grant.leased_units)
+        self.last_answer_at = now
+        for grant in message.grants:
+            self.predecessor_units.setdefault(grant.budget_id, grant.leased_units)
         return True
--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -1,5 +1,9 @@
-"""Wholes leased from level to level: what is told, leaders that follow each other, routers that move; every
-order of a few acts and long walks over two cells, with guards taken out."""
+"""Budgets leased from level to level: never more than the total is in use, whatever fails.
+
+The explorer of the lab plays every order of a few acts, and long random walks, over two cells whose leaders,
+routers and connections change. The same walks have to find each guard that a test removes. Further tests
+check one case at a time, and the encoding.
+"""
 
 from typing import Any
 
@@ -12,13 +16,13 @@
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, MAX_BUDGET_UNITS, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetGrant, BudgetReport, BudgetUsage, encode_report
 from marbleworks.budgets.local_budget import LocalBudgets
-from marbleworks.cells import budget_leases as level_module
+from marbleworks.cells import budget_leases
 from marbleworks.cells.budget_leases import (
     BudgetLeaseGranter,
     BudgetLeaseHolder,
-    Cells,
+    CellBudget,
+    CellPolicy,
     Hello,
-    Lease,
     Places,
     Welcome,
     decode,
@@ -31,138 +35,142 @@
 from marbleworks.lab.levels import World, begun, exhaust, stroll, warm
 from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 
-WALKS, ACTS = 400, 300
+WALK_COUNT, ACTS_PER_WALK = 400, 300
 
 
-def walks(often: dict[str, float], most: int = WALKS) -> None:
-    for seed in range(most):
-        stroll(seed, ACTS, (0.0, 1.0, 0.0)[seed % 3], (3, 9, 40)[seed % 3], often)
+def run_walks(act_weights: dict[str, float], walk_count: int = WALK_COUNT) -> None:
+    for seed in range(walk_count):
+        stroll(seed, ACTS_PER_WALK, (0.0, 1.0, 0.0)[seed % 3], (3, 9, 40)[seed % 3], act_weights)
 
 
-# Guards taken out, one at a time.
+# Guards that are removed one at a time.
 
 
-def older_epochs_count(patch: pytest.MonkeyPatch) -> None:
-    def anyhow(self: BudgetLeaseGranter, cell: int, report: BudgetReport, now: float) -> BudgetAnswer | None:
+def older_epochs_are_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+    def reported(
+        self: BudgetLeaseGranter, cell: int, report: BudgetReport, now: float
+    ) -> BudgetAnswer | None:
         if report.incarnation != self.ledger.incarnations.get(cell):
             self.ledger._on_new_incarnation(cell, report.incarnation, now)
         return self.ledger.handle_report(cell, report, now)
 
-    patch.setattr(BudgetLeaseGranter, "reported", anyhow)
+    monkeypatch.setattr(BudgetLeaseGranter, "reported", reported)
 
 
-def account_ends_with_its_leader(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Cells, "on_new_incarnation", MemberPolicy.on_new_incarnation)
+def account_ends_with_its_leader(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(CellPolicy, "on_new_incarnation", MemberPolicy.on_new_incarnation)
 
 
-def new_leader_is_believed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Cells, "is_use_unknown", lambda self, report: False)
+def new_leader_claims_to_know_its_use(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(CellPolicy, "is_use_unknown", lambda self, report: False)
 
 
-def new_leader_knows_nothing_out(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(BudgetLeaseHolder, "max_earlier_grants", lambda self, book, members: 0)
+def new_leader_assumes_no_earlier_grants(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(BudgetLeaseHolder, "max_earlier_grants", lambda self, allocation, members: 0)
 
 
-def beyond_the_cells_lease(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(BudgetLeaseHolder, "can_renew", lambda self, book, now: True)
+def grants_outlast_the_cells_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(BudgetLeaseHolder, "can_renew", lambda self, allocation, now: True)
 
 
-def routers_leases_not_counted_above(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(levels, "lifted", lambda whole, lease: whole)
-    patch.setattr(level_module, "lifted", lambda whole, lease: whole)
+def routers_leases_are_not_counted_above(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(levels, "lifted", lambda budget, lease_s: budget)
+    monkeypatch.setattr(budget_leases, "lifted", lambda budget, lease_s: budget)
 
 
-def paused_leader_goes_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(World, "may", lambda self, cell, number: number in self.cells[cell].desks)
+def paused_leader_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(World, "may", lambda self, cell, number: number in self.cells[cell].desks)
 
 
-def moved_with_its_part(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LocalBudgets, "move_to_group", lambda self, me, now: self.follow_granter(-1, 0, 0))
+def moved_router_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        LocalBudgets, "move_to_group", lambda self, router_index, now: self.follow_granter(-1, 0, 0)
+    )
 
 
-def moved_and_heard_at_once(patch: pytest.MonkeyPatch) -> None:
-    moved = LocalBudgets.move_to_group
+def moved_router_reports_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = LocalBudgets.move_to_group
 
-    def at_once(self: LocalBudgets, me: int, now: float) -> None:
-        moved(self, me, now)
-        for pocket in self.budgets.values():
-            pocket.is_left_behind = False
+    def move_to_group(self: LocalBudgets, router_index: int, now: float) -> None:
+        original(self, router_index, now)
+        for local in self.budgets.values():
+            local.is_left_behind = False
 
-    patch.setattr(LocalBudgets, "move_to_group", at_once)
+    monkeypatch.setattr(LocalBudgets, "move_to_group", move_to_group)
 
 
-def followed_is_dead(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Places, "predecessor_settled_at", MemberPolicy.predecessor_settled_at)
+def replaced_router_is_assumed_dead(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Places, "predecessor_settled_at", MemberPolicy.predecessor_settled_at)
 
 
-def tells_only_its_part(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Lease, "held_units", lambda self, now: self.valid_lease_units(now))
+def cell_reports_only_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(CellBudget, "held_units", lambda self, now: self.valid_lease_units(now))
 
 
-def nothing_unknown(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(AllocationLedger, "_unreported_units", lambda self, book, now: 0)
+def unreported_units_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(AllocationLedger, "_unreported_units", lambda self, allocation, now: 0)
 
 
-def bases_by_places(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(levels, "SHARES", levels.PLACES)
+def guarantees_are_divided_by_places(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(levels, "SHARES", levels.PLACES)
 
 
-def bases_not_counted_above(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Cells, "all_guaranteed_units", lambda self, book: 0)
+def guarantees_are_not_counted_above(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(CellPolicy, "all_guaranteed_units", lambda self, allocation: 0)
 
 
-MOVES = {"moved": 0.15, "cut": 0.2, "fills": 2.0}
-# A guard, and what a walk does often that is to find it gone.
+MOVE_WEIGHTS = {"moved": 0.15, "cut": 0.2, "fills": 2.0}
+# A guard, and the weights of acts with which walks find that it is missing.
 GUARDS: list[tuple[Any, dict[str, float]]] = [
     (account_ends_with_its_leader, {}),
-    (new_leader_is_believed, {}),
-    (new_leader_knows_nothing_out, {}),
-    (beyond_the_cells_lease, {}),
-    (routers_leases_not_counted_above, {"cut": 0.3, "fills": 2.0}),
+    (new_leader_claims_to_know_its_use, {}),
+    (new_leader_assumes_no_earlier_grants, {}),
+    (grants_outlast_the_cells_lease, {}),
+    (routers_leases_are_not_counted_above, {"cut": 0.3, "fills": 2.0}),
     (paused_leader_goes_on, {"stale": 0.3, "hears": 0.1, "right": 0.1, "fills": 2.0}),
-    (followed_is_dead, MOVES),
-    (tells_only_its_part, {}),
-    (nothing_unknown, {}),
-    (bases_by_places, {}),
-    (bases_not_counted_above, {}),
+    (replaced_router_is_assumed_dead, MOVE_WEIGHTS),
+    (cell_reports_only_its_lease, {}),
+    (unreported_units_are_ignored, {}),
+    (guarantees_are_divided_by_places, {}),
+    (guarantees_are_not_counted_above, {}),
 ]
 
 
-@pytest.mark.parametrize(("guard", "often"), GUARDS)
-def test_a_guard_that_is_taken_out_is_missed(
-    guard: Any, often: dict[str, float], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("guard", "act_weights"), GUARDS)
+def test_a_removed_guard_is_found(
+    guard: Any, act_weights: dict[str, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     guard(monkeypatch)
     with pytest.raises(Broken):
-        walks(often)
+        run_walks(act_weights)
 
 
 # The explorer, with all guards in place.
 
 
-def test_every_order_of_a_few_acts_keeps_within_the_whole() -> None:
+def test_every_order_of_a_few_acts_keeps_within_the_total() -> None:
     assert exhaust(2) > 700 and exhaust(2, 1.0) > 700 and exhaust(2, step=0.3) > 700
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_long_walks_with_every_fault_keep_within_the_whole(seed: int) -> None:
+def test_long_walks_with_every_fault_keep_within_the_total(seed: int) -> None:
     for n in range(60):
         stroll(10_000 * (seed + 1) + n, 300, (0.0, 1.0, 0.0, 4.0)[n % 4], (3, 9, 40)[n % 3])
-    for often in (MOVES, {"stale": 0.3, "hears": 0.1, "right": 0.1, "fills": 2.0}):
+    for act_weights in (MOVE_WEIGHTS, {"stale": 0.3, "hears": 0.1, "right": 0.1, "fills": 2.0}):
         for n in range(20):
-            stroll(20_000 * (seed + 1) + n, 300, (0.0, 1.0)[n % 2], (9, 40)[n % 2], often)
+            stroll(20_000 * (seed + 1) + n, 300, (0.0, 1.0)[n % 2], (9, 40)[n % 2], act_weights)
 
 
-# One thing at a time.
+# Single cases.
 
 
-def fleet(units: int = 9, kept: float = 0.0, settle: float = 0.3) -> World:
-    return begun(Budget("w", units, 0.0, settle + ABANDONED_ATTEMPT_TIMEOUT_S), kept)
+def start_fleet(units: int = 9, guaranteed_ratio: float = 0.0, settle_s: float = 0.3) -> World:
+    return begun(Budget("w", units, 0.0, settle_s + ABANDONED_ATTEMPT_TIMEOUT_S), guaranteed_ratio)
 
 
-def lease(world: World, cell: int) -> Any:
-    desk = world.cells[cell].desks[world.cells[cell].leader]
-    return next(iter(desk.lessee.budgets.values()))
+def cell_budget(world: World, cell: int) -> Any:
+    leader = world.cells[cell].desks[world.cells[cell].leader]
+    return next(iter(leader.lessee.budgets.values()))
 
 
 def account(world: World, cell: int) -> Any:
@@ -170,33 +178,36 @@
     return next(iter(world.lessor.ledger.allocations.values())).accounts[cell]
 
 
-def parts(world: World, cell: int) -> int:
+def max_units(world: World, cell: int) -> int:
+    """Units that the routers of a cell may have in use."""
     return sum(world.pocket(n).max_units(world.clock(n)) for n, (c, _) in world.home.items() if c == cell)
 
 
-def test_a_whole_follows_need_from_one_cell_to_the_other() -> None:
-    world = fleet(40, 0.2)
+def test_units_follow_demand_from_one_cell_to_the_other() -> None:
+    world = start_fleet(40, 0.2)
     warm(world, 100, (0, 2, 4))
-    assert world.used() >= 32 and parts(world, 0) >= 30
+    assert world.used() >= 32 and max_units(world, 0) >= 30
     for n in (0, 2, 4):
         while world.routers[n].out:
             world.end(n, False)
     warm(world, 60, (1, 3, 5))
-    assert parts(world, 1) > parts(world, 0) and world.used() >= 20
+    assert max_units(world, 1) > max_units(world, 0) and world.used() >= 20
 
 
-def older_report(world: World) -> None:
-    """The report of a leader that another followed comes while its cell has more out than its part; whoever
-    has room fills it."""
+def deliver_report_of_an_older_leader(world: World) -> None:
+    """Delivers a former leader's report while its cell's routers may hold more than the cell is leased.
+
+    Then the routers of the other cell use all units that they may.
+    """
     warm(world, 70, ())
     world.leader_tells(0, 0)
-    old = world.flying.pop()
+    old_report = world.flying.pop()
     warm(world, 30, (0, 2, 4))
     warm(world, 10, (0, 1, 2, 3, 4, 5))
     world.leads(0, 2)
     warm(world, 12, (0, 1, 2, 3, 4, 5))
-    assert account(world, 0).max_units > lease(world, 0).leased_units
-    world.flying.append(old)
+    assert account(world, 0).max_units > cell_budget(world, 0).leased_units
+    world.flying.append(old_report)
     world.comes(0, False)
     world.leader_tells(1, 1)
     while world.flying:
@@ -210,95 +221,103 @@
     world.check()
 
 
-def test_a_report_of_an_older_leader_counts_for_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    older_report(fleet())
-    older_epochs_count(monkeypatch)
+def test_a_report_of_an_older_leader_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    deliver_report_of_an_older_leader(start_fleet())
+    older_epochs_are_accepted(monkeypatch)
     with pytest.raises(Broken):
-        older_report(fleet())
+        deliver_report_of_an_older_leader(start_fleet())
+
 
+def move_router_to_a_cut_off_cell(world: World) -> None:
+    """Moves a router with requests beyond its guaranteed units to a cell that is cut off.
 
-def moved_while_cut(world: World) -> None:
-    """A router moves with commands out beyond its base to a cell that is cut off; its old cell has need."""
+    Its old cell wants the units.
+    """
     warm(world, 90, (4,))
     world.cuts(1)
     world.moves_to(4, 1, 3)
     warm(world, 80, (0, 2))
 
 
-@pytest.mark.parametrize("guard", [moved_with_its_part, moved_and_heard_at_once])
-def test_what_a_moved_router_has_out_is_never_renewed(guard: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    moved_while_cut(fleet(40))
+@pytest.mark.parametrize("guard", [moved_router_keeps_its_lease, moved_router_reports_at_once])
+def test_units_that_a_moved_router_has_in_use_are_never_renewed(
+    guard: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    move_router_to_a_cut_off_cell(start_fleet(40))
     guard(monkeypatch)
     with pytest.raises(Broken):
-        moved_while_cut(fleet(40))
+        move_router_to_a_cut_off_cell(start_fleet(40))
 
 
-def test_a_new_leader_finds_the_cells_account_as_it_stands_and_all_parts_go_on() -> None:
-    world = fleet(40)
+def test_a_new_leader_keeps_the_cells_account_and_its_routers_leases() -> None:
+    world = start_fleet(40)
     warm(world, 90, (0, 2, 4))
-    before, held = account(world, 0).max_units, parts(world, 0)
+    account_units, router_units = account(world, 0).max_units, max_units(world, 0)
     world.leads(0, 2)
     world.tells(4)
-    assert lease_of(world) is None  # nothing is divided before the level above has answered
+    assert new_leaders_budget(world) is None  # it grants nothing before the level above has answered
     warm(world, 12, (0, 2, 4))
-    assert world.cells[0].desks[2].lessee.left != {} and account(world, 0).max_units >= before - 1
-    assert parts(world, 0) >= held - 1
+    assert (
+        world.cells[0].desks[2].lessee.predecessor_units != {}
+        and account(world, 0).max_units >= account_units - 1
+    )
+    assert max_units(world, 0) >= router_units - 1
 
 
-def lease_of(world: World) -> Any:
+def new_leaders_budget(world: World) -> Any:
     return next(iter(world.cells[0].desks[2].lessee.budgets.values()), None)
 
 
-def test_a_late_hello_of_an_older_leader_costs_the_newer_one_a_question_and_no_more() -> None:
-    world = fleet(40)
+def test_a_late_hello_of_an_older_leader_costs_the_newer_one_a_hello_and_no_more() -> None:
+    world = start_fleet(40)
     warm(world, 90, (0, 2, 4))
-    old = world.cells[0].desks[0].lessee
+    old_holder = world.cells[0].desks[0].lessee
     world.leads(0, 2)
     warm(world, 12, (0,))
     before, epoch = account(world, 0).max_units, world.cells[0].desks[2].lessee.epoch
     assert world.lessor is not None
-    world.lessor.hello(Hello(0, *old.leader, 99))
+    world.lessor.hello(Hello(0, *old_holder.leader, 99))
     assert account(world, 0).max_units == before
     warm(world, 25, (0,))
-    assert world.cells[0].desks[2].lessee.epoch == epoch + 2 and parts(world, 0) >= before - 1
+    assert world.cells[0].desks[2].lessee.epoch == epoch + 2 and max_units(world, 0) >= before - 1
 
 
-def test_a_cell_cut_off_lives_on_what_it_was_leased_and_then_on_its_bases() -> None:
-    world = fleet(40, 0.4)
+def test_a_cell_that_is_cut_off_keeps_its_lease_until_it_expires_and_then_its_guaranteed_units() -> None:
+    world = start_fleet(40, 0.4)
     warm(world, 100, (0, 2, 4))
-    held = parts(world, 0)
+    units_before = max_units(world, 0)
     world.cuts(0)
     warm(world, 12, (0, 2, 4))
-    assert parts(world, 0) >= held - 3
-    warm(world, 14, (0, 2, 4))  # the cell's lease is over, and its routers' after that
-    assert parts(world, 0) == 3 * 2 and not lease(world, 0).valid_lease_units(world.clock(0))
-    warm(world, 60, (1, 3, 5))  # meanwhile what it had is free, and used
-    assert parts(world, 1) > 25
+    assert max_units(world, 0) >= units_before - 3
+    warm(world, 14, (0, 2, 4))  # the cell's lease expires, and its routers' after that
+    assert max_units(world, 0) == 3 * 2 and not cell_budget(world, 0).valid_lease_units(world.clock(0))
+    warm(world, 60, (1, 3, 5))  # what it had is free, and the other cell uses it
+    assert max_units(world, 1) > 25
     world.cuts(0)
     for n in (1, 3, 5):
         while world.routers[n].out:
             world.end(n, False)
     warm(world, 40, (0, 2, 4))
-    assert parts(world, 0) > 10
+    assert max_units(world, 0) > 10
 
 
-def test_a_router_that_moves_tells_its_new_cell_when_all_it_had_of_the_old_is_over() -> None:
-    world = fleet(40, 0.2)
+def test_a_router_that_moves_reports_a_budget_once_all_that_it_had_in_its_old_cell_has_ended() -> None:
+    world = start_fleet(40, 0.2)
     warm(world, 90, (4,))
-    mine = world.pocket(4)
-    assert world.routers[4].out > mine.guaranteed_units == 1
+    local = world.pocket(4)
+    assert world.routers[4].out > local.guaranteed_units == 1
     world.moves_to(4, 1, 3)
-    assert mine.max_units(world.clock(4)) == 1
-    told = world.routers[4].purse.make_reports(0, 1, 1, world.clock(4))
-    assert [report.usages for report in told] == [()]
-    warm(world, 60, ())  # called off, and ended at the engines
+    assert local.max_units(world.clock(4)) == 1
+    reports = world.routers[4].purse.make_reports(0, 1, 1, world.clock(4))
+    assert [report.usages for report in reports] == [()]
+    warm(world, 60, ())  # its requests are cancelled, and end at the engines
     assert world.used() <= 1
     warm(world, 10, (4,))
-    assert mine.max_units(world.clock(4)) > 1
+    assert local.max_units(world.clock(4)) > 1
 
 
-def test_a_base_grows_in_no_cell_before_all_cells_know_the_larger_whole() -> None:
-    world = fleet(16, 0.5)
+def test_guaranteed_units_grow_in_no_cell_before_all_cells_know_the_larger_total() -> None:
+    world = start_fleet(16, 0.5)
     warm(world, 80, ())
     assert {world.pocket(n).guaranteed_units for n in range(6)} == {1}
     world.rewritten(-1, 32)
@@ -315,84 +334,99 @@
     assert {world.pocket(n).guaranteed_units for n in range(6)} == {1}
 
 
-# What is told.
+# The encoding.
 
 COUNT = st.integers(0, (1 << 40) - 1)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(COUNT, COUNT, st.integers(0, 400), st.integers(1, 255), st.binary(max_size=80))
-def test_what_is_told_comes_back_and_nothing_unreadable_is_more_than_that(
-    n: int, m: int, at: int, flip: int, noise: bytes
+def test_messages_round_trip_and_damaged_ones_raise_a_decode_error(
+    n: int, m: int, position: int, flipped_bits: int, noise: bytes
 ) -> None:
     hello, welcome = Hello(n, m, n, m, n), Welcome(m, n, m, n)
     report = BudgetReport(n, m, n, m, n, m, False, n, ())
-    for said, data in (
+    for message, data in (
         (hello, encode_hello(7, hello)),
         (welcome, encode_welcome(7, welcome)),
         (report, encode_report(7, report)),
     ):
-        assert decode(7, data) == said and len(data) <= MAX_DATAGRAM_BYTES
-        torn = bytearray(data)
-        torn[at % len(data)] ^= flip
-        for bad in (bytes(torn), data[: at % len(data)], noise):
+        assert decode(7, data) == message and len(data) <= MAX_DATAGRAM_BYTES
+        damaged = bytearray(data)
+        damaged[position % len(data)] ^= flipped_bits
+        for bad in (bytes(damaged), data[: position % len(data)], noise):
             with pytest.raises(DatagramDecodeError):
                 decode(7, bad)
                 pytest.fail(f"{bad!r} was read")
 
 
 def test_forged_cells_epochs_and_answers_change_nothing() -> None:
-    world = fleet(40)
+    world = start_fleet(40)
     warm(world, 90, (0, 2, 4))
     assert world.lessor is not None
-    before, now = account(world, 0).max_units, world.above(0)
-    huge = BudgetUsage(
-        lease(world, 0).budget.budget_id, 1, MAX_BUDGET_UNITS + 1, 0, MAX_BUDGET_UNITS + 1, 1.0, 40, 0, 0
+    units_before, now = account(world, 0).max_units, world.above(0)
+    huge_usage = BudgetUsage(
+        cell_budget(world, 0).budget.budget_id,
+        1,
+        MAX_BUDGET_UNITS + 1,
+        0,
+        MAX_BUDGET_UNITS + 1,
+        1.0,
+        40,
+        0,
+        0,
     )
     for cell, epoch in ((0, 9), (0, 0), (7, 1), (-1, 1)):
-        report = BudgetReport(epoch, 1, 1, 99, 1, 1, False, 5, (huge,))
+        report = BudgetReport(epoch, 1, 1, 99, 1, 1, False, 5, (huge_usage,))
         assert world.lessor.reported(cell, report, now) is None
-    assert world.lessor.hello(Hello(CELLS_BEYOND, 0, 1, 1, 1)) is None
-    assert account(world, 0).max_units == before
-    lessee, units = world.cells[0].desks[0].lessee, lease(world, 0).leased_units
-    grants = (BudgetGrant(huge.budget_id, 1 << 30, 1000, 40),)
-    for by, answer in (
+    assert world.lessor.hello(Hello(CELL_OUT_OF_RANGE, 0, 1, 1, 1)) is None
+    assert account(world, 0).max_units == units_before
+    holder, units = world.cells[0].desks[0].lessee, cell_budget(world, 0).leased_units
+    grants = (BudgetGrant(huge_usage.budget_id, 1 << 30, 1000, 40),)
+    for sender, answer in (
         (1, BudgetAnswer(1, 1, 1, grants)),
         (0, BudgetAnswer(2, 1, 1, grants)),
         (0, BudgetAnswer(1, 1, 77, grants)),
     ):
-        assert not lessee.heard(by, answer, world.clock(0))
+        assert not holder.heard(sender, answer, world.clock(0))
     assert (
-        not lessee.heard(0, Welcome(1, 1, 12345, 9), world.clock(0)) and lease(world, 0).leased_units == units
+        not holder.heard(0, Welcome(1, 1, 12345, 9), world.clock(0))
+        and cell_budget(world, 0).leased_units == units
     )
 
 
-CELLS_BEYOND = levels.CELLS
+CELL_OUT_OF_RANGE = levels.CELLS
 
 
-def test_the_level_above_may_be_leased_its_whole_itself() -> None:
-    """The same classes, one level up: a region's books divide what its own lease is, and no more."""
-    whole = Budget("w", 40, 0.0, 1.0 + ABANDONED_ATTEMPT_TIMEOUT_S)
-    fleet_wide = BudgetLeaseGranter(0, 2, 8, 1, 1, 0.0, 9.0, 0.0)
-    fleet_wide.ledger.set_budgets([lifted(lifted(whole, 1.0), 3.0)])
-    lessee = BudgetLeaseHolder(0, (0, 1, 1), 1, 9.0, 0.0)
-    region = BudgetLeaseGranter(0, 2, 8, 1, 1, 0.0, 3.0, 0.0, backing=lessee)
-    region.ledger.set_budgets([lifted(whole, 1.0)])
-    lessee.books = region.ledger
-    entry = BudgetUsage(whole.budget_id, 0, 0, 30, 30, 1.0, 40, 0, 0)
-    given, now = 0, 0.0
-    welcome = region.hello(Hello(1, 5, 1, 1, 1))
+def test_the_level_above_may_lease_its_budgets_itself() -> None:
+    """A region's ledger divides what the region is leased, and no more. The classes are the same."""
+    budget = Budget("w", 40, 0.0, 1.0 + ABANDONED_ATTEMPT_TIMEOUT_S)
+    fleet_granter = BudgetLeaseGranter(0, 2, 8, 1, 1, 0.0, 9.0, 0.0)
+    fleet_granter.ledger.set_budgets([lifted(lifted(budget, 1.0), 3.0)])
+    holder = BudgetLeaseHolder(0, (0, 1, 1), 1, 9.0, 0.0)
+    region_granter = BudgetLeaseGranter(0, 2, 8, 1, 1, 0.0, 3.0, 0.0, source=holder)
+    region_granter.ledger.set_budgets([lifted(budget, 1.0)])
+    holder.books = region_granter.ledger
+    usage = BudgetUsage(budget.budget_id, 0, 0, 30, 30, 1.0, 40, 0, 0)
+    granted_units, now = 0, 0.0
+    welcome = region_granter.hello(Hello(1, 5, 1, 1, 1))
     assert welcome is not None
     for n in range(1, 300):
         now = 0.1 * n
-        for _, said in lessee.tells(now):
-            heard = fleet_wide.hello(said) if isinstance(said, Hello) else fleet_wide.reported(0, said, now)
-            if heard is not None:
-                lessee.heard(0, heard, now)
-        answer = region.reported(1, BudgetReport(1, 1, 1, n, 1, 1, False, 5, (entry,)), now)
+        for _, message in holder.tells(now):
+            reply = (
+                fleet_granter.hello(message)
+                if isinstance(message, Hello)
+                else fleet_granter.reported(0, message, now)
+            )
+            if reply is not None:
+                holder.heard(0, reply, now)
+        answer = region_granter.reported(1, BudgetReport(1, 1, 1, n, 1, 1, False, 5, (usage,)), now)
         for grant in answer.grants if answer is not None else ():
-            given = grant.leased_units
-            entry = BudgetUsage(whole.budget_id, grant.serial, given, min(given, 30), 30, 1.0, 40, 0, 0)
-        part = next((p.valid_lease_units(now) for p in lessee.budgets.values()), 0)
-        assert given <= part
-    assert given >= 30
+            granted_units = grant.leased_units
+            usage = BudgetUsage(
+                budget.budget_id, grant.serial, granted_units, min(granted_units, 30), 30, 1.0, 40, 0, 0
+            )
+        leased_units = next((p.valid_lease_units(now) for p in holder.budgets.values()), 0)
+        assert granted_units <= leased_units
+    assert granted_units >= 30
