--- a/marbleworks/cells/__init__.py
+++ b/marbleworks/cells/__init__.py
@@ -1,1 +1,5 @@
-"""Cells: a fleet too large for one group, cut into groups that know each other, under one level or more."""
+"""Cells: groups of routers and engines into which a fleet that is too large for one group is divided.
+
+The routers of a cell know each other. One or more levels above the cells lease budgets and homes of table
+groups to them.
+"""
--- a/marbleworks/cells/plan.py
+++ b/marbleworks/cells/plan.py
@@ -1,8 +1,9 @@
 """The numbered plan: which cell each router, engine and table group belongs to. No I/O, no clock.
 
-It owns the plan's form, its bytes with digest and MAC, and the rule by which a name finds its cell (weighted
-rendezvous hashing, and names that are placed apart from it). It must never give two answers for one name and
-one plan, and never take a plan that is torn, forged, older, or one of two with one number.
+The module has the plan's encoding with its digest and MAC, and the rule by which a name finds its cell:
+weighted rendezvous hashing, with exceptions for names that the plan places itself. One name and one plan
+always give the same cell. A plan is refused if it is damaged, forged, older than the present one, or another
+one with the same number. docs/design/cells.md has the design.
 """
 
 from __future__ import annotations
@@ -21,26 +22,32 @@
 import msgpack
 import xxhash
 
-FORM = 1  # of the bytes
-MOST = 1 << 22  # bytes of a plan
-MOST_CELL = 1 << 16  # cells are numbered below it
-HIGHEST = 1 << 40  # of a plan's number
-FULL = 4  # home weight of a cell that neither opens nor closes
-WHOLE = 10_000  # into which the regions' shares of all homes are divided
-MOST_WEIGHT = 1 << 16
-CLOSE = 1e-9  # two scores nearer than this, as a part, may come out in another order at another libm
-MAC, DIGEST = 32, 16  # bytes
-LEAST_KEY = 16  # bytes
+FORMAT_VERSION = 1  # of the encoding
+MAX_PLAN_BYTES = 1 << 22
+CELL_NUMBER_LIMIT = 1 << 16  # cells have numbers below it
+NUMBER_LIMIT = 1 << 40  # plans and table groups have numbers below it
+FULL_HOME_WEIGHT = 4  # of a cell that is neither opening nor closing
+WHOLE = 10_000  # the regions' shares of all homes are parts of it
+WEIGHT_LIMIT = 1 << 16  # weights of a stratum are below it
+SCORE_TOLERANCE = 1e-9  # relative; another math library may order two scores that are closer differently
+MAC_BYTES, DIGEST_BYTES = 32, 16
+MIN_KEY_BYTES = 16
 
 
 class PlanError(Exception):
-    """Why a plan can't be read, or says nothing of a name: one plain line."""
+    """A plan can't be read, is inconsistent, or says nothing of a name; the text says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """zones: that its routers and engines are in. open: whether names that the plan doesn't know may be
-    placed there; a cell that closes has a weight of 0 for them."""
+    """One cell of a region.
+
+    Attributes:
+        number: unique in the fleet; never used again.
+        zones: that its routers and engines are in.
+        open: whether names that the plan does not know may be placed there. A cell that closes has a weight
+            of 0 for them.
+    """
 
     number: int
     zones: tuple[str, ...]
@@ -49,7 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """Commands of that profile which come to `cell`, where no engine may take them, go to `lender`."""
+    """Requests of a class that come to a cell without an engine for them and go to another cell.
+
+    Attributes:
+        cell: that they come to.
+        profile: the request class.
+        lender: the cell that they go to.
+    """
 
     cell: int
     profile: str
@@ -58,222 +71,337 @@
 
 @dataclass(frozen=True)
 class Part:
-    """What the plan says of one region. strata: for each zone and kind of engine (kind "": its routers), a
-    weight for each of `cells`. routers, engines: names that are placed apart from the hash. split, merged:
-    numbers of the plans in which the region's cells last grew and last shrank in number; 0: never."""
+    """The part of a plan that belongs to one region.
+
+    Attributes:
+        cells: of the region, by ascending number.
+        strata: for each zone and kind of engine, or "" for routers, a weight for each of `cells`.
+        routers: cells of routers that are placed as exceptions to the hash, by name.
+        engines: likewise of engines.
+        loans: of the region's cells.
+        last_split: number of the plan in which the region last gained cells; 0: never.
+        last_merge: number of the plan in which the region last began to close cells; 0: never.
+    """
 
     cells: tuple[Cell, ...]
     strata: Mapping[tuple[str, str], tuple[int, ...]]
     routers: Mapping[str, int]
     engines: Mapping[str, int]
     loans: tuple[Loan, ...] = ()
-    split: int = 0
-    merged: int = 0
+    last_split: int = 0
+    last_merge: int = 0
 
     @cached_property
-    def numbers(self) -> tuple[int, ...]:
+    def cell_numbers(self) -> tuple[int, ...]:
+        """Numbers of the region's cells."""
         return tuple(cell.number for cell in self.cells)
 
     @cached_property
-    def even(self) -> tuple[int, ...]:
-        """Weights for a zone and a kind of which the plan knows nothing."""
+    def default_weights(self) -> tuple[int, ...]:
+        """Weights of the cells for a zone and kind that the plan does not know."""
         return tuple(int(cell.open) for cell in self.cells)
 
     @cached_property
-    def data(self) -> bytes:
+    def encoded(self) -> bytes:
+        """The part in its canonical encoding."""
         zones = sorted(
             {zone for cell in self.cells for zone in cell.zones} | {zone for zone, _ in self.strata}
         )
-        at = {zone: i for i, zone in enumerate(zones)}
+        zone_index = {zone: i for i, zone in enumerate(zones)}
 
-        def placed(names: Mapping[str, int]) -> list[Any]:
+        def names_by_cell(cell_by_name: Mapping[str, int]) -> list[Any]:
             by_cell: dict[int, list[str]] = {}
-            for name in sorted(names):
-                by_cell.setdefault(names[name], []).append(name)
+            for name in sorted(cell_by_name):
+                by_cell.setdefault(cell_by_name[name], []).append(name)
             return [[cell, by_cell[cell]] for cell in sorted(by_cell)]
 
-        return _packed(
+        return _pack(
             {
                 0: zones,
-                1: [[cell.number, [at[zone] for zone in cell.zones], int(cell.open)] for cell in self.cells],
-                2: [[at[zone], kind, list(self.strata[zone, kind])] for zone, kind in sorted(self.strata)],
-                3: placed(self.routers),
-                4: placed(self.engines),
+                1: [
+                    [cell.number, [zone_index[zone] for zone in cell.zones], int(cell.open)]
+                    for cell in self.cells
+                ],
+                2: [
+                    [zone_index[zone], kind, list(self.strata[zone, kind])]
+                    for zone, kind in sorted(self.strata)
+                ],
+                3: names_by_cell(self.routers),
+                4: names_by_cell(self.engines),
                 5: [[loan.cell, loan.profile, loan.lender] for loan in self.loans],
-                6: self.split,
-                7: self.merged,
+                6: self.last_split,
+                7: self.last_merge,
             }
         )
 
     @classmethod
     def read(cls, data: bytes) -> Part:
-        """Raises PlanError."""
-        with _strictly():
+        """Decodes a part.
+
+        Raises:
+            PlanError: it is damaged, not in canonical form or inconsistent.
+        """
+        with _wrap_decode_errors():
             raw = msgpack.unpackb(data, strict_map_key=False)
-            zones = [_text(zone) for zone in raw[0]]
+            zones = [_checked_text(zone) for zone in raw[0]]
             cells = tuple(
                 Cell(
-                    _below(number, MOST_CELL),
-                    tuple(zones[_below(z, len(zones))] for z in there),
+                    _checked_int(number, CELL_NUMBER_LIMIT),
+                    tuple(zones[_checked_int(z, len(zones))] for z in zone_indices),
                     is_open == 1,
                 )
-                for number, there, is_open in raw[1]
+                for number, zone_indices, is_open in raw[1]
             )
             strata = {
-                (zones[_below(zone, len(zones))], _text(kind)): tuple(_below(w, MOST_WEIGHT) for w in weights)
+                (zones[_checked_int(zone, len(zones))], _checked_text(kind)): tuple(
+                    _checked_int(w, WEIGHT_LIMIT) for w in weights
+                )
                 for zone, kind, weights in raw[2]
             }
             routers, engines = (
-                {_text(name): _below(cell, MOST_CELL) for cell, names in raw[key] for name in names}
+                {
+                    _checked_text(name): _checked_int(cell, CELL_NUMBER_LIMIT)
+                    for cell, names in raw[key]
+                    for name in names
+                }
                 for key in (3, 4)
             )
             loans = tuple(
-                Loan(_below(c, MOST_CELL), _text(p), _below(lender, MOST_CELL)) for c, p, lender in raw[5]
+                Loan(
+                    _checked_int(c, CELL_NUMBER_LIMIT),
+                    _checked_text(p),
+                    _checked_int(lender, CELL_NUMBER_LIMIT),
+                )
+                for c, p, lender in raw[5]
             )
             part = cls(
-                cells, strata, routers, engines, loans, _below(raw[6], HIGHEST), _below(raw[7], HIGHEST)
+                cells,
+                strata,
+                routers,
+                engines,
+                loans,
+                _checked_int(raw[6], NUMBER_LIMIT),
+                _checked_int(raw[7], NUMBER_LIMIT),
             )
-            if part.data != data:
-                raise PlanError("plan: not in its one form")
+            if part.encoded != data:
+                raise PlanError("plan: it is not in canonical form")
         part.check()
         return part
 
     def check(self) -> None:
-        """Raises PlanError where the parts don't go together."""
-        numbers = set(self.numbers)
-        if not self.cells or len(numbers) < len(self.cells) or list(self.numbers) != sorted(self.numbers):
-            raise PlanError("plan: a region's cells are none, double or out of order")
-        if not any(self.even):
-            raise PlanError("plan: a region without an open cell")
+        """Checks that the part agrees with itself.
+
+        Raises:
+            PlanError: it does not.
+        """
+        numbers = set(self.cell_numbers)
+        if (
+            not self.cells
+            or len(numbers) < len(self.cells)
+            or list(self.cell_numbers) != sorted(self.cell_numbers)
+        ):
+            raise PlanError("plan: a region must have at least one cell, each once and by ascending number")
+        if not any(self.default_weights):
+            raise PlanError("plan: a region has no open cell; at least one is required")
         for weights in self.strata.values():
             if len(weights) != len(self.cells) or not any(weights):
-                raise PlanError("plan: a stratum whose weights are not those of its cells")
+                raise PlanError("plan: a stratum must have one weight for each cell, at least one above 0")
         if not numbers.issuperset((*self.routers.values(), *self.engines.values())):
-            raise PlanError("plan: a name placed in a cell that its region lacks")
+            raise PlanError("plan: a name is placed in a cell that its region does not have")
         if not numbers.issuperset(loan.cell for loan in self.loans):
-            raise PlanError("plan: a loan to a cell that its region lacks")
+            raise PlanError("plan: a loan is to a cell that its region does not have")
 
 
 @dataclass(frozen=True)
 class Region:
-    """What every router knows of each region. share: of all homes, in parts of WHOLE; it must never change
-    while the fleet runs (docs/design/cells.md). homes: the home weight of each of its cells, 0 to FULL.
-    digest: of its Part."""
+    """What every router knows of each region.
+
+    Attributes:
+        name: of the region.
+        zones: of the region.
+        share: of all homes, in parts of WHOLE. It must never change while the fleet runs
+            (docs/design/cells.md).
+        home_weights: number and home weight of each of its cells, 0 to FULL_HOME_WEIGHT.
+        part_digest: of its Part.
+    """
 
     name: str
     zones: tuple[str, ...]
     share: int
-    homes: tuple[tuple[int, int], ...]
-    digest: bytes
+    home_weights: tuple[tuple[int, int], ...]
+    part_digest: bytes
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A plan, or an excerpt of it: the head and some regions' parts. settings: digest of the settings and
-    rules it was made for. places: the most routers that a cell may have, by which bases are divided. fresh:
-    the lowest number that no cell has had. pinned: table groups whose home is not by the hash."""
+    """A plan, or an excerpt of it: the header and some regions' parts.
+
+    Attributes:
+        number: of the plan; a later plan has a higher one.
+        settings_digest: of the settings and rules that it was made for.
+        max_routers: of a cell; guaranteed quotas are divided by it.
+        next_cell: the lowest number that no cell has had.
+        regions: all, by name.
+        parts: by name of the region.
+        pinned_homes: cells of table groups whose home is not found by the hash.
+    """
 
     number: int
-    settings: int
-    places: int
-    fresh: int
+    settings_digest: int
+    max_routers: int
+    next_cell: int
     regions: tuple[Region, ...]
     parts: Mapping[str, Part]
-    pinned: Mapping[int, int]
+    pinned_homes: Mapping[int, int]
 
     @classmethod
     def made(
         cls,
         number: int,
-        settings: int,
-        places: int,
-        fresh: int,
+        settings_digest: int,
+        max_routers: int,
+        next_cell: int,
         regions: Iterable[tuple[str, tuple[str, ...], int, Sequence[tuple[int, int]], Part]],
-        pinned: Mapping[int, int] | None = None,
+        pinned_homes: Mapping[int, int] | None = None,
     ) -> Plan:
-        """regions: name, zones, share, home weights and Part of each. Raises PlanError."""
+        """Makes a whole plan.
+
+        Args:
+            number: as the attribute.
+            settings_digest: as the attribute.
+            max_routers: as the attribute.
+            next_cell: as the attribute.
+            regions: name, zones, share, home weights and Part of each.
+            pinned_homes: as the attribute.
+
+        Raises:
+            PlanError: the plan would not agree with itself.
+        """
         parts, heads = {}, []
-        for name, zones, share, homes, part in sorted(regions, key=lambda row: row[0]):
+        for name, zones, share, home_weights, part in sorted(regions, key=lambda row: row[0]):
             part.check()
             parts[name] = part
-            heads.append(Region(name, tuple(sorted(zones)), share, tuple(homes), _digest(part.data)))
-        plan = cls(number, settings, places, fresh, tuple(heads), parts, dict(pinned or {}))
+            heads.append(
+                Region(name, tuple(sorted(zones)), share, tuple(home_weights), _digest(part.encoded))
+            )
+        plan = cls(
+            number, settings_digest, max_routers, next_cell, tuple(heads), parts, dict(pinned_homes or {})
+        )
         plan.check()
         return plan
 
     def check(self) -> None:
+        """Checks that the plan agrees with itself.
+
+        Raises:
+            PlanError: it does not.
+        """
         zones = [zone for region in self.regions for zone in region.zones]
-        numbers = [number for region in self.regions for number, _ in region.homes]
+        numbers = [number for region in self.regions for number, _ in region.home_weights]
         if not self.regions or len(set(zones)) < len(zones) or len(set(numbers)) < len(numbers):
-            raise PlanError("plan: a zone or a cell in two regions, or no region")
+            raise PlanError("plan: it must have at least one region, and no zone or cell in two of them")
         if len({region.name for region in self.regions}) < len(self.regions):
-            raise PlanError("plan: a region twice")
-        if any(not any(weight for _, weight in region.homes) for region in self.regions):
-            raise PlanError("plan: a region without a cell that is a home")
+            raise PlanError("plan: two regions have the same name")
+        if any(not any(weight for _, weight in region.home_weights) for region in self.regions):
+            raise PlanError("plan: a region has no cell with a home weight above 0")
         if not any(region.share for region in self.regions):
-            raise PlanError("plan: no region has a share of the homes")
-        if self.places < 1 or max(numbers) >= self.fresh:
-            raise PlanError("plan: places or the next cell's number out of range")
-        for group, cell in self.pinned.items():
+            raise PlanError("plan: the regions' shares of the homes are all 0")
+        if self.max_routers < 1 or max(numbers) >= self.next_cell:
+            raise PlanError("plan: the most routers of a cell, or the next cell's number, is out of range")
+        for group, cell in self.pinned_homes.items():
             if self.region_of_cell(cell) != self.home_region(group).name:
-                raise PlanError("plan: a home in a cell that its region lacks")
+                raise PlanError("plan: a table group is pinned to a cell outside its home region")
         for region in self.regions:
             part = self.parts.get(region.name)
-            if part is not None and part.numbers != tuple(number for number, _ in region.homes):
-                raise PlanError("plan: a region's homes are not those of its cells")
+            if part is not None and part.cell_numbers != tuple(number for number, _ in region.home_weights):
+                raise PlanError("plan: the home weights of a region are not those of its cells")
             if part is not None and not set(region.zones).issuperset(zone for zone, _ in part.strata):
-                raise PlanError("plan: a stratum of a zone that its region lacks")
+                raise PlanError("plan: a stratum is of a zone that its region does not have")
 
     # Where a name belongs.
 
     def region_of(self, zone: str) -> Region:
-        """Raises PlanError."""
+        """The region of a zone.
+
+        Raises:
+            PlanError: no region has the zone.
+        """
         region = self._by_zone.get(zone)
         if region is None:
             raise PlanError(f"plan {self.number}: no region has zone '{zone[:40]}'")
         return region
 
-    def part_of(self, zone: str) -> Part:
-        """Raises PlanError, also where this excerpt lacks the zone's region."""
+    def part_of_zone(self, zone: str) -> Part:
+        """The part of a zone's region.
+
+        Raises:
+            PlanError: no region has the zone, or this excerpt lacks the region's part.
+        """
         region = self.region_of(zone)
         if region.name not in self.parts:
-            raise PlanError(f"plan {self.number}: this excerpt is without region '{region.name}'")
+            raise PlanError(f"plan {self.number}: this excerpt lacks the part of region '{region.name}'")
         return self.parts[region.name]
 
     def cell_of(self, name: str, zone: str, kind: str | None) -> int:
-        """The cell of an engine of that kind, or of a router (None), by name and plan alone. Raises
-        PlanError where no region has the zone, or this excerpt is without it."""
-        part = self.part_of(zone)
-        apart = (part.routers if kind is None else part.engines).get(name)
-        return apart if apart is not None else self.hashed(name, zone, kind)[0]
-
-    def hashed(self, name: str, zone: str, kind: str | None) -> tuple[int, bool]:
-        """The cell by the hash alone, and whether another came so close that the plan should place the name
-        apart. Raises PlanError."""
-        part = self.part_of(zone)
-        weights = part.strata.get((zone, kind or ""), part.even)
-        return rendezvous(("r:" if kind is None else "e:") + name, part.numbers, weights)
+        """The cell of a router or engine, by its name and the plan alone.
+
+        Args:
+            name: of the router or engine.
+            zone: that it is in.
+            kind: of the engine; None: it is a router.
+
+        Raises:
+            PlanError: no region has the zone, or this excerpt lacks the region's part.
+        """
+        part = self.part_of_zone(zone)
+        exception = (part.routers if kind is None else part.engines).get(name)
+        return exception if exception is not None else self.hashed_cell(name, zone, kind)[0]
+
+    def hashed_cell(self, name: str, zone: str, kind: str | None) -> tuple[int, bool]:
+        """The cell of a router or engine by the hash alone.
+
+        Args:
+            name: as for `cell_of`.
+            zone: as for `cell_of`.
+            kind: as for `cell_of`.
+
+        Returns:
+            The cell, and whether another came so close that the plan should place the name as an exception.
+
+        Raises:
+            PlanError: as for `cell_of`.
+        """
+        part = self.part_of_zone(zone)
+        weights = part.strata.get((zone, kind or ""), part.default_weights)
+        return rendezvous_hash(("r:" if kind is None else "e:") + name, part.cell_numbers, weights)
 
     def home_region(self, group: int) -> Region:
-        """By the regions' shares alone, which never change: a home stays in its region."""
-        salt, _ = rendezvous(f"h:{group}", self._salts, [region.share for region in self.regions])
-        return self.regions[self._salts.index(salt)]
+        """The region of a table group's home, by the regions' shares alone.
+
+        These never change, so that a home stays in its region.
+        """
+        salt, _ = rendezvous_hash(f"h:{group}", self._region_salts, [region.share for region in self.regions])
+        return self.regions[self._region_salts.index(salt)]
 
     def home(self, group: int) -> int:
         """The one cell that takes a table group's loads."""
-        pinned = self.pinned.get(group)
+        pinned = self.pinned_homes.get(group)
         if pinned is not None:
             return pinned
         region = self.home_region(group)
-        numbers = [number for number, _ in region.homes]
-        return rendezvous(f"h:{group}", numbers, [weight for _, weight in region.homes])[0]
+        numbers = [number for number, _ in region.home_weights]
+        return rendezvous_hash(f"h:{group}", numbers, [weight for _, weight in region.home_weights])[0]
 
     def region_of_cell(self, cell: int) -> str | None:
+        """Name of the region that has a cell; None where there is no such cell."""
         return self._by_cell.get(cell)
 
     @cached_property
-    def _salts(self) -> tuple[int, ...]:
-        """By their names, so that a region that is named first moves nobody's home."""
+    def _region_salts(self) -> tuple[int, ...]:
+        """Numbers that stand for the regions in the hash.
+
+        They come from the names, so that a new region that sorts first moves nobody's home.
+        """
         return tuple(zlib.crc32(region.name.encode()) for region in self.regions)
 
     @cached_property
@@ -282,180 +410,252 @@
 
     @cached_property
     def _by_cell(self) -> dict[int, str]:
-        return {number: region.name for region in self.regions for number, _ in region.homes}
+        return {number: region.name for region in self.regions for number, _ in region.home_weights}
 
-    # Its bytes.
+    # The encoding.
 
     @cached_property
-    def head(self) -> bytes:
-        return _packed(
+    def header(self) -> bytes:
+        """What every router has of the plan, encoded."""
+        return _pack(
             {
                 0: self.number,
-                1: self.settings,
-                2: self.places,
-                3: self.fresh,
+                1: self.settings_digest,
+                2: self.max_routers,
+                3: self.next_cell,
                 4: [
-                    [r.name, list(r.zones), r.share, [list(home) for home in r.homes], r.digest]
+                    [r.name, list(r.zones), r.share, [list(home) for home in r.home_weights], r.part_digest]
                     for r in self.regions
                 ],
-                5: [[group, self.pinned[group]] for group in sorted(self.pinned)],
+                5: [[group, self.pinned_homes[group]] for group in sorted(self.pinned_homes)],
             }
         )
 
     @cached_property
     def digest(self) -> bytes:
-        """Of the whole plan, also where this is an excerpt: the head has the digest of every part."""
-        return _digest(self.head)
+        """Of the whole plan, also where this is an excerpt: the header has the digest of every part."""
+        return _digest(self.header)
 
     def excerpt(self, region: str) -> Plan:
-        """What a router of that region needs: the head, and its region's part. It has the whole's digest, and
-        the whole's MAC is good for it. Raises PlanError."""
+        """What a router of a region needs: the header and the region's part.
+
+        It has the digest of the whole plan, and the MAC of the whole plan is valid for it.
+
+        Raises:
+            PlanError: the plan lacks the region's part.
+        """
         if region not in self.parts:
-            raise PlanError(f"plan {self.number}: no part of region '{region[:40]}'")
+            raise PlanError(f"plan {self.number}: it has no part of region '{region[:40]}'")
         parts = {region: self.parts[region]}
-        return Plan(self.number, self.settings, self.places, self.fresh, self.regions, parts, self.pinned)
+        return Plan(
+            self.number,
+            self.settings_digest,
+            self.max_routers,
+            self.next_cell,
+            self.regions,
+            parts,
+            self.pinned_homes,
+        )
 
     def mac(self, key: bytes) -> bytes:
-        return _mac(self.head, key)
+        """The MAC of the header."""
+        return _mac(self.header, key)
 
     def write(self, key: bytes) -> bytes:
-        """key: LEAST_KEY bytes or more, known to whoever may make plans and whoever reads them."""
-        return self.sealed(self.mac(key))
+        """Encodes the plan.
+
+        Args:
+            key: MIN_KEY_BYTES or more, known to whoever may make plans and whoever reads them.
+        """
+        return self.encode_with_mac(self.mac(key))
 
-    def sealed(self, mac: bytes) -> bytes:
-        """With a MAC that came with the plan: who hands an excerpt on needs no key."""
-        parts = {name: self.parts[name].data for name in sorted(self.parts)}
-        return _packed({0: FORM, 1: mac, 2: self.head, 3: parts})
+    def encode_with_mac(self, mac: bytes) -> bytes:
+        """Encodes the plan with the MAC that came with it: passing on an excerpt needs no key."""
+        parts = {name: self.parts[name].encoded for name in sorted(self.parts)}
+        return _pack({0: FORMAT_VERSION, 1: mac, 2: self.header, 3: parts})
 
     @classmethod
     def read(cls, data: bytes, keys: Sequence[bytes]) -> Plan:
-        """keys: the one in use and, while it is being changed, the other. Raises PlanError."""
-        if len(data) > MOST:
-            raise PlanError(f"plan: more than {MOST} bytes")
-        if not 1 <= len(keys) <= 2 or any(len(key) < LEAST_KEY for key in keys):
-            raise PlanError(f"plan: one or two keys of at least {LEAST_KEY} bytes are wanted")
-        with _strictly():
-            outer = msgpack.unpackb(data, strict_map_key=False)
-            if outer[0] != FORM:
-                raise PlanError(f"plan: of form {str(outer[0])[:20]}, not {FORM}")
-            mac, head, parts = outer[1], outer[2], outer[3]
-            if not (isinstance(mac, bytes) and isinstance(head, bytes) and isinstance(parts, dict)):
+        """Decodes a plan and checks its MAC.
+
+        Args:
+            data: as `write` or `encode_with_mac` made it.
+            keys: the one in use and, while it is being changed, the other.
+
+        Raises:
+            PlanError: it is damaged, forged, not in canonical form or inconsistent, or the keys are unusable.
+        """
+        if len(data) > MAX_PLAN_BYTES:
+            raise PlanError(f"plan: longer than {MAX_PLAN_BYTES} bytes")
+        if not 1 <= len(keys) <= 2 or any(len(key) < MIN_KEY_BYTES for key in keys):
+            raise PlanError(f"plan: one or two keys of at least {MIN_KEY_BYTES} bytes are required")
+        with _wrap_decode_errors():
+            envelope = msgpack.unpackb(data, strict_map_key=False)
+            if envelope[0] != FORMAT_VERSION:
+                raise PlanError(
+                    f"plan: format version {str(envelope[0])[:20]} is unknown; expected {FORMAT_VERSION}"
+                )
+            mac, header, parts = envelope[1], envelope[2], envelope[3]
+            if not (isinstance(mac, bytes) and isinstance(header, bytes) and isinstance(parts, dict)):
                 raise TypeError
-            # Nothing of the head is looked at before this: a forger's head costs one MAC for each key.
-            if not any(hmac.compare_digest(_mac(head, key), mac) for key in keys):
-                raise PlanError("plan: its MAC is by none of our keys, or its head is torn")
-            raw = msgpack.unpackb(head, strict_map_key=False)
+            # Nothing of the header is decoded before this check: a forged one costs one MAC for each key.
+            if not any(hmac.compare_digest(_mac(header, key), mac) for key in keys):
+                raise PlanError("plan: its MAC matches none of our keys, or its header is damaged")
+            raw = msgpack.unpackb(header, strict_map_key=False)
             regions = tuple(_region(row) for row in raw[4])
-            wanted = {region.name: region.digest for region in regions}
+            part_digests = {region.name: region.part_digest for region in regions}
             for name, part in parts.items():
-                # The MAC is over the head, which binds each part by its digest.
-                if not isinstance(part, bytes) or wanted.get(name) != _digest(part):
+                # The MAC covers the header, which has the digest of each part.
+                if not isinstance(part, bytes) or part_digests.get(name) != _digest(part):
                     raise PlanError(
-                        f"plan: the part of region '{str(name)[:40]}' is torn, or not of this plan"
+                        f"plan: the part of region '{str(name)[:40]}' is damaged, or is not of this plan"
                     )
             plan = cls(
-                _below(raw[0], HIGHEST),
-                _below(raw[1], 1 << 32),
-                _below(raw[2], MOST_CELL),
-                _below(raw[3], MOST_CELL + 1),
+                _checked_int(raw[0], NUMBER_LIMIT),
+                _checked_int(raw[1], 1 << 32),
+                _checked_int(raw[2], CELL_NUMBER_LIMIT),
+                _checked_int(raw[3], CELL_NUMBER_LIMIT + 1),
                 regions,
                 {name: Part.read(part) for name, part in parts.items()},
-                {_below(group, HIGHEST): _below(cell, MOST_CELL) for group, cell in raw[5]},
+                {
+                    _checked_int(group, NUMBER_LIMIT): _checked_int(cell, CELL_NUMBER_LIMIT)
+                    for group, cell in raw[5]
+                },
             )
-            if plan.head != head or plan.sealed(mac) != data:
-                raise PlanError("plan: not in its one form")
+            if plan.header != header or plan.encode_with_mac(mac) != data:
+                raise PlanError("plan: it is not in canonical form")
         plan.check()
         return plan
 
 
 def _region(row: Any) -> Region:
-    name, zones, share, homes, digest = row
-    if not isinstance(digest, bytes) or len(digest) != DIGEST:
+    """Decodes a region of the header."""
+    name, zones, share, home_weights, digest = row
+    if not isinstance(digest, bytes) or len(digest) != DIGEST_BYTES:
         raise ValueError
-    weights = tuple((_below(number, MOST_CELL), _below(weight, FULL + 1)) for number, weight in homes)
+    weights = tuple(
+        (_checked_int(number, CELL_NUMBER_LIMIT), _checked_int(weight, FULL_HOME_WEIGHT + 1))
+        for number, weight in home_weights
+    )
     return Region(
-        _text(name), tuple(_text(zone) for zone in zones), _below(share, WHOLE + 1), weights, digest
+        _checked_text(name),
+        tuple(_checked_text(zone) for zone in zones),
+        _checked_int(share, WHOLE + 1),
+        weights,
+        digest,
     )
 
 
-def rendezvous(name: str, numbers: Sequence[int], weights: Sequence[int]) -> tuple[int, bool]:
-    """Weighted rendezvous hashing (Thaler and Ravishankar; the logarithm is Schindelhauer and Schomaker's):
-    of `numbers`, the one whose -ln(u) / weight is least, u drawn from the name and the number. A weight that
-    changes moves names to or from that number alone. Also whether the next came within CLOSE. ValueError
-    where all weights are 0."""
-    # Of equal weights the score is least where what is drawn is highest: logarithms only for the highest.
+def rendezvous_hash(name: str, numbers: Sequence[int], weights: Sequence[int]) -> tuple[int, bool]:
+    """Weighted rendezvous hashing of a name.
+
+    After Thaler and Ravishankar, with the logarithm of Schindelhauer and Schomaker: the number with the least
+    -ln(u) / weight is chosen, where u is a hash of the name and the number. A changed weight moves names to
+    or from its own number alone.
+
+    Args:
+        name: to be placed.
+        numbers: to choose from.
+        weights: of each of the numbers; one of weight 0 is never chosen.
+
+    Returns:
+        The number, and whether the score of the next one is within SCORE_TOLERANCE.
+
+    Raises:
+        ValueError: all weights are 0.
+    """
+    # Of equal weights the highest hash has the least score, so that only the two highest need a logarithm.
     data, tops = name.encode(), dict[int, tuple[int, int, int]]()  # by weight: highest, its number, second
     for number, weight in zip(numbers, weights, strict=True):
         if not weight:
             continue
-        drawn = xxhash.xxh3_64_intdigest(data, number) >> 12
+        hashed = xxhash.xxh3_64_intdigest(data, number) >> 12
         top = tops.get(weight)
         if top is None:
-            tops[weight] = drawn, number, -1
-        elif drawn > top[0]:
-            tops[weight] = drawn, number, top[0]
-        elif drawn > top[2]:
-            tops[weight] = top[0], top[1], drawn
+            tops[weight] = hashed, number, -1
+        elif hashed > top[0]:
+            tops[weight] = hashed, number, top[0]
+        elif hashed > top[2]:
+            tops[weight] = top[0], top[1], hashed
     scores = sorted(
-        (-math.log((drawn + 0.5) * 2.0**-52) / weight, number)
-        for weight, (first, number, second) in tops.items()
-        for drawn, number in ((first, number), (second, MOST_CELL))
-        if drawn >= 0
+        (-math.log((hashed + 0.5) * 2.0**-52) / weight, number)
+        for weight, (highest, number, second) in tops.items()
+        for hashed, number in ((highest, number), (second, CELL_NUMBER_LIMIT))
+        if hashed >= 0
     )
     if not scores:
-        raise ValueError(f"no weight above 0 for {name}")
-    return scores[0][1], len(scores) > 1 and scores[1][0] - scores[0][0] <= CLOSE * scores[0][0]
+        raise ValueError(f"rendezvous hashing of '{name}': all weights are 0; one above 0 is required")
+    return scores[0][1], len(scores) > 1 and scores[1][0] - scores[0][0] <= SCORE_TOLERANCE * scores[0][0]
 
 
-class Reason(Enum):
+class RejectionReason(Enum):
     """Why an offered plan was not adopted; each is counted."""
 
     SAME = "the one we have"
     OLDER = "older than ours"
-    DOUBLE = "another plan has its number"
-    JUMP = "its number is too far ahead"
-    SETTINGS = "made for other regions or settings"
-    SHARES = "it shares the homes out among regions anew"
-    NOT_OURS = "it says nothing of our zone"
-    ELSEWHERE = "it has us in another cell"
+    NUMBER_TAKEN = "another plan has its number"
+    TOO_FAR_AHEAD = "its number is too far ahead"
+    OTHER_SETTINGS = "made for other regions or settings"
+    SHARES_CHANGED = "it shares the homes out among regions anew"
+    OTHER_REGION = "it says nothing of our zone"
+    OTHER_CELL = "it has us in another cell"
 
 
 @dataclass(frozen=True)
 class Adopted:
+    """The offered plan is valid here and newer than the present one."""
+
     plan: Plan
 
 
 @dataclass(frozen=True)
-class Kept:
-    """We stay with what we have; line: for the log."""
+class Rejected:
+    """The present plan, or the cell by it, stays.
+
+    Attributes:
+        reason: why.
+        message: for the log, in one line.
+    """
 
-    reason: Reason
-    line: str
+    reason: RejectionReason
+    message: str
 
 
-def adopt(current: Plan | None, offered: Plan, settings: int, zone: str, jump: int) -> Adopted | Kept:
-    """Whether a plan that was read is taken. settings: digest of ours (terms.Rules.digest). zone: ours. jump:
-    how far ahead of ours a number may be; one that is further would make all that come after it older."""
+def adopt(
+    current: Plan | None, offered: Plan, settings_digest: int, zone: str, max_number_step: int
+) -> Adopted | Rejected:
+    """Decides whether a plan that was read is adopted.
 
-    def kept(reason: Reason) -> Kept:
-        ours = f"; ours is {current.number}" if current is not None else ""
-        return Kept(reason, f"plan {offered.number} not adopted: {reason.value}{ours}")
+    Args:
+        current: the plan in force; None: there is none yet.
+        offered: the other plan.
+        settings_digest: of our settings (`planner.revision.Rules.digest`).
+        zone: that our router is in.
+        max_number_step: most by which the offered number may exceed the current one. All plans that follow
+            would be older than one whose number is far ahead.
+    """
+
+    def rejected(reason: RejectionReason) -> Rejected:
+        present = f"; the present plan is {current.number}" if current is not None else ""
+        return Rejected(reason, f"plan {offered.number} not adopted: {reason.value}{present}")
 
     if current is not None and offered.number == current.number:
-        # Of two with one number the first is kept: who made both must make a third with a higher one.
-        return kept(Reason.SAME if offered.digest == current.digest else Reason.DOUBLE)
+        # Of two plans with one number the first is kept; a third with a higher number has to replace both.
+        return rejected(
+            RejectionReason.SAME if offered.digest == current.digest else RejectionReason.NUMBER_TAKEN
+        )
     if current is not None and offered.number < current.number:
-        return kept(Reason.OLDER)
-    if current is not None and offered.number > current.number + jump:
-        return kept(Reason.JUMP)
-    if offered.settings != settings:
-        return kept(Reason.SETTINGS)
+        return rejected(RejectionReason.OLDER)
+    if current is not None and offered.number > current.number + max_number_step:
+        return rejected(RejectionReason.TOO_FAR_AHEAD)
+    if offered.settings_digest != settings_digest:
+        return rejected(RejectionReason.OTHER_SETTINGS)
     if current is not None and _shares(current) != _shares(offered):
-        return kept(Reason.SHARES)
+        return rejected(RejectionReason.SHARES_CHANGED)
     try:
-        offered.part_of(zone)
+        offered.part_of_zone(zone)
     except PlanError:
-        return kept(Reason.NOT_OURS)
+        return rejected(RejectionReason.OTHER_REGION)
     return Adopted(offered)
 
 
@@ -463,47 +663,62 @@
     return {region.name: region.share for region in plan.regions if region.share}
 
 
-def told(plan: Plan, name: str, zone: str, cell: int) -> Kept | None:
-    """None where a router of that name and zone, told that it is in `cell`, is there by the plan. Else the
-    word is dropped: the plan holds. Raises PlanError where the plan says nothing of the zone."""
-    ours = plan.cell_of(name, zone, None)
-    if ours == cell:
+def check_assigned_cell(plan: Plan, name: str, zone: str, cell: int) -> Rejected | None:
+    """Compares a cell that a router was told to be in with its cell by the plan, which takes precedence.
+
+    Args:
+        plan: in force.
+        name: of the router.
+        zone: that the router is in.
+        cell: that it was told.
+
+    Returns:
+        None where both are the same.
+
+    Raises:
+        PlanError: the plan says nothing of the zone.
+    """
+    planned_cell = plan.cell_of(name, zone, None)
+    if planned_cell == cell:
         return None
-    return Kept(Reason.ELSEWHERE, f"told to be in cell {cell}, but plan {plan.number} has us in cell {ours}")
+    return Rejected(
+        RejectionReason.OTHER_CELL,
+        f"told to be in cell {cell}, but by plan {plan.number} this router is in cell {planned_cell}",
+    )
 
 
-def _packed(value: Any) -> bytes:
+def _pack(value: Any) -> bytes:
     data: bytes = msgpack.packb(value)
     return data
 
 
 def _digest(data: bytes) -> bytes:
-    return hashlib.sha256(data).digest()[:DIGEST]
+    return hashlib.sha256(data).digest()[:DIGEST_BYTES]
 
 
-def _mac(head: bytes, key: bytes) -> bytes:
-    return hmac.digest(key, b"marbleworks plan %d\n" % FORM + head, "sha256")
+def _mac(header: bytes, key: bytes) -> bytes:
+    return hmac.digest(key, b"marbleworks plan %d\n" % FORMAT_VERSION + header, "sha256")
 
 
 @contextmanager
-def _strictly() -> Iterator[None]:
-    """Whatever msgpack, a number or a shape objects to is a PlanError of one line."""
+def _wrap_decode_errors() -> Iterator[None]:
+    """Raises whatever decoding fails with as a PlanError of one line."""
     try:
         yield
     except PlanError:
         raise
     except Exception as err:
-        what = "a value out of range" if isinstance(err, ValueError | TypeError) else "not whole"
-        raise PlanError(f"plan: torn, or {what}") from None
+        problem = "a value is out of range" if isinstance(err, ValueError | TypeError) else "it is incomplete"
+        raise PlanError(f"plan: it is damaged, or {problem}") from None
 
 
-def _text(value: Any) -> str:
+def _checked_text(value: Any) -> str:
     if not isinstance(value, str) or len(value) > 256:
         raise ValueError
     return value
 
 
-def _below(value: Any, below: int) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < below:
+def _checked_int(value: Any, limit: int) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < limit:
         raise ValueError
     return value
--- a/marbleworks/cells/planner/revision.py
+++ b/marbleworks/cells/planner/revision.py
@@ -1,7 +1,8 @@
-"""Who makes the plans: from the one in force and who is there, the next one. No I/O, no clock, no chance.
+"""Makes the next plan from the one in force and the roster. No I/O, no clock, no randomness.
 
-It owns how many cells a region has, which routers and engines each has, and how fast that may change. It must
-never move more than a step allows in one plan, or give two answers for one plan and roster in another order.
+The planner decides how many cells a region has, which routers and engines each of them has, and how fast that
+changes. No plan moves more members than a step allows, and the same plan and roster give the same next plan
+in whatever order the roster is. docs/design/cells.md has the design.
 """
 
 from __future__ import annotations
@@ -14,25 +15,32 @@
 from enum import Enum
 from typing import Any
 
-from marbleworks.cells.plan import FULL, WHOLE, Cell, Loan, Part, Plan, PlanError, rendezvous
+from marbleworks.cells.plan import FULL_HOME_WEIGHT, WHOLE, Cell, Loan, Part, Plan, PlanError, rendezvous_hash
 from marbleworks.settings import Settings
 
-BALANCE = 0.15  # part by which what a cell has of one kind may differ from the mean of its region
-SPREAD = 0.30  # and of one kind in one zone
-FILL = 0.75  # of the most that a cell bears: what is aimed at when the number of cells changes
-TIGHT = 1 / (1 + BALANCE)  # a region whose mean cell is fuller gets more cells: one may be above the mean
-NEEDED = 4  # what a profile without an engine counts, against one member too many
-LOW, MIDDLE = 1, 2  # weights for names not known: a cell at its most has none, one above the mean half
+BALANCE = 0.15  # part by which a cell's number of one kind may differ from the mean of its region
+MAX_STRATUM_DEVIATION = 0.30  # part by which a cell's number of one kind and zone may differ from the mean
+TARGET_FILL = 0.75  # mean part of a cell's maximum in use that a change of the number of cells aims at
+MAX_FILL = 1 / (1 + BALANCE)  # of the mean cell, which others exceed; above it a region gets more cells
+MISSING_ENGINE_PENALTY = 4  # for a profile without an engine; 1 is that of one member out of bounds
+ABOVE_MEAN_WEIGHT, DEFAULT_WEIGHT = 1, 2  # of a cell for unknown names; 0 for a cell at its maximum
 
 
 class PlannerError(Exception):
-    """Rules or a roster of which no plan can be made: one plain line."""
+    """No plan can be made of the rules or the roster; the text says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A router (kind None) or an engine that counts. up: whether it is there just now; one that is not keeps
-    its place as long as it is on the roster."""
+    """A router or engine of the roster.
+
+    Attributes:
+        name: unique among routers, or among engines.
+        zone: that it is in.
+        rack: that it is in.
+        kind: of the engine; None: it is a router.
+        up: whether it is reachable now. One that is not keeps its place as long as it is on the roster.
+    """
 
     name: str
     zone: str
@@ -43,21 +51,37 @@
 
 @dataclass(frozen=True)
 class Need:
-    """What a profile needs in each cell: an engine of one of these zones and kinds; None: any."""
+    """The engines of which a profile needs at least one in each cell.
+
+    Attributes:
+        profile: the request class.
+        zones: of the engines; None: any.
+        kinds: of the engines; None: any.
+    """
 
     profile: str
     zones: frozenset[str] | None
     kinds: frozenset[str] | None
 
-    def met_by(self, zone: str, kind: str) -> bool:
+    def is_met_by(self, zone: str, kind: str) -> bool:
+        """Whether the profile may use an engine of that zone and kind."""
         return (self.zones is None or zone in self.zones) and (self.kinds is None or kind in self.kinds)
 
 
 @dataclass(frozen=True)
 class Rules:
-    """regions: zones of each. shares: of all homes, in parts of WHOLE. least, routers: of a cell's routers,
-    the fewest and the most; engines: the most. step: part of a region's routers, and of its engines, that
-    one plan moves at most. rest: plans between a merge and a split."""
+    """What the planner keeps to.
+
+    Attributes:
+        regions: zones of each region.
+        shares: of each region, of all homes, in parts of WHOLE.
+        needs: of the profiles.
+        least: fewest routers of a cell.
+        routers: most routers of a cell.
+        engines: most engines of a cell.
+        step: the largest part of a region's routers, and of its engines, that one plan moves.
+        rest: fewest plans between a merge and a split of one region's cells.
+    """
 
     regions: Mapping[str, tuple[str, ...]]
     shares: Mapping[str, int]
@@ -69,8 +93,13 @@
     rest: int = 20
 
     @classmethod
-    def of(cls, terms: dict[str, Any], deployment: Settings) -> Rules:
-        """From the operator's section, which fits (terms.unfit), and the settings."""
+    def from_section(cls, values: dict[str, Any], deployment: Settings) -> Rules:
+        """Makes the rules from the operator's file and the settings.
+
+        Args:
+            values: of the section `cells`, which `check_cells_section` has found valid.
+            deployment: the settings.
+        """
         zones, kinds = list(deployment.zone_index), list(deployment.machine_kind_index)
 
         def named(indices: tuple[int, ...] | None, names: list[str]) -> frozenset[str] | None:
@@ -80,80 +109,113 @@
             Need(name, named(profile.allowed_zones, zones), named(profile.allowed_machine_kinds, kinds))
             for name, profile in zip(deployment.class_index, deployment.request_classes, strict=True)
         )
-        told = {name: tuple(sorted(region["zones"].split())) for name, region in terms["region"].items()}
-        shares = {name: round(WHOLE * region["share"]) for name, region in terms["region"].items()}
+        regions = {name: tuple(sorted(region["zones"].split())) for name, region in values["region"].items()}
+        shares = {name: round(WHOLE * region["share"]) for name, region in values["region"].items()}
         if not any(shares.values()):
-            shares = dict.fromkeys(told, WHOLE // len(told))
+            shares = dict.fromkeys(regions, WHOLE // len(regions))
         return cls(
-            told,
+            regions,
             shares,
             needs,
-            terms["least"],
-            terms["routers"],
-            terms["engines"],
-            terms["step"],
-            terms["rest"],
+            values["least"],
+            values["routers"],
+            values["engines"],
+            values["step"],
+            values["rest"],
         )
 
     @property
     def digest(self) -> int:
-        """Of what all must agree on to use a plan."""
+        """Of what all routers have to agree on to use a plan."""
         needs = [
             (n.profile, sorted(n.zones or ()), n.zones is None, sorted(n.kinds or ()), n.kinds is None)
             for n in self.needs
         ]
-        facts = (sorted(self.regions.items()), sorted(self.shares.items()), sorted(needs), self.routers)
-        return zlib.crc32(repr(facts).encode())
+        agreed = (sorted(self.regions.items()), sorted(self.shares.items()), sorted(needs), self.routers)
+        return zlib.crc32(repr(agreed).encode())
 
     def check(self) -> None:
-        """Raises PlannerError."""
-        zones = [zone for there in self.regions.values() for zone in there]
+        """Checks that the rules agree with each other.
+
+        Raises:
+            PlannerError: they do not.
+        """
+        zones = [zone for region_zones in self.regions.values() for zone in region_zones]
         if not zones or len(set(zones)) < len(zones) or set(self.shares) != set(self.regions):
-            raise PlannerError("rules: no region, a zone in two, or a share of none")
+            raise PlannerError(
+                "rules: there must be at least one zone, each in one region, and a share for each region"
+            )
         if not 1 <= self.least <= self.routers or self.engines < 1 or not 0 < self.step <= 1 or self.rest < 1:
-            raise PlannerError("rules: bounds of a cell out of range")
+            raise PlannerError(
+                "rules: 'least' must be 1 to 'routers', 'engines' and 'rest' at least 1, "
+                "and 'step' above 0 and at most 1"
+            )
 
 
-class Lack(Enum):
-    """What a plan could not give; each is said by name."""
+class ShortfallReason(Enum):
+    """What a plan could not provide."""
 
-    MOST = "most of its routers are not there: nothing of it is moved"
-    RESTS = "its cells would change in number, but did the other way too few plans ago"
-    BOUNDS = "too few routers for as many cells as its engines want"
-    MAJORITY = "a cell is without most of its routers"
-    FULL = "a cell has more than it bears"
-    LENT = "a cell is lent to"
-    NOWHERE = "no engine anywhere may take a profile's commands"
+    ROUTERS_DOWN = "most of its routers are not there: nothing of it is moved"
+    RECENTLY_RESIZED = "its cells would change in number, but did the other way too few plans ago"
+    TOO_FEW_ROUTERS = "too few routers for as many cells as its engines want"
+    NO_MAJORITY = "a cell is without most of its routers"
+    OVERFULL = "a cell has more than it bears"
+    BORROWS = "a cell is lent to"
+    NO_ENGINE = "no engine anywhere may take a profile's commands"
 
 
 @dataclass(frozen=True)
 class Shortfall:
-    lack: Lack
+    """One thing that a plan could not provide.
+
+    Attributes:
+        reason: what is missing.
+        region: where.
+        cell: where; -1: in the region as a whole.
+        profile: for which; empty: for none in particular.
+    """
+
+    reason: ShortfallReason
     region: str
     cell: int = -1
     profile: str = ""
 
     @property
-    def line(self) -> str:
+    def message(self) -> str:
+        """For an operator, in one line."""
         cell = f", cell {self.cell}" if self.cell >= 0 else ""
         profile = f", profile '{self.profile}'" if self.profile else ""
-        return f"region '{self.region}'{cell}{profile}: {self.lack.value}"
+        return f"region '{self.region}'{cell}{profile}: {self.reason.value}"
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Of a member that is up and was in a cell before."""
+    """The move of a member that is up and was in a cell before.
+
+    Attributes:
+        name: of the member.
+        kind: of the engine; None: it is a router.
+        old_cell: by the plan in force.
+        new_cell: by the next plan.
+    """
 
     name: str
     kind: str | None
-    old: int
-    new: int
+    old_cell: int
+    new_cell: int
 
 
 @dataclass(frozen=True)
 class Revision:
-    """plan: the next, or the one in force where nothing changes. moves: what it moves. must: the fewest that
-    have to move, in all plans together, for each bound to be kept with the cells that there are to be."""
+    """The next plan and what it changes.
+
+    Attributes:
+        plan: the next, or the one in force where nothing changes.
+        moves: of this plan.
+        must: the fewest moves, of this and later plans together, that keep all bounds with the cells that
+            there are to be.
+        shortfalls: of this plan.
+    """
 
     plan: Plan
     moves: tuple[Move, ...]
@@ -162,333 +224,490 @@
 
 
 def revise(plan: Plan | None, roster: Iterable[Member], rules: Rules) -> Plan:
-    """The next plan, one step from the one in force; that itself where nothing is to change. Raises
-    PlannerError."""
+    """Makes the next plan, one step from the one in force.
+
+    Args:
+        plan: as for `revised`.
+        roster: as for `revised`.
+        rules: as for `revised`.
+
+    Returns:
+        The next plan, or the one in force where nothing changes.
+
+    Raises:
+        PlannerError: as for `revised`.
+    """
     return revised(plan, roster, rules).plan
 
 
 def revised(plan: Plan | None, roster: Iterable[Member], rules: Rules) -> Revision:
-    """As revise, with what it moves and what it can't give. roster: in any order, with at most one router and
-    one engine of a name. Raises PlannerError."""
+    """Makes the next plan, and tells what it moves and what it could not provide.
+
+    Args:
+        plan: in force; None: there is none yet.
+        roster: all members, in any order, with at most one router and one engine of a name.
+        rules: to keep to.
+
+    Raises:
+        PlannerError: no plan can be made of the rules or the roster.
+    """
     rules.check()
     members = list(roster)
     if len({(m.kind is None, m.name) for m in members}) < len(members):
-        raise PlannerError("roster: a name twice")
-    by_zone = {zone: name for name, zones in rules.regions.items() for zone in zones}
+        raise PlannerError("roster: two routers or two engines have the same name")
+    region_by_zone = {zone: name for name, zones in rules.regions.items() for zone in zones}
     by_region: dict[str, list[Member]] = {name: [] for name in rules.regions}
     for member in members:
-        if member.zone not in by_zone:
+        if member.zone not in region_by_zone:
             raise PlannerError(f"roster: '{member.name}' is in zone '{member.zone}', which no region has")
-        by_region[by_zone[member.zone]].append(member)
-    number = plan.number + 1 if plan is not None else 1
-    fresh = plan.fresh if plan is not None else 0
+        by_region[region_by_zone[member.zone]].append(member)
+    plan_number = plan.number + 1 if plan is not None else 1
+    next_cell = plan.next_cell if plan is not None else 0
     drafts = []
     for name in sorted(rules.regions):
-        draft = _Draft(name, plan, by_region[name], rules, number, fresh)
-        fresh = draft.fresh
+        draft = _RegionDraft(name, plan, by_region[name], rules, plan_number, next_cell)
+        next_cell = draft.next_cell
         drafts.append(draft)
-    shortfalls = [lack for draft in drafts for lack in draft.shortfalls]
-    parts = [(draft, draft.part(_loans(draft, drafts, shortfalls))) for draft in drafts]
+    shortfalls = [shortfall for draft in drafts for shortfall in draft.shortfalls]
+    parts = [(draft, draft.build_part(_assign_loans(draft, drafts, shortfalls))) for draft in drafts]
     moves = tuple(move for draft in drafts for move in draft.moves)
-    settled = (
+    is_unchanged = (
         plan is not None
         and not moves
-        and plan.settings == rules.digest
-        and plan.places == rules.routers
-        and all(draft.alike(plan, part) for draft, part in parts)
+        and plan.settings_digest == rules.digest
+        and plan.max_routers == rules.routers
+        and all(draft.is_same_as(plan, part) for draft, part in parts)
     )
-    if not settled:
+    if not is_unchanged:
         rows = [
-            (d.name, rules.regions[d.name], rules.shares[d.name], sorted(d.homes.items()), part)
+            (d.name, rules.regions[d.name], rules.shares[d.name], sorted(d.home_weights.items()), part)
             for d, part in parts
         ]
-        there = {cell for draft in drafts for cell, weight in draft.homes.items() if weight}
-        pinned = {g: cell for g, cell in (plan.pinned if plan is not None else {}).items() if cell in there}
-        plan = Plan.made(number, rules.digest, rules.routers, fresh, rows, pinned)
+        home_cells = {cell for draft in drafts for cell, weight in draft.home_weights.items() if weight}
+        pinned_homes = {
+            g: cell
+            for g, cell in (plan.pinned_homes if plan is not None else {}).items()
+            if cell in home_cells
+        }
+        plan = Plan.made(plan_number, rules.digest, rules.routers, next_cell, rows, pinned_homes)
     assert plan is not None
-    return Revision(plan, moves, sum(draft.must for draft in drafts), tuple(shortfalls))
+    return Revision(plan, moves, sum(draft.min_moves for draft in drafts), tuple(shortfalls))
+
 
+def _assign_loans(
+    draft: _RegionDraft, drafts: list[_RegionDraft], shortfalls: list[Shortfall]
+) -> tuple[Loan, ...]:
+    """Chooses a lender for each cell and profile without an engine.
 
-def _loans(draft: _Draft, drafts: list[_Draft], shortfalls: list[Shortfall]) -> tuple[Loan, ...]:
-    """For each cell and profile without an engine: of the cells that have some, in our region if any has, the
-    one with most for each that it serves."""
-    if draft.frozen is not None:
-        return draft.frozen.loans
-    loans, lent = [], Counter[int]()
+    That is, of the cells with engines for the profile, the one with the most for each cell that it serves. A
+    cell of another region lends only where none of our region can.
+    """
+    if draft.unchanged_part is not None:
+        return draft.unchanged_part.loans
+    loans, loan_counts = [], Counter[int]()
     for need in draft.rules.needs:
         lenders = [(1, d, cell) for d in drafts if d is not draft for cell in d.open]
         lenders = [(0, draft, cell) for cell in draft.open] + lenders
-        have = [(home, cell, d.having(cell, need)) for home, d, cell in lenders]
-        have = [row for row in have if row[2]]
-        if not have:
-            shortfalls.append(Shortfall(Lack.NOWHERE, draft.name, profile=need.profile))
+        candidates = [(is_remote, cell, d.count_engines_for(cell, need)) for is_remote, d, cell in lenders]
+        candidates = [row for row in candidates if row[2]]
+        if not candidates:
+            shortfalls.append(Shortfall(ShortfallReason.NO_ENGINE, draft.name, profile=need.profile))
             continue
         for cell in draft.cells:
-            if not draft.having(cell, need):
-                best = min(have, key=lambda row: (row[0], -row[2] / (1 + lent[row[1]]), row[1]))
-                lent[best[1]] += 1
+            if not draft.count_engines_for(cell, need):
+                best = min(candidates, key=lambda row: (row[0], -row[2] / (1 + loan_counts[row[1]]), row[1]))
+                loan_counts[best[1]] += 1
                 loans.append(Loan(cell, need.profile, best[1]))
-                shortfalls.append(Shortfall(Lack.LENT, draft.name, cell, need.profile))
+                shortfalls.append(Shortfall(ShortfallReason.BORROWS, draft.name, cell, need.profile))
     return tuple(sorted(loans, key=lambda loan: (loan.cell, loan.profile)))
 
 
 Stratum = tuple[str, str]  # zone and kind; kind "": routers
-Bounds = tuple[int, int]
+Bounds = tuple[int, int]  # minimum and maximum
 
 
-def _bounds(count: int, cells: int, slack: float) -> Bounds:
-    """The fewest and the most that each of so many cells may have of `count`."""
+def _bounds_around_mean(count: int, cells: int, deviation: float) -> Bounds:
+    """Bounds of one cell's number of members.
+
+    Args:
+        count: of the members of all cells.
+        cells: number of cells.
+        deviation: part by which a cell may differ from the mean. The whole numbers next to the mean are
+            always within bounds.
+    """
     mean = count / cells
-    most = max(math.ceil(mean), math.floor(mean * (1 + slack) + 1e-9))
-    return min(math.floor(mean), math.ceil(mean * (1 - slack) - 1e-9)), most
+    maximum = max(math.ceil(mean), math.floor(mean * (1 + deviation) + 1e-9))
+    return min(math.floor(mean), math.ceil(mean * (1 - deviation) - 1e-9)), maximum
 
 
-def _out(count: int, bounds: Bounds) -> int:
+def _distance(count: int, bounds: Bounds) -> int:
+    """By how much a number is out of its bounds."""
     return max(bounds[0] - count, count - bounds[1], 0)
 
 
 @dataclass(eq=False)
-class _Hold:
-    """What one cell has: members that are up, by stratum, and how many by kind."""
+class _CellContents:
+    """The members of one cell of a draft.
+
+    Attributes:
+        by_stratum: members that are up, by name.
+        by_kind: number of members that are up, by kind; "": routers.
+        engine_count: of engines that are up.
+        down_routers: names of routers that are down and keep their place.
+    """
 
     by_stratum: dict[Stratum, dict[str, Member]] = field(default_factory=dict)
     by_kind: Counter[str] = field(default_factory=Counter)
-    engines: int = 0
-    down: list[str] = field(default_factory=list)  # routers that are not there just now, and have their place
+    engine_count: int = 0
+    down_routers: list[str] = field(default_factory=list)
 
     def add(self, member: Member) -> None:
+        """Adds a member that is up."""
         kind = member.kind or ""
         self.by_stratum.setdefault((member.zone, kind), {})[member.name] = member
         self.by_kind[kind] += 1
-        self.engines += member.kind is not None
+        self.engine_count += member.kind is not None
 
     def remove(self, member: Member) -> None:
+        """Removes a member that is up."""
         kind = member.kind or ""
         del self.by_stratum[member.zone, kind][member.name]
         self.by_kind[kind] -= 1
-        self.engines -= member.kind is not None
+        self.engine_count -= member.kind is not None
 
     def count(self, stratum: Stratum) -> int:
+        """Number of members of a stratum that are up."""
         return len(self.by_stratum.get(stratum, ()))
 
-    def racks(self, routers: bool) -> Counter[str]:
+    def racks(self, of_routers: bool) -> Counter[str]:
+        """Number of routers, or of engines, that are up, by rack."""
         return Counter(
             member.rack
-            for (_, kind), there in self.by_stratum.items()
-            if (kind == "") == routers
-            for member in there.values()
+            for (_, kind), members in self.by_stratum.items()
+            if (kind == "") == of_routers
+            for member in members.values()
         )
 
 
-class _Draft:
-    """One region's part of the next plan."""
+class _RegionDraft:
+    """One region's part of the next plan, while it is made.
+
+    Args:
+        name: of the region.
+        plan: in force; None: there is none yet.
+        members: of the region.
+        rules: to keep to.
+        plan_number: of the next plan.
+        next_cell: the lowest number that no cell has had.
+
+    Attributes:
+        open: numbers of the cells that members may be placed in.
+        closing: numbers of the cells that give up their homes and then their members.
+        draining: numbers of the closing cells without homes, whose members move to open ones.
+        cells: numbers of all cells, in ascending order.
+        home_weights: by cell.
+        contents_by_cell: the members of each cell, as far as the draft has got.
+        old_cells: cells by the plan in force, by whether it is a router, and name.
+        pending_moves: the member, its old and its new cell, by the same key.
+        min_moves: as `Revision.must`, of this region.
+        unchanged_part: the part in force, where the region is left as it is; None: a new one is made.
+    """
 
     def __init__(
-        self, name: str, plan: Plan | None, members: list[Member], rules: Rules, number: int, fresh: int
+        self,
+        name: str,
+        plan: Plan | None,
+        members: list[Member],
+        rules: Rules,
+        plan_number: int,
+        next_cell: int,
     ) -> None:
-        self.name, self.members, self.rules, self.number, self.fresh = name, members, rules, number, fresh
+        self.name, self.members, self.rules, self.plan_number, self.next_cell = (
+            name,
+            members,
+            rules,
+            plan_number,
+            next_cell,
+        )
         self.shortfalls: list[Shortfall] = []
         self.moves: list[Move] = []
-        self.way: dict[tuple[bool, str], tuple[Member, int, int]] = {}  # who moves, from where and where to
-        self.must = 0
-        self.frozen: Part | None = None
-        old = plan.parts.get(name) if plan is not None else None
-        self.split, self.merged = (old.split, old.merged) if old is not None else (0, 0)
-        self.anew = old is None
-        self.up = [member for member in members if member.up]
-        if old is not None and plan is not None:
-            self.open = [cell.number for cell in old.cells if cell.open]
-            self.closing = [cell.number for cell in old.cells if not cell.open]
-            self.homes = dict(next(r.homes for r in plan.regions if r.name == name))
+        self.pending_moves: dict[tuple[bool, str], tuple[Member, int, int]] = {}
+        self.min_moves = 0
+        self.unchanged_part: Part | None = None
+        old_part = plan.parts.get(name) if plan is not None else None
+        self.last_split, self.last_merge = (
+            (old_part.last_split, old_part.last_merge) if old_part is not None else (0, 0)
+        )
+        self.is_new = old_part is None
+        self.up_members = [member for member in members if member.up]
+        if old_part is not None and plan is not None:
+            self.open = [cell.number for cell in old_part.cells if cell.open]
+            self.closing = [cell.number for cell in old_part.cells if not cell.open]
+            self.home_weights = dict(next(r.home_weights for r in plan.regions if r.name == name))
         else:
-            self.open, self.closing, self.homes = [], [], {}
-        # Who sees less than half of a region's routers has most likely lost the region, not the region them.
+            self.open, self.closing, self.home_weights = [], [], {}
+        # A planner that sees half of a region's routers or fewer is more likely cut off than the region gone.
         routers = [member for member in members if member.kind is None]
-        if old is not None and routers and 2 * sum(member.up for member in routers) <= len(routers):
-            self.frozen = old
-            self.shortfalls.append(Shortfall(Lack.MOST, name))
+        if old_part is not None and routers and 2 * sum(member.up for member in routers) <= len(routers):
+            self.unchanged_part = old_part
+            self.shortfalls.append(Shortfall(ShortfallReason.ROUTERS_DOWN, name))
         else:
-            self._count()
+            self._choose_cell_count()
         self.cells = sorted(self.open + self.closing)
-        self._place(plan)
-        if self.frozen is None:
-            self._spread_down()
-            self._bound()
-            self.must = self._least()
-            self._step()
-            self._ramp()
-            self._name_lacks()
-
-    # How many cells.
-
-    def _count(self) -> None:
-        rules, now = self.rules, len(self.open)
-        routers = sum(member.kind is None for member in self.members)  # also who is down, and comes back
+        self._place_members(plan)
+        if self.unchanged_part is None:
+            self._reassign_down_routers()
+            self._compute_bounds()
+            self.min_moves = self._count_min_moves()
+            self._plan_moves()
+            self._ramp_home_weights()
+            self._add_cell_shortfalls()
+
+    # Number of cells.
+
+    def _choose_cell_count(self) -> None:
+        """Opens cells, or decides how many begin to close, where their number is out of bounds."""
+        rules, present = self.rules, len(self.open)
+        routers = sum(
+            member.kind is None for member in self.members
+        )  # also those that are down and will return
         engines = len(self.members) - routers
 
-        def cells(fill: float) -> int:
+        def cells_needed(fill: float) -> int:
+            """The number of cells with which the mean cell is no fuller than that part of its maximum."""
             return max(
                 math.ceil(routers / (rules.routers * fill)), math.ceil(engines / (rules.engines * fill)), 1
             )
 
-        least, most = cells(TIGHT), max(routers // rules.least, 1)
-        if least > most:  # a cell bears no more than it bears: few routers are the lesser harm
-            self.shortfalls.append(Shortfall(Lack.BOUNDS, self.name))
-            most = least
-        if least <= now <= most:
+        minimum, maximum = cells_needed(MAX_FILL), max(routers // rules.least, 1)
+        if minimum > maximum:
+            # Cells with few routers do less harm than cells above their maximum.
+            self.shortfalls.append(Shortfall(ShortfallReason.TOO_FEW_ROUTERS, self.name))
+            maximum = minimum
+        if minimum <= present <= maximum:
             return
-        aim = max(min(cells(FILL), most), least)
-        # With fewer cells than engines that a profile may use, none has to be lent to.
-        found = [sum(need.met_by(m.zone, m.kind or "") for m in self.up if m.kind) for need in rules.needs]
-        aim = max(min([aim, *[count for count in found if count]]), least)
-        if now == 0:
-            self._open(aim)
-        elif aim > now:
-            if self.merged and self.number - self.merged < rules.rest:
-                self.shortfalls.append(Shortfall(Lack.RESTS, self.name))
+        target = max(min(cells_needed(TARGET_FILL), maximum), minimum)
+        # With no more cells than engines that a profile may use, no cell has to borrow for it.
+        usable = [
+            sum(need.is_met_by(m.zone, m.kind or "") for m in self.up_members if m.kind)
+            for need in rules.needs
+        ]
+        target = max(min([target, *[count for count in usable if count]]), minimum)
+        if present == 0:
+            self._open_cells(target)
+        elif target > present:
+            if self.last_merge and self.plan_number - self.last_merge < rules.rest:
+                self.shortfalls.append(Shortfall(ShortfallReason.RECENTLY_RESIZED, self.name))
                 return
-            self.split = self.number
-            self._open(aim - now)
-        elif aim < now:
-            if self.split and self.number - self.split < rules.rest:
-                self.shortfalls.append(Shortfall(Lack.RESTS, self.name))
+            self.last_split = self.plan_number
+            self._open_cells(target - present)
+        elif target < present:
+            if self.last_split and self.plan_number - self.last_split < rules.rest:
+                self.shortfalls.append(Shortfall(ShortfallReason.RECENTLY_RESIZED, self.name))
                 return
-            self.merged = self.number
-            self.shrink = now - aim
+            self.last_merge = self.plan_number
+            self.closing_count = present - target
 
-    def _open(self, count: int) -> None:
-        self.open += range(self.fresh, self.fresh + count)
-        self.fresh += count
+    def _open_cells(self, count: int) -> None:
+        self.open += range(self.next_cell, self.next_cell + count)
+        self.next_cell += count
 
-    shrink = 0  # cells that begin to close
+    closing_count = 0  # cells that begin to close by this plan
 
-    # Who is where.
+    # The present cells of the members.
 
-    def _place(self, plan: Plan | None) -> None:
-        self.holds = {cell: _Hold() for cell in self.cells}
-        self.was: dict[tuple[bool, str], int] = {}  # by whether it is a router, and name
+    def _place_members(self, plan: Plan | None) -> None:
+        """Places all members by the plan in force, and unknown ones by the hash; chooses cells to close."""
+        self.contents_by_cell = {cell: _CellContents() for cell in self.cells}
+        self.old_cells: dict[tuple[bool, str], int] = {}
         for member in self.members:
             try:
                 cell = plan.cell_of(member.name, member.zone, member.kind) if plan is not None else -1
             except PlanError:
                 cell = -1
-            known = cell in self.holds
-            if not known:
+            is_known = cell in self.contents_by_cell
+            if not is_known:
                 prefix = "r:" if member.kind is None else "e:"
-                cell = rendezvous(prefix + member.name, self.open, [1] * len(self.open))[0]
+                cell = rendezvous_hash(prefix + member.name, self.open, [1] * len(self.open))[0]
             if member.up:
-                self.holds[cell].add(member)
-                if known:
-                    self.was[member.kind is None, member.name] = cell
+                self.contents_by_cell[cell].add(member)
+                if is_known:
+                    self.old_cells[member.kind is None, member.name] = cell
             else:
-                self.was[member.kind is None, member.name] = cell
+                self.old_cells[member.kind is None, member.name] = cell
                 if member.kind is None:
-                    self.holds[cell].down.append(member.name)
-        if self.shrink:
-            by_size = sorted(self.open, key=lambda cell: (self.holds[cell].by_kind[""], -cell))
-            self.closing += by_size[: self.shrink]
-            self.open = by_size[self.shrink :]
+                    self.contents_by_cell[cell].down_routers.append(member.name)
+        if self.closing_count:
+            by_size = sorted(self.open, key=lambda cell: (self.contents_by_cell[cell].by_kind[""], -cell))
+            self.closing += by_size[: self.closing_count]
+            self.open = by_size[self.closing_count :]
         self.open.sort()
 
-    def _spread_down(self) -> None:
-        """Routers that are not there have another place on their return where they would be most of their
-        cell, or more than it bears; nobody moves for that now."""
-        draining = {cell for cell in self.closing if not self.homes.get(cell)}
-        mean = math.ceil(sum(hold.by_kind[""] for hold in self.holds.values()) / len(self.open))
+    def _reassign_down_routers(self) -> None:
+        """Assigns routers that are down to other cells where too many of one cell are.
 
-        def full(hold: _Hold, more: int) -> bool:
-            """With so many more that are not there, and as many that are as it will have."""
-            return max(hold.by_kind[""], mean) + len(hold.down) + more > self.rules.routers
+        That is, where they would be most of the cell's routers, or more than it may have. No router that is
+        up moves for that now.
+        """
+        draining = {cell for cell in self.closing if not self.home_weights.get(cell)}
+        mean = math.ceil(
+            sum(contents.by_kind[""] for contents in self.contents_by_cell.values()) / len(self.open)
+        )
+
+        def is_full(contents: _CellContents, more_down: int) -> bool:
+            """Whether a cell exceeds its maximum with so many more routers that are down.
+
+            The cell's routers that are up count as no fewer than the mean, which it will have.
+            """
+            return (
+                max(contents.by_kind[""], mean) + len(contents.down_routers) + more_down > self.rules.routers
+            )
 
         for cell in self.cells:
-            hold = self.holds[cell]
-            for name in sorted(hold.down):
-                if cell not in draining and not full(hold, 0) and len(hold.down) < hold.by_kind[""]:
+            contents = self.contents_by_cell[cell]
+            for name in sorted(contents.down_routers):
+                if (
+                    cell not in draining
+                    and not is_full(contents, 0)
+                    and len(contents.down_routers) < contents.by_kind[""]
+                ):
                     break
-                others = [c for c in self.open if c != cell and not full(self.holds[c], 1)]
-                sizes = [(len(self.holds[c].down), -self.holds[c].by_kind[""], c) for c in others]
-                down, up, other = min(sizes, default=(0, 0, -1))
-                if other < 0 or (cell not in draining and down + 1 >= -up):
+                others = [c for c in self.open if c != cell and not is_full(self.contents_by_cell[c], 1)]
+                sizes = [
+                    (len(self.contents_by_cell[c].down_routers), -self.contents_by_cell[c].by_kind[""], c)
+                    for c in others
+                ]
+                down_count, negative_up_count, other = min(sizes, default=(0, 0, -1))
+                if other < 0 or (cell not in draining and down_count + 1 >= -negative_up_count):
                     break
-                hold.down.remove(name)
-                self.holds[other].down.append(name)
-                self.was[True, name] = other
-                self.displaced = True
-
-    displaced = False  # whether one that is not there has another place by this plan
-
-    # What each cell should have.
-
-    def _bound(self) -> None:
-        slack = 0.0 if self.anew else 1.0
-        # What is in a cell whose homes are still leaving stays there until they have left.
-        self.draining = [cell for cell in self.closing if not self.homes.get(cell)]
-        self.movable = [self.holds[cell] for cell in (*self.open, *self.draining)]
-        strata = sorted({stratum for hold in self.movable for stratum in hold.by_stratum})
-        self.strata = [s for s in strata if any(hold.count(s) for hold in self.movable)]
+                contents.down_routers.remove(name)
+                self.contents_by_cell[other].down_routers.append(name)
+                self.old_cells[True, name] = other
+                self.has_reassigned_down_routers = True
+
+    has_reassigned_down_routers = False  # by this plan
+
+    # Bounds of each cell.
+
+    def _compute_bounds(self) -> None:
+        deviation_scale = 0.0 if self.is_new else 1.0
+        # Members of a cell that closes stay in it until its home weight is 0.
+        self.draining = [cell for cell in self.closing if not self.home_weights.get(cell)]
+        self.movable = [self.contents_by_cell[cell] for cell in (*self.open, *self.draining)]
+        strata = sorted({stratum for contents in self.movable for stratum in contents.by_stratum})
+        self.strata = [s for s in strata if any(contents.count(s) for contents in self.movable)]
         self.kinds = sorted({kind for _, kind in self.strata})
-        self.kind_bounds, self.stratum_bounds = self._wanted(self.movable, slack)
+        self.kind_bounds, self.stratum_bounds = self._balance_bounds(self.movable, deviation_scale)
 
-    def _wanted(
-        self, holds: Sequence[_Hold], slack: float
+    def _balance_bounds(
+        self, all_contents: Sequence[_CellContents], deviation_scale: float
     ) -> tuple[dict[str, Bounds], dict[Stratum, Bounds]]:
+        """Bounds of an open cell's number of members, by kind and by stratum.
+
+        Args:
+            all_contents: of cells whose members are to be in the open cells.
+            deviation_scale: factor of the deviations from the mean that are allowed.
+        """
         cells, kinds, strata = len(self.open), Counter[str](), Counter[Stratum]()
-        for hold in holds:
-            kinds.update(hold.by_kind)
-            strata.update({stratum: len(there) for stratum, there in hold.by_stratum.items()})
-        by_kind = {kind: _bounds(count, cells, slack * BALANCE) for kind, count in kinds.items()}
-        by_stratum = {stratum: _bounds(count, cells, slack * SPREAD) for stratum, count in strata.items()}
+        for contents in all_contents:
+            kinds.update(contents.by_kind)
+            strata.update({stratum: len(members) for stratum, members in contents.by_stratum.items()})
+        by_kind = {
+            kind: _bounds_around_mean(count, cells, deviation_scale * BALANCE)
+            for kind, count in kinds.items()
+        }
+        by_stratum = {
+            stratum: _bounds_around_mean(count, cells, deviation_scale * MAX_STRATUM_DEVIATION)
+            for stratum, count in strata.items()
+        }
         return by_kind, by_stratum
 
-    def _wanted_of(self, hold: _Hold, kind: str) -> Bounds:
-        """Routers also enough that most of the cell's are there, and no more than have a place when all are
-        back: bases are divided by the places."""
+    def _kind_bounds_in(self, contents: _CellContents, kind: str) -> Bounds:
+        """Bounds of one cell's number of members of a kind that are up.
+
+        Routers that are up also have to be a majority of the cell's, and with those that are down no more
+        than its maximum when all have returned, since guaranteed quotas are divided by that.
+        """
         low, high = self.kind_bounds[kind]
         if kind:
             return low, high
-        most, majority = max(self.rules.routers - len(hold.down), 0), len(hold.down) + 1
-        return min(max(low, majority), most), min(max(high, majority), most)
+        maximum, majority = (
+            max(self.rules.routers - len(contents.down_routers), 0),
+            len(contents.down_routers) + 1,
+        )
+        return min(max(low, majority), maximum), min(max(high, majority), maximum)
 
-    def having(self, cell: int, need: Need) -> int:
-        return self._having(self.holds[cell], need)
+    def count_engines_for(self, cell: int, need: Need) -> int:
+        """Number of engines in a cell that a profile may use."""
+        return self._count_engines_in(self.contents_by_cell[cell], need)
 
-    def _having(self, hold: _Hold, need: Need) -> int:
+    def _count_engines_in(self, contents: _CellContents, need: Need) -> int:
         return sum(
-            len(there) for (zone, kind), there in hold.by_stratum.items() if kind and need.met_by(zone, kind)
+            len(members)
+            for (zone, kind), members in contents.by_stratum.items()
+            if kind and need.is_met_by(zone, kind)
+        )
+
+    def _count_min_moves(self) -> int:
+        """A lower bound of the moves that keep all bounds.
+
+        Each move takes one member of one stratum out of one cell and into another.
+        """
+        kinds, strata = self._balance_bounds(
+            list(self.contents_by_cell.values()), 0.0 if self.is_new else 1.0
+        )
+        open_, closing = (
+            [self.contents_by_cell[c] for c in self.open],
+            [self.contents_by_cell[c] for c in self.closing],
         )
 
-    def _least(self) -> int:
-        """A lower bound on what must move: each move takes one member of one stratum out of one cell and into
-        another."""
-        kinds, strata = self._wanted(list(self.holds.values()), 0.0 if self.anew else 1.0)
-        open_, closing = [self.holds[c] for c in self.open], [self.holds[c] for c in self.closing]
+        def min_moves_for(bounds: Bounds, count: Callable[[_CellContents], int]) -> int:
+            """The larger of what has to leave cells and what has to come to open ones.
 
-        def least(bounds: Bounds, count: Callable[[_Hold], int]) -> int:
-            over = sum(max(count(h) - bounds[1], 0) for h in open_) + sum(count(h) for h in closing)
-            return max(over, sum(max(bounds[0] - count(h), 0) for h in open_))
+            All members of closing cells have to leave.
+            """
+            excess = sum(max(count(contents) - bounds[1], 0) for contents in open_) + sum(
+                count(contents) for contents in closing
+            )
+            return max(excess, sum(max(bounds[0] - count(contents), 0) for contents in open_))
 
-        by_kind = {kind: least(b, lambda h, kind=kind: h.by_kind[kind]) for kind, b in kinds.items()}  # type: ignore[misc]
+        by_kind = {
+            kind: min_moves_for(b, lambda contents, kind=kind: contents.by_kind[kind])  # type: ignore[misc]
+            for kind, b in kinds.items()
+        }
         by_stratum = Counter[str]()
         for stratum, bounds in strata.items():
-            by_stratum[stratum[1]] += least(bounds, lambda h, s=stratum: h.count(s))  # type: ignore[misc]
-        wanted = [(self._wanted_of(h, ""), h.by_kind[""]) for h in open_] if "" in self.kind_bounds else []
-        for_most = sum(max(low - count, 0) for (low, _), count in wanted)
-        routers = max(by_kind.pop("", 0), by_stratum[""], for_most)
-        lacking, crowded = 0, sum(max(h.engines - self.rules.engines, 0) for h in open_)
+            by_stratum[stratum[1]] += min_moves_for(bounds, lambda contents, s=stratum: contents.count(s))  # type: ignore[misc]
+        router_counts = (
+            [(self._kind_bounds_in(contents, ""), contents.by_kind[""]) for contents in open_]
+            if "" in self.kind_bounds
+            else []
+        )
+        for_majority = sum(max(low - count, 0) for (low, _), count in router_counts)
+        routers = max(by_kind.pop("", 0), by_stratum[""], for_majority)
+        missing, excess_engines = (
+            0,
+            sum(max(contents.engine_count - self.rules.engines, 0) for contents in open_),
+        )
         for need in self.rules.needs:
-            found = [self._having(hold, need) for hold in open_]
-            spare = sum(self._having(hold, need) for hold in closing) + sum(max(n - 1, 0) for n in found)
-            lacking = max(lacking, min(found.count(0), spare))
+            usable = [self._count_engines_in(contents, need) for contents in open_]
+            spare = sum(self._count_engines_in(contents, need) for contents in closing) + sum(
+                max(n - 1, 0) for n in usable
+            )
+            missing = max(missing, min(usable.count(0), spare))
         engines = sum(max(count, by_stratum[kind]) for kind, count in by_kind.items())
-        return routers + max(engines, lacking, crowded)
+        return routers + max(engines, missing, excess_engines)
 
-    # What moves in this plan.
+    # The moves of this plan.
 
-    def _step(self) -> None:
-        """The whole way is worked out, and as much of it gone as a step allows: what is moved twice on the
-        way moves once, and what the way leads back to not at all."""
-        routers = sum(member.kind is None for member in self.up)
-        for of_routers, count in ((True, routers), (False, len(self.up) - routers)):
+    def _plan_moves(self) -> None:
+        """Chooses the moves of this plan.
+
+        All moves up to balance are worked out, and as many of them are made as a step allows. So a member
+        that would move twice on the way moves once, and one that would come back does not move.
+        """
+        routers = sum(member.kind is None for member in self.up_members)
+        for of_routers, count in ((True, routers), (False, len(self.up_members) - routers)):
             strata = [s for s in self.strata if (s[1] == "") == of_routers]
             gains: dict[tuple[int, Stratum | None, Stratum | None], int] = {}
             while True:
@@ -499,97 +718,142 @@
                 swap = self._best_swap(strata, gains)
                 if swap is None:
                     break
-                one, other, there, back = swap
-                self._move(there, one, other, gains)
-                self._move(back, other, one, gains)
+                one, other, given, taken = swap
+                self._move(given, one, other, gains)
+                self._move(taken, other, one, gains)
             self._spread_racks(strata, of_routers)
-            most = max(math.floor(self.rules.step * count), 2)
-            for key in [key for key in self.way if key[0] == of_routers][most:]:
-                member, old, new = self.way.pop(key)
-                self.holds[new].remove(member)
-                self.holds[old].add(member)
-        self.moves = [Move(m.name, m.kind, old, new) for m, old, new in self.way.values()]
+            max_moves = max(math.floor(self.rules.step * count), 2)
+            for key in [key for key in self.pending_moves if key[0] == of_routers][max_moves:]:
+                member, old_cell, new_cell = self.pending_moves.pop(key)
+                self.contents_by_cell[new_cell].remove(member)
+                self.contents_by_cell[old_cell].add(member)
+        self.moves = [
+            Move(m.name, m.kind, old_cell, new_cell) for m, old_cell, new_cell in self.pending_moves.values()
+        ]
+
+    def _violation(self, cell: int, removed: Stratum | None, added: Stratum | None, of_routers: bool) -> int:
+        """By how much a cell violates its bounds, after a change of one member.
 
-    def _harm(self, cell: int, less: Stratum | None, more: Stratum | None, routers: bool) -> int:
-        """By how much a cell is out of its bounds, with one of a stratum less and one of another more."""
-        hold = self.holds[cell]
+        Args:
+            cell: that is changed.
+            removed: stratum of a member that it loses; None: it loses none.
+            added: stratum of a member that it gains; None: it gains none.
+            of_routers: whether bounds of routers or of engines count.
+        """
+        contents = self.contents_by_cell[cell]
 
-        def changed(stratum: Stratum) -> int:
-            return (stratum == more) - (stratum == less)
+        def change_of(stratum: Stratum) -> int:
+            return (stratum == added) - (stratum == removed)
 
         if cell in self.draining:
-            return sum(hold.count(s) + changed(s) for s in self.strata if (s[1] == "") == routers)
-        harm = 0
+            return sum(contents.count(s) + change_of(s) for s in self.strata if (s[1] == "") == of_routers)
+        violation = 0
         for kind in self.kinds:
-            if (kind == "") == routers:
-                change = (more is not None and more[1] == kind) - (less is not None and less[1] == kind)
-                harm += _out(hold.by_kind[kind] + change, self._wanted_of(hold, kind))
+            if (kind == "") == of_routers:
+                change = (added is not None and added[1] == kind) - (
+                    removed is not None and removed[1] == kind
+                )
+                violation += _distance(contents.by_kind[kind] + change, self._kind_bounds_in(contents, kind))
         for stratum in self.strata:
-            if (stratum[1] == "") == routers:
-                harm += _out(hold.count(stratum) + changed(stratum), self.stratum_bounds[stratum])
-        if not routers:
-            harm += max(hold.engines + (more is not None) - (less is not None) - self.rules.engines, 0)
+            if (stratum[1] == "") == of_routers:
+                violation += _distance(
+                    contents.count(stratum) + change_of(stratum), self.stratum_bounds[stratum]
+                )
+        if not of_routers:
+            violation += max(
+                contents.engine_count + (added is not None) - (removed is not None) - self.rules.engines, 0
+            )
             for need in self.rules.needs:
-                found = self._having(hold, need)
-                found += more is not None and need.met_by(*more)
-                found -= less is not None and need.met_by(*less)
-                harm += NEEDED * (found <= 0)
-        return harm
+                usable = self._count_engines_in(contents, need)
+                usable += added is not None and need.is_met_by(*added)
+                usable -= removed is not None and need.is_met_by(*removed)
+                violation += MISSING_ENGINE_PENALTY * (usable <= 0)
+        return violation
 
     def _gain(
         self,
         cell: int,
-        less: Stratum | None,
-        more: Stratum | None,
+        removed: Stratum | None,
+        added: Stratum | None,
         gains: dict[tuple[int, Stratum | None, Stratum | None], int],
     ) -> int:
-        key = (cell, less, more)
+        """By how much a change of one member lowers a cell's violation of its bounds.
+
+        Args:
+            cell: as for `_violation`.
+            removed: as for `_violation`.
+            added: as for `_violation`.
+            gains: cache of earlier results.
+        """
+        key = (cell, removed, added)
         if key not in gains:
-            stratum = less or more
+            stratum = removed or added
             assert stratum is not None
-            routers = stratum[1] == ""
-            gains[key] = self._harm(cell, None, None, routers) - self._harm(cell, less, more, routers)
+            of_routers = stratum[1] == ""
+            gains[key] = self._violation(cell, None, None, of_routers) - self._violation(
+                cell, removed, added, of_routers
+            )
         return gains[key]
 
     def _best_move(
         self, strata: list[Stratum], gains: dict[tuple[int, Stratum | None, Stratum | None], int]
     ) -> tuple[Stratum, int, int] | None:
-        """The one that mends most; of equals, from the fullest to the emptiest."""
+        """The move with the largest gain and, of equal ones, from the fullest to the emptiest cell.
+
+        Returns:
+            The stratum, the cell that gives a member and the one that takes it; None where no move gains.
+        """
         best: tuple[int, int, Stratum, int, int] | None = None
         for s in strata:
-            givers = [cell for cell in (*self.draining, *self.open) if self.holds[cell].count(s)]
+            givers = [cell for cell in (*self.draining, *self.open) if self.contents_by_cell[cell].count(s)]
             if not givers or not self.open:
                 continue
-            count = {cell: (self.holds[cell].by_kind[s[1]], self.holds[cell].count(s)) for cell in self.holds}
-            giver = max(givers, key=lambda c: (self._gain(c, s, None, gains), *count[c], -c))
+            counts = {
+                cell: (self.contents_by_cell[cell].by_kind[s[1]], self.contents_by_cell[cell].count(s))
+                for cell in self.contents_by_cell
+            }
+            giver = max(givers, key=lambda c: (self._gain(c, s, None, gains), *counts[c], -c))
             taker = max(
                 (cell for cell in self.open if cell != giver),
-                key=lambda c: (self._gain(c, None, s, gains), -count[c][0], -count[c][1], -c),
+                key=lambda c: (self._gain(c, None, s, gains), -counts[c][0], -counts[c][1], -c),
                 default=-1,
             )
             if taker < 0:
                 continue
-            mended = self._gain(giver, s, None, gains) + self._gain(taker, None, s, gains)
-            row = (mended, count[giver][0] - count[taker][0], s, giver, taker)
-            if mended > 0 and (best is None or row[:2] > best[:2]):
+            gain = self._gain(giver, s, None, gains) + self._gain(taker, None, s, gains)
+            row = (gain, counts[giver][0] - counts[taker][0], s, giver, taker)
+            if gain > 0 and (best is None or row[:2] > best[:2]):
                 best = row
         return best[2:] if best is not None else None
 
     def _best_swap(
         self, strata: list[Stratum], gains: dict[tuple[int, Stratum | None, Stratum | None], int]
     ) -> tuple[int, int, Stratum, Stratum] | None:
-        """Two cells, the stratum of which the first gives one, and that of which it takes one."""
+        """The exchange of two members with the largest gain.
+
+        Returns:
+            Two cells, the stratum of which the first gives a member, and that of which it takes one; None
+            where no exchange gains.
+        """
         best: tuple[int, int, int, Stratum, Stratum] | None = None
         for s in strata:
             for t in strata:
                 if s == t:
                     continue
-                gives = [(self._gain(c, s, t, gains), -c) for c in self.open if self.holds[c].count(s)]
-                takes = [(self._gain(c, t, s, gains), -c) for c in self.open if self.holds[c].count(t)]
-                for mended, one in sorted(gives, reverse=True)[:2]:
-                    for back, other in sorted(takes, reverse=True)[:2]:
-                        if one != other and mended + back > 0 and (best is None or mended + back > best[0]):
-                            best = (mended + back, -one, -other, s, t)
+                gives = [
+                    (self._gain(c, s, t, gains), -c) for c in self.open if self.contents_by_cell[c].count(s)
+                ]
+                takes = [
+                    (self._gain(c, t, s, gains), -c) for c in self.open if self.contents_by_cell[c].count(t)
+                ]
+                for gain, negative_cell in sorted(gives, reverse=True)[:2]:
+                    for other_gain, negative_other in sorted(takes, reverse=True)[:2]:
+                        if (
+                            negative_cell != negative_other
+                            and gain + other_gain > 0
+                            and (best is None or gain + other_gain > best[0])
+                        ):
+                            best = (gain + other_gain, -negative_cell, -negative_other, s, t)
         return best[1:] if best is not None else None
 
     def _move(
@@ -599,142 +863,192 @@
         taker: int,
         gains: dict[tuple[int, Stratum | None, Stratum | None], int],
     ) -> None:
-        """Of that stratum, one of the rack of which the giver has most and the taker fewest."""
-        routers = stratum[1] == ""
-        here, there = self.holds[giver].racks(routers), self.holds[taker].racks(routers)
+        """Moves a member of a stratum and forgets the gains of both cells.
+
+        Members that already move come first, then those of the rack of which the giver has the most beyond
+        what the taker has.
+        """
+        of_routers = stratum[1] == ""
+        giver_racks, taker_racks = (
+            self.contents_by_cell[giver].racks(of_routers),
+            self.contents_by_cell[taker].racks(of_routers),
+        )
         member = min(
-            self.holds[giver].by_stratum[stratum].values(),
-            key=lambda m: ((m.kind is None, m.name) not in self.way, there[m.rack] - here[m.rack], m.name),
+            self.contents_by_cell[giver].by_stratum[stratum].values(),
+            key=lambda m: (
+                (m.kind is None, m.name) not in self.pending_moves,
+                taker_racks[m.rack] - giver_racks[m.rack],
+                m.name,
+            ),
         )
-        self._carry(member, giver, taker)
+        self._transfer(member, giver, taker)
         for key in [key for key in gains if key[0] in (giver, taker)]:
             del gains[key]
 
-    def _carry(self, member: Member, giver: int, taker: int) -> None:
-        self.holds[giver].remove(member)
-        self.holds[taker].add(member)
+    def _transfer(self, member: Member, giver: int, taker: int) -> None:
+        """Moves a member and records that, unless it is new or back in its old cell."""
+        self.contents_by_cell[giver].remove(member)
+        self.contents_by_cell[taker].add(member)
         key = member.kind is None, member.name
-        if key not in self.was:
-            return  # no plan had it: it is placed, not moved
-        if self.was[key] == taker:
-            self.way.pop(key, None)
+        if key not in self.old_cells:
+            return  # in no cell by the plan in force: it is placed, not moved
+        if self.old_cells[key] == taker:
+            self.pending_moves.pop(key, None)
         else:
-            self.way[key] = member, self.was[key], taker
+            self.pending_moves[key] = member, self.old_cells[key], taker
+
+    def _spread_racks(self, strata: list[Stratum], of_routers: bool) -> None:
+        """Exchanges members until no rack has most of a cell's routers, or of its engines.
 
-    def _spread_racks(self, strata: list[Stratum], routers: bool) -> None:
-        """No rack has most of a cell's routers, or of its engines, where others have some to change for."""
+        A cell stays as it is where no other has a member to exchange.
+        """
         for cell in self.open:
             while True:
-                racks = self.holds[cell].racks(routers)
-                full = max(racks, key=lambda rack: (racks[rack], rack), default="")
-                if racks.total() < 3 or 2 * racks[full] <= racks.total():
+                racks = self.contents_by_cell[cell].racks(of_routers)
+                fullest = max(racks, key=lambda rack: (racks[rack], rack), default="")
+                if racks.total() < 3 or 2 * racks[fullest] <= racks.total():
                     break
-                swap = self._rack_swap(cell, full, strata, routers)
+                swap = self._rack_swap(cell, fullest, strata, of_routers)
                 if swap is None:
                     break
-                ours, other, theirs = swap
-                self._carry(ours, cell, other)
-                self._carry(theirs, other, cell)
+                own_member, other, other_member = swap
+                self._transfer(own_member, cell, other)
+                self._transfer(other_member, other, cell)
 
     def _rack_swap(
-        self, cell: int, full: str, strata: list[Stratum], routers: bool
+        self, cell: int, rack: str, strata: list[Stratum], of_routers: bool
     ) -> tuple[Member, int, Member] | None:
+        """Finds an exchange that takes a member of a rack out of a cell.
+
+        Returns:
+            That member, the other cell and the member in exchange; None where there is no such exchange.
+        """
         for other in self.open:
-            there = self.holds[other].racks(routers)
-            if other == cell or 2 * (there[full] + 1) > there.total():
+            other_racks = self.contents_by_cell[other].racks(of_routers)
+            if other == cell or 2 * (other_racks[rack] + 1) > other_racks.total():
                 continue
             for stratum in strata:
-                ours = [m for m in self.holds[cell].by_stratum.get(stratum, {}).values() if m.rack == full]
-                theirs = [m for m in self.holds[other].by_stratum.get(stratum, {}).values() if m.rack != full]
-                if ours and theirs:
-                    return min(ours, key=lambda m: m.name), other, min(theirs, key=lambda m: m.name)
+                own_members = [
+                    m
+                    for m in self.contents_by_cell[cell].by_stratum.get(stratum, {}).values()
+                    if m.rack == rack
+                ]
+                other_members = [
+                    m
+                    for m in self.contents_by_cell[other].by_stratum.get(stratum, {}).values()
+                    if m.rack != rack
+                ]
+                if own_members and other_members:
+                    return (
+                        min(own_members, key=lambda m: m.name),
+                        other,
+                        min(other_members, key=lambda m: m.name),
+                    )
         return None
 
-    # Homes, and what is said.
+    # Home weights and shortfalls.
+
+    def _ramp_home_weights(self) -> None:
+        """Raises the home weight of cells that open and lowers that of cells that close, by steps.
 
-    def _ramp(self) -> None:
-        """A cell that is whole takes homes, and one that closes gives them up, a part in each plan."""
-        if self.anew:
-            self.homes = dict.fromkeys(self.open, FULL)
+        A cell that opens takes homes once it has enough members. One that closes is removed once it has
+        neither homes nor members.
+        """
+        if self.is_new:
+            self.home_weights = dict.fromkeys(self.open, FULL_HOME_WEIGHT)
             return
-        left = max(math.floor(self.rules.step * FULL * len(self.cells)), 1)
+        remaining = max(math.floor(self.rules.step * FULL_HOME_WEIGHT * len(self.cells)), 1)
         for cell in self.open:
-            weight = self.homes.setdefault(cell, 0)
-            if weight < FULL and left and self._whole(cell):
-                self.homes[cell] = weight + 1
-                left -= 1
+            weight = self.home_weights.setdefault(cell, 0)
+            if weight < FULL_HOME_WEIGHT and remaining and self._has_enough_members(cell):
+                self.home_weights[cell] = weight + 1
+                remaining -= 1
         for cell in sorted(self.closing):
-            others = any(weight for number, weight in self.homes.items() if number != cell)
-            if self.homes[cell] and left and others:
-                self.homes[cell] -= 1
-                left -= 1
-        for cell in [c for c in self.draining if not self.holds[c].by_kind.total()]:
+            has_others = any(weight for number, weight in self.home_weights.items() if number != cell)
+            if self.home_weights[cell] and remaining and has_others:
+                self.home_weights[cell] -= 1
+                remaining -= 1
+        for cell in [c for c in self.draining if not self.contents_by_cell[c].by_kind.total()]:
             self.closing.remove(cell)
             self.cells.remove(cell)
-            del self.homes[cell]
+            del self.home_weights[cell]
 
-    def _whole(self, cell: int) -> bool:
-        hold = self.holds[cell]
-        return all(hold.by_kind[kind] >= low for kind, (low, _) in self.kind_bounds.items())
+    def _has_enough_members(self, cell: int) -> bool:
+        contents = self.contents_by_cell[cell]
+        return all(contents.by_kind[kind] >= low for kind, (low, _) in self.kind_bounds.items())
 
-    def _name_lacks(self) -> None:
+    def _add_cell_shortfalls(self) -> None:
         for cell in self.open:
-            hold = self.holds[cell]
-            if hold.down and hold.by_kind[""] <= len(hold.down):
-                self.shortfalls.append(Shortfall(Lack.MAJORITY, self.name, cell))
-            if hold.by_kind[""] + len(hold.down) > self.rules.routers or hold.engines > self.rules.engines:
-                self.shortfalls.append(Shortfall(Lack.FULL, self.name, cell))
+            contents = self.contents_by_cell[cell]
+            if contents.down_routers and contents.by_kind[""] <= len(contents.down_routers):
+                self.shortfalls.append(Shortfall(ShortfallReason.NO_MAJORITY, self.name, cell))
+            if (
+                contents.by_kind[""] + len(contents.down_routers) > self.rules.routers
+                or contents.engine_count > self.rules.engines
+            ):
+                self.shortfalls.append(Shortfall(ShortfallReason.OVERFULL, self.name, cell))
 
     # The part.
 
-    def part(self, loans: tuple[Loan, ...]) -> Part:
-        if self.frozen is not None:
-            return self.frozen
-        rules, at = self.rules, {cell: i for i, cell in enumerate(self.cells)}
-        where = dict(self.was)
-        for cell, hold in self.holds.items():
-            for there in hold.by_stratum.values():
-                where.update({(member.kind is None, member.name): cell for member in there.values()})
+    def build_part(self, loans: tuple[Loan, ...]) -> Part:
+        """Makes the region's part of the plan.
+
+        Weights of each stratum lead unknown names to cells that are not full. Members whose cell is not the
+        one by the hash become exceptions, and so do those for which two cells come close.
+        """
+        if self.unchanged_part is not None:
+            return self.unchanged_part
+        rules, cell_index = self.rules, {cell: i for i, cell in enumerate(self.cells)}
+        cell_by_member = dict(self.old_cells)
+        for cell, contents in self.contents_by_cell.items():
+            for members in contents.by_stratum.values():
+                cell_by_member.update(
+                    {(member.kind is None, member.name): cell for member in members.values()}
+                )
         strata: dict[Stratum, tuple[int, ...]] = {}
         for stratum in sorted({(member.zone, member.kind or "") for member in self.members}):
-            routers = stratum[1] == ""
-            most = rules.routers if routers else rules.engines
+            of_routers = stratum[1] == ""
+            maximum = rules.routers if of_routers else rules.engines
             sizes = [
-                self.holds[cell].by_kind[""] + len(self.holds[cell].down)
-                if routers
-                else self.holds[cell].engines
+                self.contents_by_cell[cell].by_kind[""] + len(self.contents_by_cell[cell].down_routers)
+                if of_routers
+                else self.contents_by_cell[cell].engine_count
                 for cell in self.open
             ]
             mean = sum(sizes) / len(sizes)
             weights = [0] * len(self.cells)
             for cell, size in zip(self.open, sizes, strict=True):
-                weights[at[cell]] = 0 if size >= most else LOW if size > math.ceil(mean) else MIDDLE
+                weights[cell_index[cell]] = (
+                    0 if size >= maximum else ABOVE_MEAN_WEIGHT if size > math.ceil(mean) else DEFAULT_WEIGHT
+                )
             if not any(weights):
                 weights = [int(cell in self.open) for cell in self.cells]
             strata[stratum] = tuple(weights)
-        apart: tuple[dict[str, int], dict[str, int]] = ({}, {})
+        exceptions: tuple[dict[str, int], dict[str, int]] = ({}, {})  # routers, engines
         zones: dict[int, set[str]] = {cell: set() for cell in self.cells}
         for member in self.members:
-            cell = where[member.kind is None, member.name]
-            if cell not in at:
-                continue  # it is not there, and neither is its cell: by the hash from now on
+            cell = cell_by_member[member.kind is None, member.name]
+            if cell not in cell_index:
+                continue  # it is down and its cell was removed: when it returns, the hash places it
             weights = list(strata[member.zone, member.kind or ""])
             prefix = "r:" if member.kind is None else "e:"
-            hashed, close = rendezvous(prefix + member.name, self.cells, weights)
-            if hashed != cell or close:
-                apart[member.kind is not None][member.name] = cell
+            hashed_cell, is_close = rendezvous_hash(prefix + member.name, self.cells, weights)
+            if hashed_cell != cell or is_close:
+                exceptions[member.kind is not None][member.name] = cell
             zones[cell].add(member.zone)
         cells = tuple(Cell(cell, tuple(sorted(zones[cell])), cell in self.open) for cell in self.cells)
-        return Part(cells, strata, apart[0], apart[1], loans, self.split, self.merged)
+        return Part(cells, strata, exceptions[0], exceptions[1], loans, self.last_split, self.last_merge)
+
+    def is_same_as(self, plan: Plan, part: Part) -> bool:
+        """Whether nothing that anyone acts on differs from the plan in force.
 
-    def alike(self, plan: Plan, part: Part) -> bool:
-        """Whether nothing that anyone acts on differs: who leaves, and which weights names not yet known
-        would have, is no reason for a plan."""
-        old = plan.parts[self.name]
-        homes = next(region.homes for region in plan.regions if region.name == self.name)
+        Members that leave, and other weights for unknown names, are no reason for a new plan.
+        """
+        old_part = plan.parts[self.name]
+        home_weights = next(region.home_weights for region in plan.regions if region.name == self.name)
         return (
-            [(cell.number, cell.open) for cell in old.cells]
+            [(cell.number, cell.open) for cell in old_part.cells]
             == [(cell.number, cell.open) for cell in part.cells]
-            and old.loans == part.loans
-            and tuple(sorted(self.homes.items())) == homes
+            and old_part.loans == part.loans
+            and tuple(sorted(self.home_weights.items())) == home_weights
         )
