--- a/marbleworks/membership/evidence.py
+++ b/marbleworks/membership/evidence.py
@@ -1,6 +1,7 @@
-"""Which reports of other routers are believed. No I/O, no clock.
+"""Rules for accepting reports of other routers. This module does no I/O and reads no clock.
 
-No single router can remove another: what we have not observed ourselves needs `MIN_CONFIRMATIONS` reporters.
+No single router can remove another: a failure that this router has not observed itself has to be reported by
+`MIN_CONFIRMATIONS` routers.
 """
 
 from __future__ import annotations
@@ -11,61 +12,76 @@
 from marbleworks.membership.member_view import Member
 from marbleworks.membership.messages import MemberState, MemberUpdate
 
-MIN_CONFIRMATIONS = 2  # routers that have to report what we have not observed ourselves
-MAX_COUNTER_JUMP = 1 << 16  # a generation or incarnation that jumps further is implausible
-MIN_REFUTE_DELAY_S = 0.25  # when declared dead for the second time; doubles with each further time
+MIN_CONFIRMATIONS = 2  # reporters needed for what this router has not observed itself
+MAX_COUNTER_JUMP = 1 << 16  # a larger increase of a generation or incarnation is implausible
+MIN_REFUTE_DELAY_S = 0.25  # applies to the second death report; doubles with each further one
 MAX_REFUTE_DELAY_S = 8.0
-FLAP_WINDOW_S = 60.0  # time for which being declared dead counts towards that delay
+FLAP_WINDOW_S = 60.0  # older death reports no longer count towards the refute delay
 MAX_FLAPS = 16
 
 
 def is_implausible(update: MemberUpdate, known: MemberUpdate) -> bool:
-    """Whether a counter of the update jumps further than it can in good faith."""
+    """Whether a counter of the update is too far above the known one to be genuine."""
     return (
         update.generation - known.generation > MAX_COUNTER_JUMP
         or update.incarnation - known.incarnation > MAX_COUNTER_JUMP
     )
 
 
-def confirms_death(member: Member) -> bool:
-    """Whether our own probe failed or enough routers report the member dead."""
-    return member.probe_failed or len(member.accused_by) >= MIN_CONFIRMATIONS
+def is_death_confirmed(member: Member) -> bool:
+    """Whether this router's own probe failed or enough routers report the member dead."""
+    return member.probe_failed or len(member.death_reporters) >= MIN_CONFIRMATIONS
 
 
-def is_believed(member: Member, update: MemberUpdate, reporter: int) -> bool:
-    """Notes a report that supersedes what is known; whether it is believed without a probe of our own.
+def is_accepted(member: Member, update: MemberUpdate, reporter: int) -> bool:
+    """Records a report that supersedes the known update, and decides whether to accept it without a probe.
 
-    That another has restarted has to be reported by enough routers; that it has left by itself, or be
-    confirmed like its death.
+    A restart has to be reported by enough routers. A planned stop has to be reported by the member itself or
+    confirmed in the same way as a death.
+
+    Args:
+        member: the router that the report is about, as known so far.
+        update: the reported update.
+        reporter: index of the router that sent the report.
     """
-    if update.generation > member.update.generation and not _confirms_restart(member, update, reporter):
+    if update.generation > member.update.generation and not _is_restart_confirmed(member, update, reporter):
         return False
-    return update.state is not MemberState.LEFT or _confirms_leave(member, reporter)
+    return update.state is not MemberState.LEFT or _is_leave_confirmed(member, reporter)
 
 
-def _confirms_restart(member: Member, update: MemberUpdate, reporter: int) -> bool:
+def _is_restart_confirmed(member: Member, update: MemberUpdate, reporter: int) -> bool:
     claims = member.claimed_generations
     claims[reporter] = update.generation
     return sum(claimed >= update.generation for claimed in claims.values()) >= MIN_CONFIRMATIONS
 
 
-def _confirms_leave(member: Member, reporter: int) -> bool:
+def _is_leave_confirmed(member: Member, reporter: int) -> bool:
     if reporter == member.router or member.update.state is MemberState.DEAD:
         return True
-    member.accused_by.add(reporter)
-    return confirms_death(member)
+    member.death_reporters.add(reporter)
+    return is_death_confirmed(member)
 
 
 def suspicion_timeout(base_s: float, group_size: int, local_health: int) -> float:
-    """Seconds to refute; grows with the logarithm of the group and with our own local health."""
+    """Returns the time that a suspected member has to refute the suspicion, in seconds.
+
+    It grows with the logarithm of the group's size, and with the local health counter, which is high when
+    this router itself is slow.
+
+    Args:
+        base_s: timeout in a group of ten or fewer, in seconds.
+        group_size: number of known members.
+        local_health: local health counter of this router; 0 is healthy.
+    """
     size_factor = max(math.log10(max(group_size, 1)), 1.0)
     return base_s * size_factor * (1 + local_health / 2)
 
 
 class RefuteTimer:
-    """When to refute being declared dead: at once the first time, then with a delay that doubles.
+    """Time at which this router refutes a report of its own death.
 
-    So a bad link does not make the group flap.
+    The first report is refuted at once, each further one after a delay that doubles, so that a bad link does
+    not make the membership flap.
     """
 
     def __init__(self) -> None:
@@ -73,7 +89,11 @@
         self._declared_dead_at = deque[float](maxlen=MAX_FLAPS)
 
     def on_declared_dead(self, now: float) -> bool:
-        """Starts the timer unless it runs already; whether to refute at once."""
+        """Starts the timer unless it is running.
+
+        Returns:
+            Whether to refute at once.
+        """
         delay = self._delay(now)
         if math.isinf(self.due_at):
             self._declared_dead_at.append(now)
--- a/marbleworks/membership/failure_detector.py
+++ b/marbleworks/membership/failure_detector.py
@@ -1,8 +1,8 @@
-"""SWIM failure detector of one router, with Lifeguard's local health. No I/O, no clock.
+"""SWIM failure detector of one router, with Lifeguard's local health. It does no I/O and reads no clock.
 
-It joins the group, probes, suspects, declares dead and refutes; `tick` and `receive` return the messages to
-send, and the view's `changes` are drained by the caller. Times are float seconds of one monotonic clock.
-docs/design/peers.md has the reasons.
+It joins the group, probes other routers, suspects them, declares them dead and refutes reports about itself.
+`tick` and `receive` return the messages to send; the caller drains `changes` of the view. Times are float
+seconds of one monotonic clock. docs/design/peers.md explains the design.
 """
 
 from __future__ import annotations
@@ -12,34 +12,34 @@
 from marbleworks.membership.evidence import (
     MAX_COUNTER_JUMP,
     RefuteTimer,
-    confirms_death,
-    is_believed,
+    is_accepted,
+    is_death_confirmed,
     is_implausible,
     suspicion_timeout,
 )
 from marbleworks.membership.gossip import GossipQueue
-from marbleworks.membership.joining import Joining, Succession
+from marbleworks.membership.joining import JoinReplies, SupersessionReports
 from marbleworks.membership.member_view import Member, MemberChange, MemberView
 from marbleworks.membership.messages import MemberState, MemberUpdate, Message, MessageType, OutgoingMessage
 from marbleworks.membership.prober import Probe, Prober
 
-MAX_LOCAL_HEALTH = 8  # the local health multiplier, less one; 0 is healthy
-PAUSE_HEALTH_PENALTY = 2
-PAUSE_DETECTION_S = 0.5  # a tick that is later than this means that the process was paused
-JOIN_RETRY_PERIODS = 0.5
-LEAVE_REPEATS = 2  # datagrams get lost
+MAX_LOCAL_HEALTH = 8  # the local health multiplier is the counter plus one; 0 is healthy
+PAUSE_HEALTH_PENALTY = 2  # added to the local health counter after a pause of the process
+PAUSE_DETECTION_S = 0.5  # a tick that is this late shows that the process was paused
+JOIN_RETRY_PERIODS = 0.5  # interval between join requests, in probe intervals
+LEAVE_REPEATS = 2  # sent more than once because datagrams can be lost
 
 
 class FailureDetector:
-    """The group as one router sees it.
+    """The group as seen by one router.
 
     Args:
         router_index: index of this router among the configured ones.
         router_count: number of configured routers.
-        seed: of the random choices of targets.
-        now: the present.
-        probe_interval_s: time between probes.
-        suspicion_timeout_s: time to refute a suspicion in a group of ten or fewer.
+        seed: seed of the random choice of probe targets.
+        now: current time, in seconds.
+        probe_interval_s: time between probes, in seconds.
+        suspicion_timeout_s: time to refute a suspicion in a group of ten or fewer, in seconds.
     """
 
     def __init__(
@@ -58,25 +58,25 @@
         self.generation = 0
         self.incarnation = 0
         self.joined = False
-        self.superseded = False  # a later process has our index: we take no part any more
+        self.superseded = False  # a later process has this index; this one no longer participates
         self.leaving = False
         self.local_health = 0
         self.implausible_updates = 0
         self.view = MemberView(router_index)
         self.gossip = GossipQueue(self.view)
         self.prober = Prober(self.view, router_count, seed, probe_interval_s)
-        self._joining = Joining(router_count, now)
-        self._succession = Succession(router_count)
+        self._join_replies = JoinReplies(router_count, now)
+        self._supersession_reports = SupersessionReports(router_count)
         self._refute_timer = RefuteTimer()
         self._next_probe_at = now
 
     def next_due(self) -> float:
-        """When `tick` is to be called next."""
+        """Time at which `tick` has to be called next."""
         suspicions = [member.suspicion_deadline for member in self.view.members.values()]
         return min([self._next_probe_at, self._refute_timer.due_at, *self.prober.deadlines(), *suspicions])
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Does what is due: joining, timeouts of probes and suspicions, the next probe."""
+        """Processes what is due: joining, timeouts of probes and suspicions, and the next probe."""
         if self.superseded:
             self._next_probe_at = now + self.probe_interval_s
             return []
@@ -97,12 +97,12 @@
         return outgoing
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """A planned stop: tells all live members at once."""
+        """Starts a planned stop and returns the notifications to all live members."""
         self.leaving = True
         if not self.joined or self.superseded:
             return []
         left = MemberUpdate(self.generation, self.incarnation, MemberState.LEFT, self.router_index)
-        self._record(left, "we stop as planned", now)
+        self._record(left, "this router is stopping", now)
         message = Message(MessageType.LEAVE, self.generation)
         return [
             OutgoingMessage(router, message)
@@ -110,29 +110,30 @@
             if router != self.router_index
         ] * LEAVE_REPEATS
 
-    # Joining.
+    # Join protocol.
 
     def _join(self, now: float) -> list[OutgoingMessage]:
-        """Asks for our last generation until all have replied or the time is over, then takes the next."""
-        if now >= self._joining.deadline or self._joining.has_all_replies():
+        """Asks for this router's last generation until all reply or time is out, then takes the next one."""
+        if now >= self._join_replies.deadline or self._join_replies.has_all_replies():
             return self._finish_join(now)
         retry_at = now + self.probe_interval_s * JOIN_RETRY_PERIODS
-        self._next_probe_at = min(retry_at, self._joining.deadline)
+        self._next_probe_at = min(retry_at, self._join_replies.deadline)
         return [
             OutgoingMessage(router, Message(MessageType.JOIN, 0))
             for router in self.prober.others()
-            if router not in self._joining.reported_generations
+            if router not in self._join_replies.reported_generations
         ]
 
     def _finish_join(self, now: float) -> list[OutgoingMessage]:
-        self.generation = self._joining.last_generation() + 1
+        """Takes the generation after the last one, adds the repliers to the view and pings all routers."""
+        self.generation = self._join_replies.last_generation() + 1
         self.joined = True
         self._next_probe_at = now
-        self._record_own_start("we start", now)
-        for router, generation in self._joining.replier_generations.items():
+        self._record_own_start("start of this router", now)
+        for router, generation in self._join_replies.replier_generations.items():
             if 1 <= generation <= MAX_COUNTER_JUMP:
                 alive = MemberUpdate(generation, 0, MemberState.ALIVE, router)
-                self._record(alive, "answered our join", now)
+                self._record(alive, "replied to the join request", now)
         return [OutgoingMessage(router, self._message(MessageType.PING)) for router in self.prober.others()]
 
     def _record_own_start(self, cause: str, now: float) -> None:
@@ -142,7 +143,10 @@
     # Timeouts.
 
     def _on_paused(self, lateness: float, now: float) -> None:
-        """Moves all deadlines by the pause: silence while we stood still proves nothing about others."""
+        """Drops the probes in flight and postpones the suspicion deadlines after a pause of this process.
+
+        Answers that are missing because this process did not run say nothing about other routers.
+        """
         self.local_health = min(self.local_health + PAUSE_HEALTH_PENALTY, MAX_LOCAL_HEALTH)
         self.prober.probes.clear()
         for member in self.view.members.values():
@@ -150,7 +154,7 @@
         self._next_probe_at = now
 
     def _check_probes(self, now: float) -> list[OutgoingMessage]:
-        """Asks helpers for probes that are late, and suspects the target of those that failed."""
+        """Requests indirect probes where an ack is late, and suspects the targets of failed probes."""
         outgoing: list[OutgoingMessage] = []
         for probe in list(self.prober.probes.values()):
             if not probe.indirect and now >= probe.indirect_at:
@@ -163,6 +167,7 @@
         return outgoing
 
     def _on_probe_failed(self, probe: Probe, now: float) -> None:
+        """Handles a probe without a direct or indirect ack: its target becomes suspected."""
         del self.prober.probes[probe.sequence]
         self.local_health = min(self.local_health + 1, MAX_LOCAL_HEALTH)
         member = self.view.members.get(probe.target)
@@ -173,13 +178,13 @@
             self._record(member.update_with(MemberState.SUSPECT), "no direct or indirect ack", now)
 
     def _check_suspicions(self, now: float) -> None:
-        """Declares dead whose suspicion has ended, if we missed it ourselves or enough others did."""
+        """Declares a member dead when its suspicion times out and its death is confirmed."""
         overdue = [member for member in self.view.members.values() if now >= member.suspicion_deadline]
         for member in overdue:
             member.suspicion_deadline = math.inf
-            if confirms_death(member):
+            if is_death_confirmed(member):
                 self._record(member.update_with(MemberState.DEAD), "suspicion not refuted", now)
-            else:  # accused by one router alone: we probe it ourselves
+            else:  # reported by a single router: probe the member directly
                 self.prober.priority_targets.append(member.router)
                 member.suspicion_deadline = now + self._suspicion_timeout()
 
@@ -195,19 +200,19 @@
         ]
 
     def _message(self, message_type: MessageType, sequence: int = 0, subject: int = -1) -> Message:
-        """A message with updates for any receiver."""
+        """Returns a message whose updates are not chosen for a particular receiver."""
         updates = self.gossip.select(None, 0.0)
         return Message(message_type, self.generation, sequence, subject, self.view.digest, updates=updates)
 
     def _message_to(self, receiver: int, message_type: MessageType, sequence: int, now: float) -> Message:
-        """A message with updates chosen for its receiver."""
+        """Returns a message whose updates are chosen for its receiver."""
         updates = self.gossip.select(receiver, now)
         return Message(message_type, self.generation, sequence, -1, self.view.digest, updates=updates)
 
     # Received messages.
 
     def receive(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
-        """Handles a message of another router; returns the answers."""
+        """Handles a message of another router and returns the answers to send."""
         if self.superseded or sender == self.router_index:
             return []
         if message.message_type is MessageType.JOIN_REPLY:
@@ -225,7 +230,7 @@
                 self.implausible_updates += 1
                 return []
             started = MemberUpdate(message.generation, 0, MemberState.ALIVE, sender)
-            self._record(started, "it started", now)
+            self._record(started, "message of a new generation", now)
         member = self.view.members[sender]
         member.observe_digest(message.view_digest, self.view.digest, now)
         for update in message.updates:
@@ -233,7 +238,7 @@
         return self._dispatch(member, message, now)
 
     def _dispatch(self, sender: Member, message: Message, now: float) -> list[OutgoingMessage]:
-        """Answers a message whose updates have been applied."""
+        """Handles a message whose updates have already been applied, by its type."""
         router = sender.router
         message_type = message.message_type
         if message_type is MessageType.PING:
@@ -251,13 +256,15 @@
         return []
 
     def _on_join_reply(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
+        """Handles a reply to a join request, or, after joining, a report of a newer generation."""
         if self.joined:
             self._on_newer_generation(sender, message.sequence, now)
             return []
-        self._joining.add_reply(sender, message.sequence, message.generation)
-        return self._join(now) if self._joining.has_all_replies() else []
+        self._join_replies.add_reply(sender, message.sequence, message.generation)
+        return self._join(now) if self._join_replies.has_all_replies() else []
 
     def _relay_probe(self, requester: int, message: Message, now: float) -> list[OutgoingMessage]:
+        """Pings a router for the requester of an indirect probe."""
         target = message.subject
         if not 0 <= target < self.router_count or target in (self.router_index, requester):
             return []
@@ -267,6 +274,7 @@
         return [OutgoingMessage(target, self._message_to(target, MessageType.PING, sequence, now))]
 
     def _on_ack(self, sender: int, sequence: int, now: float) -> list[OutgoingMessage]:
+        """Handles the ack of a ping; that of a relayed ping is passed on to the requester."""
         relay = self.prober.relays.pop(sequence, None)
         if relay is not None:
             ack = self._message(MessageType.INDIRECT_ACK, relay.sequence, sender)
@@ -275,7 +283,7 @@
         return []
 
     def _on_probe_answered(self, sequence: int, target: int, now: float) -> None:
-        """A probe was answered, directly or through a helper."""
+        """Handles the answer to a probe, received directly or through a helper."""
         probe = self.prober.probes.get(sequence)
         if probe is None or probe.target != target:
             return
@@ -286,11 +294,11 @@
             return
         member.last_answered_probe_at = max(member.last_answered_probe_at, probe.sent_at)
         member.probe_failed = False
-        member.accused_by.clear()
-        if member.update.state is MemberState.SUSPECT:  # it has to refute for the others still
+        member.death_reporters.clear()
+        if member.update.state is MemberState.SUSPECT:  # the other routers still wait for its refutation
             member.suspicion_deadline = now + self._suspicion_timeout()
 
-    # Updates by gossip, which may be outdated or false.
+    # Updates received by gossip, which may be outdated or false.
 
     def _apply_update(self, update: MemberUpdate, reporter: int, now: float) -> None:
         if update.router == self.router_index:
@@ -298,7 +306,7 @@
             return
         member = self.view.members.get(update.router)
         if member is None:
-            if update.state is MemberState.ALIVE:  # a member once it has answered us
+            if update.state is MemberState.ALIVE:  # becomes a member once it answers a probe
                 self.prober.priority_targets.append(update.router)
             return
         if update <= member.update:
@@ -309,7 +317,7 @@
         is_restart = update.generation > member.update.generation
         if update.state is MemberState.DEAD and member.is_alive and not is_restart:
             self._on_declared_dead(member, update, reporter, now)
-        elif is_believed(member, update, reporter):
+        elif is_accepted(member, update, reporter):
             if update.state is MemberState.SUSPECT and member.update.state is MemberState.ALIVE:
                 self.prober.priority_targets.append(update.router)
             self._record(update, f"reported by router {reporter}", now)
@@ -325,40 +333,41 @@
             self._on_accused(update, now)
 
     def _on_declared_dead(self, member: Member, update: MemberUpdate, reporter: int, now: float) -> None:
-        """Another calls a live member dead: one report makes it suspected, and we probe it ourselves."""
-        member.accused_by.add(reporter)
+        """Handles a report that a live member is dead: the first one makes it suspected and has it probed."""
+        member.death_reporters.add(reporter)
         if member.update.state is MemberState.ALIVE:
             suspect = MemberUpdate(update.generation, update.incarnation, MemberState.SUSPECT, update.router)
-            self._record(suspect, f"router {reporter} reports it dead", now)
+            self._record(suspect, f"reported dead by router {reporter}", now)
             self.prober.priority_targets.append(update.router)
-        elif confirms_death(member):
-            self._record(update, "suspicion of others not refuted", now)
+        elif is_death_confirmed(member):
+            self._record(update, "suspicion of other routers not refuted", now)
 
-    # Updates about ourselves.
+    # Updates about this router.
 
     def _on_newer_generation(self, reporter: int, generation: int, now: float) -> None:
-        """A later process has our index, says one router; once enough say so, this one is superseded."""
+        """Handles a report of a later process with this index; enough of them supersede this process."""
         if generation - self.generation > MAX_COUNTER_JUMP:
             self.implausible_updates += 1
             return
         if generation > self.generation:
-            self._succession.add_report(reporter, generation)
-        if self.superseded or not self._succession.is_confirmed():
+            self._supersession_reports.add_report(reporter, generation)
+        if self.superseded or not self._supersession_reports.is_confirmed():
             return
         if not self.view.was_ever_answered():
-            # Nobody knows this generation: we started while nobody could be asked, and take the next one.
-            self.generation = self._succession.skip_reported()
+            # No router has answered this generation: it was chosen at a start when none could be reached.
+            # The reports are of earlier processes, so this one takes the next generation.
+            self.generation = self._supersession_reports.skip_reported()
             self.incarnation = 0
-            self._record_own_start("we start, after the generations that others report", now)
+            self._record_own_start("start of this router, generation raised above the reported ones", now)
             return
         self.superseded = True
-        cause = "a later process has our index"
+        cause = "a later process has the index of this router"
         self.view.changes.append(MemberChange(self.router_index, generation, MemberState.DEAD, cause))
 
     def _on_accused(self, update: MemberUpdate, now: float) -> None:
-        """Refutes being suspected at once, being declared dead when the timer allows."""
+        """Refutes a suspicion at once and a report of death when the refute timer allows."""
         if update.incarnation < self.incarnation:
-            self.gossip.enqueue(self.router_index)  # the refutation has not arrived
+            self.gossip.enqueue(self.router_index)  # the earlier refutation may have been lost
             return
         if update.incarnation - self.incarnation > MAX_COUNTER_JUMP:
             self.implausible_updates += 1
@@ -378,7 +387,7 @@
         self.gossip.enqueue(self.router_index)
 
     def _record(self, update: MemberUpdate, cause: str, now: float) -> None:
-        """Takes an update that we believe into the view, if it is new, and disseminates it."""
+        """Applies an accepted update to the view and, if it is new, disseminates it."""
         transition = self.view.apply(update, cause, now)
         if transition is None:
             return
--- a/marbleworks/membership/gossip.py
+++ b/marbleworks/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination of member updates: which of them ride on the next message. No I/O, no clock."""
+"""Dissemination of member updates by piggybacking. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -7,28 +7,33 @@
 from marbleworks.membership.member_view import Member, MemberView
 from marbleworks.membership.messages import MemberState, MemberUpdate
 
-RETRANSMIT_MULTIPLIER = 3.0  # an update is sent this many times the logarithm of the group's size
+RETRANSMIT_MULTIPLIER = 3.0  # transmissions of an update, per binary logarithm of the group's size
 MAX_UPDATES_PER_MESSAGE = 8
-FULL_SYNC_AFTER_S = 1.0  # disagreement of two views after which all members are sent in turn
+FULL_SYNC_AFTER_S = 1.0  # two views that differ for longer are synchronized member by member
 
 
 class GossipQueue:
-    """Members whose update is still to be disseminated, with how often it has been sent."""
+    """Members whose updates are being disseminated, with the number of transmissions so far."""
 
     def __init__(self, view: MemberView) -> None:
         self.view = view
-        self.transmissions: dict[int, int] = {}  # by router
+        self.transmissions: dict[int, int] = {}  # keyed by router index
         self._full_sync_position = 0
 
     def enqueue(self, router: int) -> None:
-        """Disseminates the router's update from the beginning."""
+        """Starts to disseminate the current update of the router."""
         self.transmissions[router] = 0
 
     def select(self, receiver: int | None, now: float) -> tuple[MemberUpdate, ...]:
-        """Updates for the next message.
+        """Returns the updates to send with the next message.
 
-        First comes what is known of the receiver itself where it is not alive, which lets it refute; then,
-        where the two views have differed for long, all members in turn; then the updates sent least often.
+        First comes the receiver's own state if it is not alive, so that the receiver can refute it. Then, if
+        the two views have differed for longer than `FULL_SYNC_AFTER_S`, come members in turn. The rest are
+        the queued updates with the fewest transmissions.
+
+        Args:
+            receiver: index of the receiving router; None if the updates are not for a particular one.
+            now: current time, in seconds.
         """
         members = self.view.members
         chosen: list[int] = []
@@ -39,7 +44,7 @@
             if member.differs_since is not None and now > member.differs_since + FULL_SYNC_AFTER_S:
                 chosen += self._next_of_all(members)
         max_transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log2(len(members) + 2))
-        for router in sorted(self.transmissions, key=lambda n: (self.transmissions[n], n)):
+        for router in sorted(self.transmissions, key=lambda index: (self.transmissions[index], index)):
             if len(chosen) >= MAX_UPDATES_PER_MESSAGE:
                 break
             if router not in chosen:
--- a/marbleworks/membership/leader_election.py
+++ b/marbleworks/membership/leader_election.py
@@ -1,8 +1,9 @@
-"""Leader election by votes that bind for a time, and the leader's division of the quota. No I/O, no clock.
+"""Leader election by time-limited votes, and the leader's division of the quota among the routers.
 
-At no moment do two routers lead, or do all routers together use more than the whole quota:
-docs/design/peers.md has the proof, which needs the votes and the division together. Times are float seconds
-of one monotonic clock whose pace differs from others' by at most `MAX_CLOCK_DRIFT`.
+At no time do two routers lead, nor do all routers together use more than the whole quota.
+docs/design/peers.md has the proof, which covers the votes and the division together. Times are float seconds
+of one monotonic clock, whose rate differs from those of other routers by at most `MAX_CLOCK_DRIFT`. This
+module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 from dataclasses import dataclass
 
 from marbleworks.membership.messages import Message, MessageType, OutgoingMessage, QuotaDivision
-from marbleworks.membership.quota_holder import ProcessRef, QuotaHolder, qualified_number
+from marbleworks.membership.quota_holder import ProcessRef, QuotaHolder, generation_scoped_number
 from marbleworks.membership.status import PartitionStatus, QuorumStatus
 
-MAX_CLOCK_DRIFT = 0.02  # bound on how much faster or slower than another's a router's clock may run
+MAX_CLOCK_DRIFT = 0.02  # bound on the relative rate difference of the clocks of two routers
 ROUNDS_PER_VOTE = 4  # vote requests sent within the duration of a vote
-MIN_ROUND_INTERVAL_S = 0.1  # also the interval while a division is pending
+MIN_ROUND_INTERVAL_S = 0.1  # between rounds of vote requests; used while a division is pending
 
 
 @dataclass(slots=True)
 class MemberLease:
-    """What the leader knows of one router's part.
+    """Lease of one router on its share of the quota, as known to the leader.
 
     Attributes:
-        token: the latest that it issued.
-        token_received_at: when that arrived.
-        held_serial: it holds no division that is older than this.
-        expires_at: when it can use none of our divisions any more, unless that is renewed.
+        token: latest token that the router issued.
+        token_received_at: time at which that token arrived, in seconds.
+        held_serial: the router no longer holds a division with a lower serial.
+        expires_at: time from which the router cannot use any division of this leader unless it is renewed.
     """
 
     token: int = 0
@@ -38,15 +39,16 @@
 
 
 class LeaderElection:
-    """One router's vote, its candidacy and, while it leads, the division of the quota.
+    """Vote and candidacy of one router and, while it leads, its division of the quota.
 
     Args:
         router_index: index of this router among the configured ones.
-        router_count: number of configured routers, of which a majority elects.
-        now: the present.
-        vote_duration_s: time for which a vote binds its voter.
-        lease_s: time for which a part of the quota may be used.
-        reserved_share: part of the quota that is divided among all configured routers for good.
+        router_count: number of configured routers; a majority of them elects the leader.
+        now: current time, in seconds.
+        vote_duration_s: time for which a vote binds its voter, in seconds.
+        lease_s: time for which a leased share of the quota may be used, in seconds.
+        reserved_share: part of the quota, from 0 to 1, that is permanently divided among all configured
+            routers.
     """
 
     def __init__(
@@ -65,28 +67,32 @@
         self.reserved_share = reserved_share
         self.next_round_at = now
         self._last_round_at = -math.inf
-        # There is no disk: an earlier process of ours may have voted, and until its vote is over we don't.
+        # Votes are not stored on disk. An earlier process of this router may have voted, so this one does not
+        # vote until such a vote has expired.
         self.voted_for: ProcessRef | None = None
         self.voted_until = now + vote_duration_s * (1 + MAX_CLOCK_DRIFT)
-        self.votes: dict[int, float] = {}  # by voter: when the request that it granted was sent
-        self._vote_free_at: dict[int, float] = {}  # by router that refused: when its vote is free
+        self.votes: dict[int, float] = {}  # keyed by voter: time at which the granted request was sent
+        self._vote_free_at: dict[
+            int, float
+        ] = {}  # keyed by router that refused: time at which its vote is free
         self._request_number = 0
-        self._request_sent_at: dict[int, float] = {}  # by sequence
-        self.term = 0  # how often we became leader
+        self._request_sent_at: dict[int, float] = {}  # keyed by sequence
+        self.term = 0  # number of times this router became leader
         self.is_leader = False
         self.division_active = False
         self.division_pending = False
-        self.index_by_router: dict[int, int] = {}  # the division that we made
+        self.index_by_router: dict[int, int] = {}  # the division made by this leader
         self.member_leases: dict[int, MemberLease] = {}
-        self._division_serial = 0  # 0: we have made none in this term
+        self._division_serial = 0  # 0 if no division has been made in this term
         self._last_serial = 0
         self.holder = QuotaHolder(lease_s)
 
     def leader_until(self) -> float:
-        """Until when we lead; the past where we don't.
+        """Returns the time until which this router leads; a time in the past if it does not lead.
 
-        A majority has granted requests that were sent no earlier than its oldest vote, and each voter is
-        bound from a later moment for the duration of a vote by its own clock.
+        It is counted from the oldest of the newest votes that form a majority. Each of these voters granted
+        a request that was sent no earlier, and its vote binds it from a later moment, for the duration of a
+        vote by its own clock.
         """
         votes = sorted(self.votes.values(), reverse=True)
         majority = self.router_count // 2 + 1
@@ -95,18 +101,18 @@
         return votes[majority - 1] + self.vote_duration_s * (1 - MAX_CLOCK_DRIFT)
 
     def partition_status(self, alive: int, confirmed: int, now: float) -> PartitionStatus:
-        """What we may do now.
+        """Returns what this router may do now.
 
         Args:
-            alive: number of live routers by the view, ourselves among them.
-            confirmed: number of those that have answered within the last vote duration, and ourselves.
-            now: the present.
+            alive: number of live routers in the view, including this one.
+            confirmed: number of those that have answered within the last vote duration, including this one.
+            now: current time, in seconds.
         """
         share = self.reserved_share / self.router_count
         divisor = self.router_count
         index = -1
         valid_until = math.inf
-        division = self.holder.part_in_force(now)
+        division = self.holder.division_in_force(now)
         if division is not None:
             share += (1.0 - self.reserved_share) / division.divisor
             divisor = division.divisor
@@ -123,17 +129,30 @@
         )
 
     def next_due(self) -> float:
-        """When `tick` is to be called next."""
+        """Time at which `tick` has to be called next."""
         return min(self.next_round_at, self.leader_until() if self.votes else math.inf)
 
     def expedite(self) -> None:
-        """Holds the next round as soon as it may be, since the view has changed."""
+        """Moves the next round of vote requests to the earliest allowed time, after a change of the view."""
         self.next_round_at = min(self.next_round_at, self._last_round_at + MIN_ROUND_INTERVAL_S)
 
     def tick(
         self, alive: list[int], generation: int, now: float, suspected: Collection[int] = ()
     ) -> list[OutgoingMessage]:
-        """Requests votes if we are the candidate: of a majority the lowest index that nobody suspects."""
+        """Requests votes if this router is the candidate, and updates the division while it leads.
+
+        The candidate is the live router with the lowest index that is not suspected, provided that a majority
+        of the configured routers is alive.
+
+        Args:
+            alive: indexes of the live routers in the view.
+            generation: generation of this router.
+            now: current time, in seconds.
+            suspected: indexes of the suspected routers in the view.
+
+        Returns:
+            The vote requests to send.
+        """
         if now >= self.leader_until() and self.is_leader:
             self._step_down()
         if now < self.next_round_at:
@@ -143,7 +162,7 @@
         candidate = min((router for router in alive if router not in suspected), default=self.router_index)
         if candidate != self.router_index or 2 * len(alive) <= self.router_count:
             return []
-        sequence = self._next_request(generation, now)
+        sequence = self._next_request_sequence(generation, now)
         if self._grant_vote(self.router_index, generation, now):
             self._record_vote(self.router_index, now, now)
         if now < self.leader_until():
@@ -160,9 +179,9 @@
             self.next_round_at = now + MIN_ROUND_INTERVAL_S
         return outgoing
 
-    def _next_request(self, generation: int, now: float) -> int:
+    def _next_request_sequence(self, generation: int, now: float) -> int:
         self._request_number += 1
-        sequence = qualified_number(self._request_number, generation)
+        sequence = generation_scoped_number(self._request_number, generation)
         self._request_sent_at[sequence] = now
         self._request_sent_at = {
             request: at for request, at in self._request_sent_at.items() if at > now - self.vote_duration_s
@@ -180,6 +199,7 @@
         )
 
     def _step_down(self) -> None:
+        """Ends this router's term: drops the votes, the division and the leases of the others."""
         self.votes.clear()
         self.member_leases.clear()
         self._division_serial = 0
@@ -189,7 +209,7 @@
         self.is_leader = False
 
     def _record_vote(self, voter: int, sent_at: float, now: float) -> None:
-        """Counts a vote from when its request was sent, and forgets those that are over."""
+        """Records a vote as of the time at which its request was sent, and drops expired votes."""
         self.votes[voter] = max(self.votes.get(voter, -math.inf), sent_at)
         self.votes = {
             router: at
@@ -203,7 +223,7 @@
             self.expedite()
 
     def _record_refusal(self, voter: int, retry_after_s: float, now: float) -> None:
-        """Puts the next round to when a majority may be free, without rounds in vain until then."""
+        """Postpones the next round until a majority can be free to vote; earlier rounds cannot succeed."""
         self._vote_free_at[voter] = now + min(retry_after_s, self.vote_duration_s * (1 + MAX_CLOCK_DRIFT))
         granted = [now for router in self.votes if router not in self._vote_free_at]
         free_at = sorted([*self._vote_free_at.values(), *granted])
@@ -211,10 +231,10 @@
         if now >= self.leader_until() and len(free_at) > majority:
             self.next_round_at = max(free_at[majority], self._last_round_at + MIN_ROUND_INTERVAL_S)
 
-    # The leader's division of the quota.
+    # Division of the quota by the leader.
 
     def _update_division(self, alive: list[int], now: float) -> None:
-        """Starts a new division when the group has changed, and activates it when the old one is given up."""
+        """Starts a new division if the group has changed; activates it once all gave up the previous one."""
         if not self.division_pending and self._needs_division(alive, now):
             self._start_division(alive)
         if self.division_pending and self._is_old_division_over(now):
@@ -232,14 +252,14 @@
         counted = set(self.index_by_router)
         if counted == set(alive):
             return False
-        # A router that is gone may still use its part until its lease has expired by its own clock.
+        # A removed router may still use its share until its lease has expired by its own clock.
         removed = counted - set(alive)
         return all(
             now >= self.member_leases[router].expires_at for router in removed if router in self.member_leases
         )
 
     def _is_old_division_over(self, now: float) -> bool:
-        """Whether each router with a lease has taken the new division, or its lease is over."""
+        """Whether each router with a lease holds the new division or its lease has expired."""
         return all(
             lease.held_serial >= self._division_serial or now >= lease.expires_at
             for router, lease in self.member_leases.items()
@@ -247,7 +267,7 @@
         )
 
     def _start_division(self, alive: list[int]) -> None:
-        """Makes a new division, which is not active before all have given up the old one."""
+        """Creates a new division. It stays inactive until all routers have given up the previous one."""
         self._last_serial += 1
         self._division_serial = self._last_serial
         self.index_by_router = {router: index for index, router in enumerate(sorted(alive))}
@@ -257,7 +277,7 @@
             self.member_leases.setdefault(router, MemberLease())
 
     def _division_for(self, router: int) -> QuotaDivision | None:
-        """Our division as sent to the router; None where there is none."""
+        """Returns this leader's division as sent to the router; None if there is none."""
         if not self._division_serial or not self.index_by_router:
             return None
         lease = self.member_leases.get(router)
@@ -275,7 +295,14 @@
     # Received messages.
 
     def receive(self, sender: int, message: Message, generation: int, now: float) -> list[OutgoingMessage]:
-        """Handles a vote request or response. generation: our own."""
+        """Handles a vote request or a vote response and returns the answers to send.
+
+        Args:
+            sender: index of the router that sent the message.
+            message: the received message; other types are ignored.
+            generation: generation of this router.
+            now: current time, in seconds.
+        """
         if message.message_type is MessageType.VOTE_REQUEST:
             return [OutgoingMessage(sender, self._on_vote_request(sender, message, generation, now))]
         if message.message_type is MessageType.VOTE_RESPONSE:
@@ -299,7 +326,7 @@
         )
 
     def _accept_division(self, division: QuotaDivision, leader: ProcessRef, token: int, now: float) -> None:
-        """Holds a division until its validity, counted from when we issued the token, is over."""
+        """Holds a division for its validity, counted from the time at which this router issued the token."""
         issued_at = self.holder.token_issued_at.get(token)
         if issued_at is None:
             return
@@ -319,13 +346,18 @@
             lease.token = message.token
             lease.token_received_at = now
             lease.held_serial = max(lease.held_serial, message.held_serial)
-            # A division that we send with this token binds it, at the longest, from when it issued the token.
+            # The router counts the validity of a division sent with this token from when it issued the token,
+            # which was earlier, so it cannot use the division for longer than this.
             lease.expires_at = now + self.lease_s * (1 + MAX_CLOCK_DRIFT)
 
     def _grant_vote(self, candidate: int, generation: int, now: float) -> bool:
-        """Votes for one process at a time; a repeated request renews the vote.
+        """Votes for one process at a time; a repeated request of that process renews the vote.
+
+        A restarted process counts as another candidate, since it does not know how its predecessor divided
+        the quota.
 
-        A process that started anew is another candidate, since it does not know what it has divided.
+        Returns:
+            Whether the vote is granted.
         """
         process = ProcessRef(candidate, generation)
         if now < self.voted_until and process != self.voted_for:
@@ -335,9 +367,9 @@
         return True
 
     def leave(self) -> None:
-        """Uses no part but the reserved one from now on, so that others can divide it at once."""
+        """Gives up the leased share, so that others can divide it at once, and keeps the reserved one."""
         self.holder.release()
 
     def on_member_left(self, router: int) -> None:
-        """Ends the lease of a router that has left, which uses its part no longer."""
+        """Ends the lease of a router that has left, since it no longer uses its leased share."""
         self.member_leases.pop(router, None)
--- a/marbleworks/membership/member_view.py
+++ b/marbleworks/membership/member_view.py
@@ -1,4 +1,4 @@
-"""One router's view of its group: the believed state of each member. No I/O, no clock."""
+"""One router's view of its group: the state of each member. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class MemberChange:
-    """A change of a router's believed state, and its cause."""
+    """A change of a router's state in the view, and its cause as logged."""
 
     router: int
     generation: int
@@ -21,26 +21,26 @@
 
 @dataclass(eq=False, slots=True)
 class Member:
-    """What is known of one router. Times are seconds of the local clock.
+    """State of one router as known to this one. Times are seconds of the local clock.
 
     Attributes:
-        router: its index.
-        update: the latest accepted update.
-        state_since: when its state last changed.
-        suspicion_deadline: when an unrefuted suspicion ends; infinite where it is not suspected.
-        accused_by: routers that reported it dead or left.
-        claimed_generations: higher generations that other routers report, by reporter.
-        probe_failed: whether our own probe failed and it has not answered since.
-        last_answered_probe_at: when the latest probe that it answered was sent.
-        view_digest: digest of its view, as last received.
-        differs_since: since when that digest has differed from ours; None where they agree.
+        router: index of the router.
+        update: latest accepted update.
+        state_since: time of the last change of state.
+        suspicion_deadline: time at which an unrefuted suspicion ends; infinite if there is none.
+        death_reporters: indexes of the routers that reported it dead or left.
+        claimed_generations: higher generations that other routers report, keyed by reporter.
+        probe_failed: whether a direct probe failed and the router has not answered since.
+        last_answered_probe_at: time at which the latest answered probe was sent.
+        view_digest: digest of the router's own view, as last received.
+        differs_since: time since which that digest has differed from the local one; None if they agree.
     """
 
     router: int
     update: MemberUpdate
     state_since: float
     suspicion_deadline: float = math.inf
-    accused_by: set[int] = field(default_factory=set)
+    death_reporters: set[int] = field(default_factory=set)
     claimed_generations: dict[int, int] = field(default_factory=dict)
     probe_failed: bool = False
     last_answered_probe_at: float = -math.inf
@@ -49,15 +49,21 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it counts as a live member: alive, or suspected and not yet declared dead."""
+        """Whether the router counts as live: alive, or suspected and not yet declared dead."""
         return self.update.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     def update_with(self, state: MemberState) -> MemberUpdate:
-        """Its latest update, with another state."""
+        """Returns the latest update with its state replaced."""
         return MemberUpdate(self.update.generation, self.update.incarnation, state, self.router)
 
     def observe_digest(self, received: int, local: int, now: float) -> None:
-        """Notes the digest that it sent, and since when it has differed from the local one."""
+        """Records the digest that the router sent and since when it has differed from the local one.
+
+        Args:
+            received: digest of the router's view.
+            local: digest of the local view.
+            now: current time, in seconds.
+        """
         self.view_digest = received
         if received == local:
             self.differs_since = None
@@ -67,14 +73,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """What an accepted update did. previous: the state before, None for a member that is new."""
+    """Effect of an accepted update.
+
+    Attributes:
+        previous: state before the update; None for a new member.
+        is_change: whether the state changed or the router restarted.
+    """
 
     previous: MemberState | None
     is_change: bool
 
 
 class MemberView:
-    """The members known so far, ourselves among them, and the changes not yet reported."""
+    """The members known so far, including this router, and the changes not yet reported."""
 
     def __init__(self, router_index: int) -> None:
         self.router_index = router_index
@@ -83,11 +94,11 @@
         self.changes: list[MemberChange] = []
 
     def alive_routers(self) -> list[int]:
-        """Indexes of the live members, ascending."""
+        """Returns the indexes of the live members in ascending order."""
         return sorted(router for router, member in self.members.items() if member.is_alive)
 
     def suspected_routers(self) -> list[int]:
-        """Indexes of the suspected members."""
+        """Returns the indexes of the suspected members."""
         return [
             router for router, member in self.members.items() if member.update.state is MemberState.SUSPECT
         ]
@@ -99,7 +110,11 @@
         return zlib.crc32(repr(alive).encode())
 
     def answered_since(self, since: float) -> int:
-        """Number of live members, ourselves among them, that answered a probe sent since then."""
+        """Counts the live members, including this router, that answered a recent probe.
+
+        Args:
+            since: only probes sent at this time or later count, in seconds.
+        """
         return sum(
             member.last_answered_probe_at >= since or router == self.router_index
             for router, member in self.members.items()
@@ -107,11 +122,20 @@
         )
 
     def was_ever_answered(self) -> bool:
-        """Whether any member has answered a probe of ours."""
+        """Whether any member has answered a probe of this router."""
         return any(member.last_answered_probe_at > -math.inf for member in self.members.values())
 
     def apply(self, update: MemberUpdate, cause: str, now: float) -> Transition | None:
-        """Accepts an update that supersedes what is known of its router; None where it does not."""
+        """Applies an update if it supersedes the known one of its router.
+
+        Args:
+            update: the update to apply.
+            cause: reason for the update, for the log.
+            now: current time, in seconds.
+
+        Returns:
+            The effect of the update; None if it does not supersede the known one.
+        """
         member = self.members.get(update.router)
         if member is None:
             previous = None
@@ -124,7 +148,7 @@
             restarted = update.generation > member.update.generation
             member.update = update
         if update.state is MemberState.ALIVE:
-            member.accused_by.clear()
+            member.death_reporters.clear()
             member.probe_failed = False
         if restarted:
             member.claimed_generations.clear()
--- a/marbleworks/membership/quota_holder.py
+++ b/marbleworks/membership/quota_holder.py
@@ -1,7 +1,7 @@
-"""The part of the group's quota that a router holds. No I/O, no clock.
+"""The share of the group's quota that a router holds. This module does no I/O and reads no clock.
 
-The holder issues tokens, which the leader echoes with a division. A part's validity is counted from when the
-token was issued, by the holder's own clock, so that the time a datagram takes only shortens it.
+The holder issues tokens, which the leader echoes with a division. The validity of a share is counted from
+when the token was issued, by the holder's own clock, so that network delay can only shorten it.
 """
 
 from __future__ import annotations
@@ -13,19 +13,27 @@
 
 
 class ProcessRef(NamedTuple):
-    """One process of a router: its index and generation."""
+    """One process of a router, identified by its index and generation."""
 
     router: int
     generation: int
 
 
-def qualified_number(number: int, generation: int) -> int:
-    """A number on the wire that an answer to an earlier process of this router does not carry."""
+def generation_scoped_number(number: int, generation: int) -> int:
+    """Combines a counter with the generation, so that answers to an earlier process of this router differ."""
     return (generation & 0xFFFF) << 24 | number & 0xFFFFFF
 
 
 class QuotaHolder:
-    """The division that this router holds, whose it is, and the tokens that are still valid."""
+    """The division that this router holds, the leader that made it, and the tokens that are still valid.
+
+    Attributes:
+        lease_s: time for which a token is valid, in seconds.
+        division: the held division; None if there is none.
+        leader: process that made it.
+        held_until: time at which it expires, in seconds.
+        token_issued_at: time of issue of each valid token, in seconds.
+    """
 
     def __init__(self, lease_s: float) -> None:
         self.lease_s = lease_s
@@ -36,17 +44,17 @@
         self._last_token = 0
         self._released = False
 
-    def part_in_force(self, now: float) -> QuotaDivision | None:
-        """The division whose part may be used now; None where there is none."""
+    def division_in_force(self, now: float) -> QuotaDivision | None:
+        """Returns the division whose share may be used now; None if there is none."""
         division = self.division
         if division is None or not division.active or now >= self.held_until or division.index < 0:
             return None
         return division
 
     def issue_token(self, generation: int, now: float) -> int:
-        """A new token; those older than a lease are forgotten."""
+        """Issues a new token and drops those older than a lease."""
         self._last_token += 1
-        token = qualified_number(self._last_token, generation)
+        token = generation_scoped_number(self._last_token, generation)
         self.token_issued_at[token] = now
         self.token_issued_at = {
             issued: at for issued, at in self.token_issued_at.items() if at > now - self.lease_s
@@ -54,15 +62,21 @@
         return token
 
     def held_serial(self, leader: ProcessRef) -> int:
-        """Serial of the leader's division that is held; 0 where none of it is."""
+        """Returns the serial of the held division if it is the given leader's, else 0."""
         return self.division.serial if self.division is not None and leader == self.leader else 0
 
     def hold(self, division: QuotaDivision | None, leader: ProcessRef, until: float, now: float) -> None:
-        """Takes a division in place of the one held, unless it is older or over.
+        """Replaces the held division, unless the new one is older or has already expired.
+
+        An older division of the same leader is refused even after the held one has expired, since this router
+        has confirmed to that leader that it gave up the earlier ones. A division of another leader is
+        accepted at once, since the shares of the previous leader expired with its term.
 
-        Within one leader's term an older division is refused also when the one held is over, since we have
-        confirmed to have given up those before it. One of another leader is taken at once: the parts of the
-        one before ended with its right.
+        Args:
+            division: the new division; None is ignored.
+            leader: process that made it.
+            until: time at which it expires, in seconds.
+            now: current time, in seconds.
         """
         if division is None or until <= now or self._released:
             return
@@ -79,7 +93,7 @@
         self.held_until = until
 
     def release(self) -> None:
-        """Gives up the part held, and takes no other."""
+        """Gives up the held division and accepts no other."""
         self._released = True
         self.division = None
         self.held_until = -math.inf
