--- a/marbleworks/membership/codec.py
+++ b/marbleworks/membership/codec.py
@@ -1,8 +1,9 @@
-"""Encoding of membership datagrams. No I/O, no clock.
+"""Encoding and decoding of membership datagrams. This module does no I/O and reads no clock.
 
-A datagram is a header of ten bytes (magic, version, group, checksum) and a msgpack map with small integers
-for keys. Unknown keys and longer rows, which a later version may add, are ignored. Whatever is truncated,
-corrupt, of another group, older than the oldest version or out of range raises `DatagramDecodeError`.
+A datagram is a ten-byte header (magic, version, group, checksum) followed by a msgpack map whose keys are
+small integers. Unknown keys and additional elements of a row are ignored, since a later version may add them.
+A datagram that is truncated, corrupt, too old, of another group, or has a value out of range raises
+`DatagramDecodeError`.
 """
 
 from __future__ import annotations
@@ -24,12 +25,18 @@
 HEADER = struct.Struct("<BBII")  # magic, version, group, checksum of the body
 MAX_DATAGRAM_BYTES = 256
 MAX_ROUTERS = 4096
-MAX_COUNTER = 1 << 40  # exclusive bound of generations, sequences, tokens and serials
+MAX_COUNTER = 1 << 40  # exclusive upper bound of generations, sequences, tokens and serials
 
 
 @dataclass(frozen=True)
 class DatagramFormat:
-    """First byte of a kind of datagram, the version that is written and the oldest that is read."""
+    """Header values of one kind of datagram.
+
+    Attributes:
+        magic: first byte of each datagram of this kind.
+        version: format version that is written.
+        min_version: oldest format version that is accepted.
+    """
 
     magic: int
     version: int
@@ -40,10 +47,13 @@
 
 
 class DatagramDecodeError(Exception):
-    """A datagram can't be decoded; the text says why."""
+    """A datagram cannot be decoded.
+
+    The text is one of a few fixed reasons, since invalid datagrams are counted by it.
+    """
 
 
-# Keys of the body's map.
+# Keys of the map in the body.
 _MESSAGE_TYPE = 0
 _GENERATION = 1
 _SEQUENCE = 2
@@ -58,12 +68,21 @@
 
 
 def group_hash(text: str) -> int:
-    """The group's number in the header, from the text that its routers have in common."""
+    """Returns the number that identifies the group in the header.
+
+    Args:
+        text: the group's name and number of routers, which is the same on all its routers.
+    """
     return zlib.crc32(text.encode())
 
 
 def encode(group: int, message: Message) -> bytes:
-    """Encodes a message with as many of its updates, in order, as fit a datagram."""
+    """Encodes a message, dropping updates from the end until it fits into `MAX_DATAGRAM_BYTES`.
+
+    Args:
+        group: result of `group_hash`.
+        message: the message to encode.
+    """
     fields: dict[int, Any] = {_MESSAGE_TYPE: int(message.message_type), _GENERATION: message.generation}
     optional = (
         (_SEQUENCE, message.sequence, 0),
@@ -96,7 +115,7 @@
 
 
 def seal(datagram_format: DatagramFormat, group: int, fields: dict[int, Any]) -> bytes:
-    """Packs the fields and puts the header with their checksum before them."""
+    """Packs the fields and prepends the header with their checksum."""
     body: bytes = msgpack.packb(fields)
     checksum = zlib.crc32(body, datagram_format.version)
     return HEADER.pack(datagram_format.magic, datagram_format.version, group, checksum) + body
@@ -106,7 +125,7 @@
     """Verifies the header and returns the fields.
 
     Raises:
-        DatagramDecodeError: the datagram is truncated, corrupt, too old or of another group.
+        DatagramDecodeError: The datagram is truncated, too long, corrupt, too old or of another group.
     """
     if not HEADER.size < len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramDecodeError("cut")
@@ -114,9 +133,9 @@
     if magic != datagram_format.magic:
         raise DatagramDecodeError("garbage")
     if version < datagram_format.min_version:
-        raise DatagramDecodeError("an older version")
+        raise DatagramDecodeError("format version too old")
     if sender_group != group:
-        raise DatagramDecodeError("another group")
+        raise DatagramDecodeError("sent by another group")
     body = data[HEADER.size :]
     if zlib.crc32(body, version) != checksum:
         raise DatagramDecodeError("garbage")
@@ -129,7 +148,7 @@
 
 @contextmanager
 def wrap_decode_errors() -> Iterator[None]:
-    """Turns any error of msgpack or of a value's type or shape into a `DatagramDecodeError`."""
+    """Converts any exception from msgpack or from a malformed field to a `DatagramDecodeError`."""
     try:
         yield
     except DatagramDecodeError:
@@ -141,10 +160,15 @@
 
 
 def decode(group: int, router_count: int, data: bytes) -> Message:
-    """Decodes a datagram of the group.
+    """Decodes a membership datagram.
+
+    Args:
+        group: result of `group_hash` for this router's group.
+        router_count: number of configured routers; router indexes have to be below it.
+        data: the datagram as received.
 
     Raises:
-        DatagramDecodeError: it is no datagram of this group, or a field is missing or out of range.
+        DatagramDecodeError: The datagram is not of this group, or a field is missing or out of range.
     """
     fields = unseal(FORMAT, group, data)
     with wrap_decode_errors():
@@ -181,15 +205,23 @@
 
 
 def checked_counter(value: Any) -> int:
-    """The value, if it is a whole number from 0 to below `MAX_COUNTER`; raises `DatagramDecodeError`."""
-    # Checked here and not by `checked_range`, which would be a call more for each field of a datagram.
+    """Returns the value if it is an integer in the range 0 <= value < MAX_COUNTER.
+
+    Raises:
+        DatagramDecodeError: The value is not an integer or is out of range.
+    """
+    # Does not delegate to `checked_range`, to save one call for each field of a datagram.
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < MAX_COUNTER:
         raise DatagramDecodeError("out of range")
     return value
 
 
 def checked_range(value: Any, end: int, minimum: int) -> int:
-    """The value, if it is a whole number from minimum to below end; raises `DatagramDecodeError`."""
+    """Returns the value if it is an integer in the range minimum <= value < end.
+
+    Raises:
+        DatagramDecodeError: The value is not an integer or is out of range.
+    """
     if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value < end:
         raise DatagramDecodeError("out of range")
     return value
--- a/marbleworks/membership/messages.py
+++ b/marbleworks/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the routers of a group, as typed values. No I/O, no clock.
+"""Typed messages between the routers of a group. This module does no I/O and reads no clock.
 
-A router is named by its index in the settings. Each start of a router has a higher `generation`; within one
-generation the `incarnation` counts refutations, as in SWIM.
+A router is identified by its index in the settings. Each start of a router has a higher `generation`; within
+one generation the `incarnation` counts refutations, as in SWIM.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 class MessageType(IntEnum):
     """Kind of a message; the value is its number on the wire."""
 
-    JOIN = 1  # asks which generation of the sender was seen last
-    JOIN_REPLY = 2  # that generation; also sent to a process whose generation has been superseded
+    JOIN = 1  # asks for the last generation of the sender that the receiver has seen
+    JOIN_REPLY = 2  # returns that generation; also sent to a process that has been superseded
     PING = 3
     ACK = 4
     INDIRECT_PROBE = 5  # asks the receiver to probe `subject`
     INDIRECT_ACK = 6  # `subject` answered the indirect probe
     LEAVE = 7
-    VOTE_REQUEST = 8  # a candidate's or leader's, with the receiver's part of the quota division
+    VOTE_REQUEST = 8  # from a candidate or leader, with the receiver's share of the quota division
     VOTE_RESPONSE = 9
 
 
 class MemberState(IntEnum):
-    """State of one incarnation of a router. Of two updates of one incarnation the greater state wins."""
+    """State of one incarnation of a router. Of two updates of one incarnation, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class MemberUpdate:
-    """A gossiped statement about a router; the greater of two supersedes the other."""
+    """A gossiped state of a router. The greater of two, compared field by field, supersedes the other."""
 
     generation: int
     incarnation: int
@@ -46,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDivision:
-    """How the leader divides the group's quota, as sent to one receiver.
+    """The leader's division of the group's quota, as sent to one receiver.
 
     Attributes:
-        serial: number of the division, ascending within one leader's term.
-        divisor: number of routers that it counts.
-        index: the receiver's index among them, from 0; -1 (as on the wire) where it has none.
-        active: whether the parts may be used yet.
-        validity_ms: how long the part may be used, from when the receiver issued the token that comes with
-            the division. It ends before the leader's right does.
+        serial: number of the division, ascending within a term of the leader.
+        divisor: number of routers that share the quota.
+        index: the receiver's index among them, from 0; -1 (as on the wire) if it has no share.
+        active: whether the shares may be used yet.
+        validity_ms: time for which the share may be used, in ms, counted from when the receiver issued the
+            token that is sent with the division. It ends before the leader's own term does.
     """
 
     serial: int
@@ -69,16 +69,17 @@
     """One message between two routers.
 
     Attributes:
-        message_type: what it asks or answers.
-        generation: the sender's.
-        sequence: of a probe or vote request, echoed by its answer; in a JOIN_REPLY the generation seen last.
-        subject: the router that an indirect probe is about; -1 (as on the wire) where there is none.
+        message_type: kind of the message.
+        generation: generation of the sender.
+        sequence: number of a probe or vote request, echoed in its answer; in a JOIN_REPLY the last generation
+            of the receiver that the sender has seen.
+        subject: index of the router to probe indirectly; -1 (as on the wire) if there is none.
         view_digest: checksum of the sender's view of the group.
-        token: echoed to the router that issued it, which knows when that was.
+        token: echoed to the router that issued it, which knows the time of issue.
         held_serial: serial of the quota division that the sender holds.
-        granted: whether a vote is granted.
-        division: the receiver's part of the leader's quota division.
-        retry_after_ms: time until a refused vote is free.
+        granted: whether the vote is granted.
+        division: the receiver's share of the leader's quota division.
+        retry_after_ms: time until a refused vote is free, in ms.
         updates: gossiped member updates.
     """
 
@@ -96,7 +97,7 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to send, and the index of the router that it goes to."""
+    """A message to send and the index of its receiver."""
 
     to: int
     message: Message
--- a/marbleworks/membership/node.py
+++ b/marbleworks/membership/node.py
@@ -1,6 +1,7 @@
-"""One router of a group: failure detector and leader election together. No I/O, no clock.
+"""One router of a group: its failure detector and leader election. It does no I/O and reads no clock.
 
-Messages to send are returned. The service on sockets and the group in simulated time both run this.
+Messages to send are returned to the caller. Both the service on sockets and the group in simulated time use
+this module.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 @dataclass(frozen=True)
 class LeaderRef:
-    """The group's leader, as subsystems see it.
+    """The group's leader, as passed to subsystems.
 
     Attributes:
-        leader: index of the router that has our vote; -1 where none has.
-        leader_generation: the leader's generation; 0 where there is none.
-        generation: our own; 0 until we have joined.
-        term: how often we became leader.
-        leader_until: until when we lead, by our clock; the past where we don't.
-        superseded: whether a later process has our index.
+        leader: index of the router that has the vote of this one; -1 if there is none.
+        leader_generation: generation of the leader; 0 if there is none.
+        generation: generation of this router; 0 until it has joined.
+        term: number of times this router became leader.
+        leader_until: time until which this router leads, by its clock; in the past if it does not lead.
+        superseded: whether a later process has the index of this router.
     """
 
     leader: int
@@ -38,14 +39,14 @@
 
 
 class MembershipNode:
-    """One router's part in the group.
+    """Participation of one router in its group.
 
     Args:
         router_index: index of this router among the configured ones.
         router_count: number of configured routers.
-        seed: of the random choices of probe targets.
-        now: the present, in seconds of the clock that all calls use.
-        options: the operator's settings.
+        seed: seed of the random choice of probe targets.
+        now: current time, in seconds of the clock that all calls use.
+        options: settings of the operator.
     """
 
     def __init__(
@@ -62,11 +63,11 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether it takes part in the group: it has joined, and no later process has its index."""
+        """Whether the router participates: it has joined, and no later process has its index."""
         return self.failure_detector.joined and not self.failure_detector.superseded
 
     def receive(self, sender: int, message: Message, now: float) -> list[OutgoingMessage]:
-        """Handles a message; returns the answers."""
+        """Handles a message and returns the answers to send."""
         detector = self.failure_detector
         if message.message_type not in (MessageType.VOTE_REQUEST, MessageType.VOTE_RESPONSE):
             return detector.receive(sender, message, now)
@@ -76,7 +77,7 @@
         return self.election.receive(sender, message, detector.generation, now)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Does what is due."""
+        """Processes what is due and returns the messages to send."""
         detector = self.failure_detector
         outgoing = detector.tick(now) if now >= detector.next_due() else []
         if self.is_member and now >= self.election.next_due():
@@ -87,12 +88,12 @@
         return outgoing
 
     def next_due(self) -> float:
-        """When `tick` is to be called next."""
+        """Time at which `tick` has to be called next."""
         election_due = self.election.next_due() if self.failure_detector.joined else math.inf
         return min(self.failure_detector.next_due(), election_due)
 
     def take_changes(self) -> list[MemberChange]:
-        """Changes of members since the last call, which the election takes into account."""
+        """Returns the changes of members since the last call, after applying them to the election."""
         view = self.failure_detector.view
         changes = view.changes
         view.changes = []
@@ -104,14 +105,14 @@
         return changes
 
     def partition_status(self, now: float) -> PartitionStatus:
-        """What this router may do now."""
+        """Returns what this router may do now."""
         view = self.failure_detector.view
         alive = len(view.alive_routers()) if self.is_member else 1
         confirmed = view.answered_since(now - self.vote_duration_s)
         return self.election.partition_status(alive, confirmed, now)
 
     def leader_ref(self, now: float) -> LeaderRef:
-        """Whom subsystems are to follow now."""
+        """Returns the leader that subsystems have to follow now."""
         election = self.election
         detector = self.failure_detector
         voted_for = election.voted_for if now < election.voted_until else None
@@ -125,6 +126,6 @@
         )
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """A planned stop: gives up its part of the quota, then tells the others."""
+        """Starts a planned stop: gives up the leased quota and returns the notifications to the others."""
         self.election.leave()
         return self.failure_detector.leave(now)
--- a/marbleworks/membership/options.py
+++ b/marbleworks/membership/options.py
@@ -1,4 +1,4 @@
-"""The operator's settings of group membership: section `peers` of the operator's file."""
+"""Settings of group membership: section `peers` of the operator's file."""
 
 from __future__ import annotations
 
@@ -10,27 +10,34 @@
 
 MEMBERSHIP_SECTION = Section(
     "peers",
-    "routers that know who of them is there, and divide among those",
+    "group membership: routers detect which of them are alive and divide the quota among those",
     (
-        Setting("group", ValueType.TEXT, "Routers of another group are not heard.", "routers"),
-        Setting("period", ValueType.DURATION, "Between probes of one peer.", 0.2, 0.05, 10.0),
         Setting(
-            "suspicion", ValueType.DURATION, "Within which a suspected peer must refute.", 1.0, 0.2, 60.0
+            "group", ValueType.TEXT, "Name of the group; datagrams of other groups are rejected.", "routers"
         ),
+        Setting("period", ValueType.DURATION, "Time between two probes.", 0.2, 0.05, 10.0),
         Setting(
-            "term", ValueType.DURATION, "For which a vote for the router that divides binds.", 2.4, 0.5, 120.0
+            "suspicion", ValueType.DURATION, "Time in which a suspected peer has to refute.", 1.0, 0.2, 60.0
         ),
-        Setting("lease", ValueType.DURATION, "For which a part that was given may be used.", 1.6, 0.5, 120.0),
+        Setting(
+            "term", ValueType.DURATION, "Time for which a vote for a leader is binding.", 2.4, 0.5, 120.0
+        ),
+        Setting("lease", ValueType.DURATION, "Time for which a leased share may be used.", 1.6, 0.5, 120.0),
         Setting(
             "kept",
             ValueType.SHARE,
-            "Of each whole what is never divided anew: a router that is cut off has its share.",
+            "Part of each quota in fixed equal shares, which also an isolated router may use.",
             0.25,
             0.01,
             1.0,
         ),
         Setting(
-            "pace", ValueType.RATE, "Bytes a second that this may send, and each peer.", 16000.0, 500.0, 1e6
+            "pace",
+            ValueType.RATE,
+            "Bytes a second that this router may send, and each peer.",
+            16000.0,
+            500.0,
+            1e6,
         ),
     ),
 )
@@ -38,17 +45,18 @@
 
 @dataclass(frozen=True)
 class MembershipOptions:
-    """Section `peers` with the names that the code uses.
+    """Values of section `peers` under the names that the code uses.
 
     Attributes:
         group: name of the group; datagrams of another group are rejected.
-        probe_interval_s: time between two probes.
-        suspicion_timeout_s: time in which a suspected router has to refute, in a group of ten or fewer.
-        vote_duration_s: time for which a vote binds its voter.
-        lease_s: time for which a part of the quota may be used without renewal.
-        reserved_share: part of the quota that is divided by the number of configured routers and that each
-            of them may always use.
-        max_bytes_per_s: bound on what is sent, and on what each peer sends.
+        probe_interval_s: time between two probes, in seconds.
+        suspicion_timeout_s: time in which a suspected router has to refute in a group of ten or fewer, in
+            seconds; it is longer in larger groups.
+        vote_duration_s: time for which a vote binds its voter, in seconds.
+        lease_s: time for which a leased share of the quota may be used without renewal, in seconds.
+        reserved_share: part of the quota, from 0 to 1, that is divided evenly among the configured routers
+            and that each of them may always use.
+        max_bytes_per_s: limit on the bytes sent a second by this router, and by each peer.
     """
 
     group: str
@@ -61,7 +69,11 @@
 
     @classmethod
     def from_section(cls, values: Mapping[str, Any]) -> MembershipOptions:
-        """Options from the section's values, which the operator's file has checked."""
+        """Creates the options from the values of the section.
+
+        Args:
+            values: values by setting name, validated when the operator's file was read.
+        """
         return cls(
             group=values["group"],
             probe_interval_s=values["period"],
--- a/marbleworks/membership/report.py
+++ b/marbleworks/membership/report.py
@@ -1,7 +1,7 @@
-"""The group's view as `health` returns it and as `peers show` and `peers watch` print it.
+"""The view of the group as `health` returns it and as `peers show` and `peers watch` print it.
 
-The keys and texts of that view are an interface to operators and stay as they are; only this module maps the
-code's terms to them.
+The keys and texts of that view are an interface to operators and must not change. Only this module maps the
+terms of the code to them.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from marbleworks.membership.node import MembershipNode
 from marbleworks.membership.status import QuorumStatus, QuotaRole
 
-QUERY_TIMEOUT_S = 3.0
-RECEIVE_BYTES = 65536
+QUERY_TIMEOUT_S = 3.0  # for the connection and for each receive
+RECEIVE_BYTES = 65536  # buffer size of one receive
 COLUMNS = ("router", "start", "incarnation", "state", "since", "view", "answered")
 STATE_TEXTS = {
     MemberState.ALIVE: "up",
@@ -42,13 +42,20 @@
 
 
 class HealthQueryError(Exception):
-    """A router's health can't be queried; the text says why."""
+    """The health of a router cannot be queried; the text says why."""
 
 
 def render_view(
     node: MembershipNode, role: QuotaRole | None, invalid_datagrams: int, now: float
 ) -> dict[str, Any]:
-    """The view for operators: texts, and below `rows` a list of texts for each member."""
+    """Returns the view for operators: strings, and under `rows` a list of strings for each member.
+
+    Args:
+        node: this router's node of the group.
+        role: role as last reported; None before the first report.
+        invalid_datagrams: number of datagrams that could not be decoded.
+        now: current time, in seconds of the node's clock.
+    """
     detector = node.failure_detector
     view = detector.view
     status = node.partition_status(now)
@@ -73,14 +80,14 @@
 
 
 def _member_row(member: Member, node: MembershipNode, now: float) -> list[str]:
-    """The cells of `COLUMNS` for one member."""
+    """Returns the row of one member, with the columns `COLUMNS`."""
     detector = node.failure_detector
     is_self = member.router == detector.router_index
     if is_self:
         agreement = "itself"
         answered = "-"
     else:
-        agreement = _agreement(member, detector.view.digest, now)
+        agreement = _view_agreement(member, detector.view.digest, now)
         probed_at = member.last_answered_probe_at
         answered = f"{now - probed_at:.1f} s ago" if probed_at > 0 else "never"
     return [
@@ -94,7 +101,7 @@
     ]
 
 
-def _agreement(member: Member, digest: int, now: float) -> str:
+def _view_agreement(member: Member, digest: int, now: float) -> str:
     if member.view_digest == digest:
         return "agrees"
     if member.differs_since is None:
@@ -103,43 +110,43 @@
 
 
 def query_health(address: str, subsystem: str = "peers") -> dict[str, Any]:
-    """A subsystem's part of the `health` answer of a running router.
+    """Returns a subsystem's section of the `health` response of a running router.
 
     Args:
-        address: host:port where the router listens for clients.
-        subsystem: name of the subsystem's section.
+        address: host:port on which the router listens for clients.
+        subsystem: name of the section.
 
     Raises:
-        HealthQueryError: the address is malformed, or the router does not answer or has no such subsystem.
+        HealthQueryError: The address is malformed, the router does not answer, or it has no such section.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
-        raise HealthQueryError("expected host:port")
+        raise HealthQueryError("invalid address: expected host:port")
     try:
         with socket.create_connection((host, int(port)), QUERY_TIMEOUT_S) as sock:
             sock.sendall(msgpack.packb([0, 1, "health", [{"about": subsystem}]]))
             result = _receive_response(sock)[3][1]
             if not result:
-                raise HealthQueryError(f"the router has no section ({subsystem})")
+                raise HealthQueryError(f"the health response of the router has no section '{subsystem}'")
             return dict(result)
     except (OSError, IndexError, TypeError) as err:
         raise HealthQueryError(str(err)) from None
 
 
 def _receive_response(sock: socket.socket) -> Any:
-    """The first MessagePack-RPC message that arrives."""
+    """Returns the first MessagePack-RPC message that arrives."""
     unpacker = msgpack.Unpacker()
     while True:
         data = sock.recv(RECEIVE_BYTES)
         if not data:
-            raise HealthQueryError("the router ended the connection")
+            raise HealthQueryError("the router closed the connection before its response was complete")
         unpacker.feed(data)
         for message in unpacker:
             return message
 
 
 def format_view(view: dict[str, Any]) -> list[str]:
-    """Lines to print: what holds for the router, then a table of the members."""
+    """Returns the lines to print: a summary of the router, then a table of the members."""
     lines = [
         f"router {view['me']}: {view['cut']} (sure {view['sure']}), view {view['view']} {view['digest']}",
         f"{view['right']}: part {view['part']} of the whole, place {view['place']} of {view['among']},"
@@ -152,22 +159,25 @@
 
 
 def format_table(columns: tuple[str, ...], rows: list[list[str]]) -> list[str]:
-    """Lines of a table with aligned columns, the first of them the heads."""
+    """Returns the lines of a table with aligned columns; the first line has the column names."""
     cells = [columns, *(tuple(row) for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
-    return ["  ".join(cell.ljust(w) for cell, w in zip(row, widths, strict=True)).rstrip() for row in cells]
+    return [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in cells
+    ]
 
 
 def watch_view(address: str, interval_s: float, max_queries: int) -> Iterator[str]:
-    """A line for each change in a router's view.
+    """Yields a line for each change in the view of a router.
 
     Args:
-        address: host:port where the router listens for clients.
-        interval_s: time between two queries.
-        max_queries: number of queries; 0 for no end.
+        address: host:port on which the router listens for clients.
+        interval_s: time between two queries, in seconds.
+        max_queries: number of queries; 0 for no limit.
 
     Raises:
-        HealthQueryError: the first query fails; later failures are lines.
+        HealthQueryError: The first query failed. Later failures are yielded as lines.
     """
     last: dict[str, str] = {}
     queries = 0
@@ -188,6 +198,6 @@
 
 
 def _summary(view: dict[str, Any]) -> dict[str, str]:
-    """What is watched of a view, by its subject."""
+    """Returns the watched texts of a view, keyed by what they describe."""
     standing = f"{view['cut']}, {view['right']}, part {view['part']} among {view['among']}"
     return {"standing": standing} | {f"router {row[0]}": f"{row[3]}, start {row[1]}" for row in view["rows"]}
--- a/marbleworks/membership/service.py
+++ b/marbleworks/membership/service.py
@@ -1,4 +1,4 @@
-"""Group membership at work: an actor that carries the datagrams of a `MembershipNode` and reports changes."""
+"""The group membership actor: transports the datagrams of a `MembershipNode` and reports changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from marbleworks.net.actor import LOG, Actor, clock
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 
-INVALID_DATAGRAM_LOG_INTERVAL_S = 10.0  # for one peer
+INVALID_DATAGRAM_LOG_INTERVAL_S = 10.0  # minimum time between such log lines about one peer
 MIN_TICK_INTERVAL_S = 0.01
 STATE_EVENTS = {
     MemberState.ALIVE: "member alive",
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class QuotaShare:
-    """The part of each quota that this router may use.
+    """The share of each quota that this router may use.
 
     Attributes:
-        share: from 0 to 1.
-        divisor: number of routers that the division counts.
-        index: this router's index among them; -1 where it may only use its reserved share.
-        valid_until: when the reserved share alone is left, by the clock of actors.
-        reserved_share: what this router may always use.
+        share: share of the quota, from 0 to 1.
+        divisor: number of routers in the division.
+        index: index of this router among them; -1 if it may only use its reserved share.
+        valid_until: time from which only the reserved share may be used, in seconds of the actors' clock.
+        reserved_share: share of the quota that this router may always use, from 0 to 1.
     """
 
     share: float
@@ -48,16 +48,16 @@
 
 
 class MembershipService(Actor):
-    """This router's membership in its group.
+    """Membership of this router in its group.
+
+    Listeners are called in this actor's greenlet: `leader_listeners` with the leader to follow,
+    `view_listeners` with the generations of the live routers, keyed by router index.
 
     Args:
-        options: the operator's settings.
+        options: settings of the operator.
         peers: transport to the other routers.
-        seed: of the random choices of probe targets.
-        on_share: called with the router's part of each quota when that changes.
-
-    Listeners are called in this actor's greenlet: `leader_listeners` with the leader to follow,
-    `view_listeners` with the generation of each live router by its index.
+        seed: seed of the random choice of probe targets.
+        on_share: called with this router's share of each quota when that changes.
     """
 
     def __init__(
@@ -76,10 +76,10 @@
         self.view_listeners: list[Callable[[dict[int, int]], None]] = []
         self.quorum: QuorumStatus | None = None
         self.role: QuotaRole | None = None
-        self.invalid_datagrams: dict[int, dict[str, int]] = {}  # by peer and cause
+        self.invalid_datagrams: dict[int, dict[str, int]] = {}  # keyed by peer and cause
         self._reserved_share = options.reserved_share / self.router_count
         self._on_share = on_share
-        # By the node's clock. The router starts with an even part for good.
+        # `valid_until` is by the node's clock. The router starts with an even share that does not expire.
         self._share = self._quota_share(
             1.0 / self.router_count, self.router_count, self.router_index, math.inf
         )
@@ -94,7 +94,7 @@
         self.post(self.receive, peer, data)
 
     def receive(self, peer: int, data: bytes) -> None:
-        """Handles a datagram; one that is invalid is counted for its sender."""
+        """Handles a datagram; an invalid one is counted for its sender."""
         try:
             message = decode(self.group, self.router_count, data)
         except DatagramDecodeError as err:
@@ -112,19 +112,19 @@
             LOG.warning("member datagram invalid", router=peer, cause=cause, count=causes[cause])
 
     def on_timer(self) -> None:
-        """Does what is due."""
+        """Processes what is due in the node."""
         now = time.monotonic()
         self._send(self.node.tick(now))
         self._report(now)
 
     def leave(self) -> None:
-        """Begins a planned stop: notifies the other routers at once."""
+        """Starts a planned stop: notifies the other routers at once."""
         now = time.monotonic()
         self._send(self.node.leave(now))
         self._report(now)
 
     def health_view(self) -> dict[str, Any]:
-        """The view as `health` returns it and `peers show` prints it: texts and lists of texts."""
+        """Returns the view that `health` returns and `peers show` prints: strings and lists of strings."""
         invalid = sum(sum(causes.values()) for causes in self.invalid_datagrams.values())
         return render_view(self.node, self.role, invalid, time.monotonic())
 
@@ -133,7 +133,7 @@
             self._send_datagram(encode(self.group, message), to)
 
     def _report(self, now: float) -> None:
-        """Logs and passes on what changed, and sets the timer."""
+        """Logs changes, notifies listeners of them and sets the timer."""
         changes = self.node.take_changes()
         for change in changes:
             self._log_change(change)
@@ -196,6 +196,6 @@
         if leader == self._leader:
             return
         self._leader = leader
-        shifted = replace(leader, leader_until=clock() + (leader.leader_until - now))
+        leader_by_actor_clock = replace(leader, leader_until=clock() + (leader.leader_until - now))
         for listener in self.leader_listeners:
-            listener(shifted)
+            listener(leader_by_actor_clock)
--- a/marbleworks/membership/status.py
+++ b/marbleworks/membership/status.py
@@ -1,4 +1,4 @@
-"""What a router may do at a moment: quorum, leadership and its part of the quota."""
+"""Status of a router at one time: quorum, leadership and its share of the quota."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class QuorumStatus(Enum):
-    """Which partition of the group a router is in, by its view."""
+    """Kind of the network partition that a router is in, according to its view."""
 
     COMPLETE = "complete"
     MAJORITY = "majority"
@@ -16,7 +16,12 @@
 
     @classmethod
     def of(cls, alive: int, router_count: int) -> QuorumStatus:
-        """The status where so many of the configured routers are alive, ourselves among them."""
+        """Returns the status for a number of live routers.
+
+        Args:
+            alive: number of live routers, including this one.
+            router_count: number of configured routers.
+        """
         if alive >= router_count:
             return cls.COMPLETE
         if 2 * alive > router_count:
@@ -25,25 +30,26 @@
 
 
 class QuotaRole(Enum):
-    """How a router takes part in the division of the quota."""
+    """Role of a router in the division of the quota."""
 
-    LEADER = "leader"  # it divides
-    HOLDER = "holder"  # it holds a part besides its reserved share
+    LEADER = "leader"  # divides the quota
+    HOLDER = "holder"  # holds a leased share besides its reserved one
     RESERVED_ONLY = "reserved only"
 
 
 @dataclass(frozen=True)
 class PartitionStatus:
-    """What holds at a moment.
+    """Status of a router at one time.
 
     Attributes:
-        quorum: the partition that the router is in.
-        confirmed_share: part of its routers that have answered a probe within the last vote duration.
-        is_leader: whether this router leads the group; at most one does.
-        quota_share: part of the quota that this router may use.
-        divisor: number of routers that the division in force counts; of configured ones where there is none.
-        index: this router's index among them; -1 where it may only use its reserved share.
-        valid_until: when that ends unless it is renewed; infinite where index is -1.
+        quorum: kind of the partition that the router is in.
+        confirmed_share: fraction of the live routers that answered a probe within the last vote duration.
+        is_leader: whether this router leads the group; at most one router does.
+        quota_share: share of the quota that this router may use, from 0 to 1.
+        divisor: number of routers in the division in force; number of configured routers if there is none.
+        index: index of this router among them; -1 if it may only use its reserved share.
+        valid_until: time at which the leased share expires unless it is renewed, in seconds; infinite if
+            index is -1.
     """
 
     quorum: QuorumStatus
@@ -56,7 +62,7 @@
 
     @property
     def role(self) -> QuotaRole:
-        """The role by leadership and by the part held."""
+        """Role that follows from the leadership and the held share."""
         if self.is_leader:
             return QuotaRole.LEADER
         return QuotaRole.HOLDER if self.index >= 0 else QuotaRole.RESERVED_ONLY
