--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,4 +1,8 @@
-"""Several routers as processes, and faults between them: killed, stopped, cut off, followed, lied to."""
+"""Tests of group membership with several router processes.
+
+Routers are killed, suspended, restarted, duplicated, partitioned from each other and sent false reports; the
+network between them is simulated by `FaultNet`. The texts in the assertions are those of `health`.
+"""
 
 import random
 import signal
@@ -16,46 +20,56 @@
 from marbleworks.membership.codec import MemberState, MemberUpdate, Message, MessageType, encode, group_hash
 from marbleworks.membership.report import format_view
 
-ROUTERS, ALL = 5, range(5)
+ROUTER_COUNT, ALL_ROUTERS = 5, range(5)
 OPERATOR = "(peers (period 100 ms) (suspicion 600 ms) (term 1500 ms) (lease 1 s))"
-WITHIN = 40.0  # seconds for anything: a busy machine is slow, and the verdict is the same
+CONDITION_TIMEOUT_S = 40.0  # long, since a busy machine only delays the result
 
 
 class Group:
+    """Five router processes that share one group and a simulated network."""
+
     def __init__(self) -> None:
-        self.net = FaultNet(ROUTERS, 7)
-        self.stage = Stage(2, 4, OPERATOR, routers=ROUTERS, net=self.net, lines=True)
+        self.net = FaultNet(ROUTER_COUNT, 7)
+        self.stage = Stage(2, 4, OPERATOR, routers=ROUTER_COUNT, net=self.net, lines=True)
         self.stage.routers[2].module = "marbleworks.lab.stepped"
         for router in self.stage.routers:
             router.start()
-        self.until(self.whole)
+        self.wait_until(self.is_complete)
 
     def view(self, number: int) -> dict[str, Any]:
+        """Returns the section `peers` of the `health` response of a router."""
         client = RpcClient(self.stage.routers[number].address)
         client.send(0, 1, "health", [{"about": "peers"}])
-        said: dict[str, Any] = client.hear(10.0)[3][1]
+        view: dict[str, Any] = client.hear(10.0)[3][1]
         client.sock.close()
-        return said
+        return view
 
-    def living(self, number: int) -> list[int]:
+    def live_routers(self, number: int) -> list[int]:
+        """Returns the live routers in the view of a router, including the suspected ones."""
         return [int(row[0]) for row in self.view(number)["rows"] if row[3] in ("up", "suspected")]
 
-    def up(self, number: int) -> list[int]:
+    def unsuspected_routers(self, number: int) -> list[int]:
+        """Returns the routers in the view of a router that are alive and not suspected."""
         return [int(row[0]) for row in self.view(number)["rows"] if row[3] == "up"]
 
-    def agreed(self, among: Any) -> bool:
-        return all(self.up(n) == list(among) for n in among)
+    def agree_on(self, among: Any) -> bool:
+        """Whether each of the routers sees exactly these routers alive."""
+        return all(self.unsuspected_routers(number) == list(among) for number in among)
 
-    def parts(self, among: Any = ALL) -> float:
-        return sum(float(self.view(n)["part"]) for n in among)
+    def total_share(self, among: Any = ALL_ROUTERS) -> float:
+        """Returns the sum of the quota shares of the routers."""
+        return sum(float(self.view(number)["part"]) for number in among)
 
-    def whole(self) -> bool:
-        """All agree on all, and each has its part."""
-        return self.agreed(ALL) and all(self.view(n)["right"] != "keeps" for n in ALL)
+    def is_complete(self) -> bool:
+        """Whether all routers see each other alive and each holds a leased share or leads."""
+        return self.agree_on(ALL_ROUTERS) and all(
+            self.view(number)["right"] != "keeps" for number in ALL_ROUTERS
+        )
 
-    def until(self, true: Callable[[], bool]) -> None:
-        with gevent.Timeout(WITHIN):
-            while not true():
+    def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Waits for a condition; raises `gevent.Timeout` if it does not become true in time."""
+        with gevent.Timeout(CONDITION_TIMEOUT_S):
+            while not condition():
                 gevent.sleep(0.05)
 
     def close(self) -> None:
@@ -65,165 +79,187 @@
 
 @pytest.fixture(scope="module")
 def group() -> Iterator[Group]:
-    made = Group()
-    yield made
-    made.close()
+    processes = Group()
+    yield processes
+    processes.close()
 
 
-def test_a_group_knows_itself_and_shows_it(group: Group) -> None:
+def test_group_finds_its_members_and_shows_its_view(group: Group) -> None:
     lines = format_view(group.view(2))
-    assert lines[0].startswith("router 2: whole") and len(lines) == 5 + ROUTERS
-    assert sum(group.view(n)["right"] == "divides" for n in range(ROUTERS)) == 1
-    assert all(group.view(n)["among"] == "5" for n in range(ROUTERS))
+    assert lines[0].startswith("router 2: whole") and len(lines) == 5 + ROUTER_COUNT
+    assert sum(group.view(number)["right"] == "divides" for number in range(ROUTER_COUNT)) == 1
+    assert all(group.view(number)["among"] == "5" for number in range(ROUTER_COUNT))
 
 
-def test_one_is_killed_and_comes_back_as_another(group: Group) -> None:
+def test_killed_router_returns_with_a_new_generation(group: Group) -> None:
     group.stage.routers[3].end(signal.SIGKILL)
-    rest = [0, 1, 2, 4]
-    group.until(lambda: group.agreed(rest))
-    group.until(lambda: group.parts(rest) == pytest.approx(0.75 + 0.25 * 4 / 5, abs=1e-3))
+    others = [0, 1, 2, 4]
+    group.wait_until(lambda: group.agree_on(others))
+    group.wait_until(lambda: group.total_share(others) == pytest.approx(0.75 + 0.25 * 4 / 5, abs=1e-3))
     group.stage.routers[3].start()
-    group.until(group.whole)
-    assert group.view(0)["rows"][3][1] == "2" and group.view(3)["rows"][3][1] == "2"  # its second start
+    group.wait_until(group.is_complete)
+    # The second start of router 3 has generation 2.
+    assert group.view(0)["rows"][3][1] == "2" and group.view(3)["rows"][3][1] == "2"
 
 
-def test_one_that_is_stopped_for_five_seconds_removes_nobody_when_it_goes_on(group: Group) -> None:
+def test_router_suspended_for_five_seconds_removes_nobody_when_it_resumes(group: Group) -> None:
     before = len(group.stage.routers[1].log())
     group.stage.routers[1].tell(signal.SIGSTOP)
-    group.until(lambda: group.agreed([0, 2, 3, 4]))
-    gevent.sleep(5.0)  # the fault itself
+    group.wait_until(lambda: group.agree_on([0, 2, 3, 4]))
+    gevent.sleep(5.0)  # duration of the suspension
     group.stage.routers[1].tell(signal.SIGCONT)
-    group.until(lambda: group.agreed(range(ROUTERS)))
+    group.wait_until(lambda: group.agree_on(range(ROUTER_COUNT)))
     assert "member dead" not in group.stage.routers[1].log()[before:]
-    assert group.view(1)["rows"][1][1] == "1"  # the same one, which refuted
-
-
-@pytest.mark.parametrize("parts", [((0, 1), (2, 3, 4)), ((0, 1), (2, 3), (4,))])
-def test_a_cut_leaves_the_right_to_most_of_the_group(parts: Any, group: Group) -> None:
-    group.net.part(*parts)
-    for part in parts:
-        group.until(lambda part=part: group.agreed(part))
-    most = [part for part in parts if len(part) > ROUTERS / 2]
-    few = [n for part in parts if part not in most for n in part]
-    group.until(lambda: all(group.view(n)["right"] == "keeps" for n in few))
-    group.until(lambda: not most or group.parts(most[0]) == pytest.approx(0.75 + 0.15, abs=1e-3))
-    assert sum(group.view(n)["right"] == "divides" for n in range(ROUTERS)) == len(most)
-    assert group.parts() <= 1.0 + 1e-3
+    assert group.view(1)["rows"][1][1] == "1"  # still the first process, which has refuted
+
+
+@pytest.mark.parametrize("partitions", [((0, 1), (2, 3, 4)), ((0, 1), (2, 3), (4,))])
+def test_partition_leaves_leadership_to_the_majority(partitions: Any, group: Group) -> None:
+    group.net.part(*partitions)
+    for members in partitions:
+        group.wait_until(lambda members=members: group.agree_on(members))
+    majority = [members for members in partitions if len(members) > ROUTER_COUNT / 2]
+    minorities = [number for members in partitions if members not in majority for number in members]
+    group.wait_until(lambda: all(group.view(number)["right"] == "keeps" for number in minorities))
+    group.wait_until(
+        lambda: not majority or group.total_share(majority[0]) == pytest.approx(0.75 + 0.15, abs=1e-3)
+    )
+    assert sum(group.view(number)["right"] == "divides" for number in range(ROUTER_COUNT)) == len(majority)
+    assert group.total_share() <= 1.0 + 1e-3
     group.net.part()
-    group.until(group.whole)
+    group.wait_until(group.is_complete)
 
 
-def test_a_planned_stop_is_known_at_once(group: Group) -> None:
+def test_planned_stop_is_known_at_once(group: Group) -> None:
     router = group.stage.routers[2]
     router.tell(signal.SIGTERM)
-    group.until(lambda: all(group.view(n)["rows"][2][3] == "left" for n in (0, 1, 3, 4)))
+    group.wait_until(lambda: all(group.view(number)["rows"][2][3] == "left" for number in (0, 1, 3, 4)))
     router.end()
     assert "planned stop" in group.stage.routers[0].log()
     router.start()
-    group.until(group.whole)
+    group.wait_until(group.is_complete)
 
 
 @pytest.mark.parametrize(("loss", "jitter"), [(0.1, 0.05), (0.3, 0.2)])
-def test_loss_and_spread_and_a_liar_remove_no_healthy_router_for_good(
+def test_loss_jitter_and_false_reports_remove_no_healthy_router_for_good(
     loss: float, jitter: float, group: Group
 ) -> None:
-    chance, sealed = random.Random(5), group_hash("routers 5")
+    rng, group_number = random.Random(5), group_hash("routers 5")
     group.net.loss, group.net.jitter, group.net.doubled = loss, jitter, 0.2
-    logs = [len(router.log()) for router in group.stage.routers]
-    until = time.monotonic() + 4.0  # of load, not of waiting
-    while time.monotonic() < until:
-        to, about = chance.randrange(4), chance.randrange(4)
-        news = MemberUpdate(
-            chance.choice([1, 2, 3, 1 << 30]), chance.choice([0, 9, 1 << 30]), MemberState.DEAD, about
+    log_starts = [len(router.log()) for router in group.stage.routers]
+    end = time.monotonic() + 4.0  # the faults last this long; nothing is waited for
+    while time.monotonic() < end:
+        to, subject = rng.randrange(4), rng.randrange(4)
+        update = MemberUpdate(
+            rng.choice([1, 2, 3, 1 << 30]), rng.choice([0, 9, 1 << 30]), MemberState.DEAD, subject
         )
-        group.net.send(4, to, encode(sealed, Message(MessageType.PING, 1, view_digest=9, updates=(news,))))
-        group.net.send(4, to, chance.randbytes(chance.randrange(1, 256)))
-        group.net.send(4, to, b"\xd1" + chance.randbytes(60))
+        group.net.send(
+            4, to, encode(group_number, Message(MessageType.PING, 1, view_digest=9, updates=(update,)))
+        )
+        group.net.send(4, to, rng.randbytes(rng.randrange(1, 256)))
+        group.net.send(4, to, b"\xd1" + rng.randbytes(60))
         gevent.sleep(0.02)
     group.net.loss = group.net.jitter = group.net.doubled = 0.0
-    group.until(lambda: group.agreed(range(ROUTERS)))
-    for router, start in zip(group.stage.routers[:4], logs, strict=False):
-        assert '"event": "failed"' not in router.log() and "member superseded" not in router.log()[start:]
+    group.wait_until(lambda: group.agree_on(range(ROUTER_COUNT)))
+    for router, log_start in zip(group.stage.routers[:4], log_starts, strict=False):
+        assert '"event": "failed"' not in router.log() and "member superseded" not in router.log()[log_start:]
     assert int(group.view(0)["unreadable"]) > 0
 
 
-def test_all_are_started_anew_one_after_the_other(group: Group) -> None:
+def test_rolling_restart_of_all_routers(group: Group) -> None:
     for number, router in enumerate(group.stage.routers):
         assert router.end() == 0
         router.start()
-        group.until(lambda number=number: number in group.up((number + 1) % ROUTERS))
-    group.until(group.whole)
+        group.wait_until(
+            lambda number=number: number in group.unsuspected_routers((number + 1) % ROUTER_COUNT)
+        )
+    group.wait_until(group.is_complete)
 
 
-def test_a_second_process_of_a_name_is_noticed_by_both_and_the_older_yields(group: Group) -> None:
-    twin = group.stage.twin(3, group.net)
-    start = int(group.view(3)["rows"][3][1])
-    twin.start()
+def test_second_process_with_the_same_index_supersedes_the_older_one(group: Group) -> None:
+    newer = group.stage.twin(3, group.net)
+    generation = int(group.view(3)["rows"][3][1])
+    newer.start()
     try:
-        group.until(lambda: group.view(3)["yielded"] == "yes")
-        group.until(lambda: all(group.view(n)["rows"][3][1] == str(start + 1) for n in (0, 1, 2, 4)))
+        group.wait_until(lambda: group.view(3)["yielded"] == "yes")
+        group.wait_until(
+            lambda: all(group.view(number)["rows"][3][1] == str(generation + 1) for number in (0, 1, 2, 4))
+        )
         assert group.stage.routers[3].log().count("member superseded") == 1
-        assert "member superseded" not in twin.log()
+        assert "member superseded" not in newer.log()
     finally:
         del group.net.twins[3]
-        twin.end(signal.SIGKILL)
+        newer.end(signal.SIGKILL)
     group.stage.routers[3].end(signal.SIGKILL)
     group.stage.routers[3].start()
-    group.until(group.whole)
-    assert group.view(3)["rows"][3][1] == str(start + 2)
+    group.wait_until(group.is_complete)
+    assert group.view(3)["rows"][3][1] == str(generation + 2)
 
 
 @pytest.mark.parametrize("step", [3600.0, -7200.0])
 def test_a_clock_that_steps_changes_nothing(step: float, group: Group) -> None:
+    """The wall clock of router 2 jumps by `step` seconds; membership has to use the monotonic clock."""
     router = group.stage.routers[2]
     router.end()
     with pytest.MonkeyPatch.context() as patch:
         patch.setenv("MARBLEWORKS_LAB_STEP", str(step))
         router.start()
-    group.until(group.whole)
-    views, logs = [group.living(n) for n in ALL], [len(r.log()) for r in group.stage.routers]
+    group.wait_until(group.is_complete)
+    views, log_starts = (
+        [group.live_routers(number) for number in ALL_ROUTERS],
+        [len(process.log()) for process in group.stage.routers],
+    )
     router.tell(signal.SIGUSR1)
-    serial = group.net.passed
-    group.until(lambda: group.net.passed > serial + 600)  # some rounds of probes and votes
-    assert [group.living(n) for n in ALL] == views
-    told = [
-        line for r, at in zip(group.stage.routers, logs, strict=True) for line in r.log()[at:].splitlines()
+    passed_before = group.net.passed
+    group.wait_until(lambda: group.net.passed > passed_before + 600)  # some rounds of probes and votes
+    assert [group.live_routers(number) for number in ALL_ROUTERS] == views
+    new_lines = [
+        line
+        for process, log_start in zip(group.stage.routers, log_starts, strict=True)
+        for line in process.log()[log_start:].splitlines()
     ]
     assert [
-        line for line in told if '"event": "member dead"' in line or '"event": "member alive"' in line
+        line for line in new_lines if '"event": "member dead"' in line or '"event": "member alive"' in line
     ] == []
 
 
-def test_a_router_cut_from_its_engines_answers_each_command_and_stays_in_the_group(group: Group) -> None:
-    lines, views = group.stage.lines[1], [group.living(n) for n in ALL]
+def test_router_cut_off_from_its_engines_answers_requests_and_stays_a_member(group: Group) -> None:
+    lines, views = group.stage.lines[1], [group.live_routers(number) for number in ALL_ROUTERS]
     lines.hold("engines", True, False)
-    near, far = Caller(lines.front, "oslo", 1), Caller(group.stage.lines[0].front, "oslo", 2)
-    assert near.ask("date-lookup", 20, 600).end in ("shed", "failed")
-    assert far.ask("date-lookup", 20, 600).end == "answered"
+    client_of_cut_off, client_of_other = (
+        Caller(lines.front, "oslo", 1),
+        Caller(group.stage.lines[0].front, "oslo", 2),
+    )
+    assert client_of_cut_off.ask("date-lookup", 20, 600).end in ("shed", "failed")
+    assert client_of_other.ask("date-lookup", 20, 600).end == "answered"
     lines.hold("engines")
-    group.until(lambda: near.ask("date-lookup", 20, 600).end == "answered")
+    group.wait_until(lambda: client_of_cut_off.ask("date-lookup", 20, 600).end == "answered")
     lines.reset("engines")
-    group.until(lambda: near.ask("date-lookup", 20, 600).end == "answered")
-    assert [group.living(n) for n in ALL] == views
+    group.wait_until(lambda: client_of_cut_off.ask("date-lookup", 20, 600).end == "answered")
+    assert [group.live_routers(number) for number in ALL_ROUTERS] == views
 
 
-def test_a_star_whose_middle_dies_leaves_each_alone(group: Group) -> None:
-    logs = [len(router.log()) for router in group.stage.routers]
+def test_death_of_the_center_of_a_star_isolates_the_others(group: Group) -> None:
+    """All datagrams between routers other than router 0 are lost, until router 0 is killed."""
+    log_starts = [len(router.log()) for router in group.stage.routers]
     group.net.cut = lambda sender, to: 0 not in (sender, to)
-    before = group.net.passed
-    group.until(lambda: group.net.passed > before + 800)
-    assert group.agreed(range(ROUTERS)) and group.parts() == pytest.approx(1.0, abs=1e-3)
-    assert not any("member dead" in r.log()[at:] for r, at in zip(group.stage.routers, logs, strict=True))
+    passed_before = group.net.passed
+    group.wait_until(lambda: group.net.passed > passed_before + 800)
+    assert group.agree_on(range(ROUTER_COUNT)) and group.total_share() == pytest.approx(1.0, abs=1e-3)
+    assert not any(
+        "member dead" in router.log()[log_start:]
+        for router, log_start in zip(group.stage.routers, log_starts, strict=True)
+    )
     group.stage.routers[0].end(signal.SIGKILL)
-    group.until(lambda: all(group.view(n)["cut"] == "alone" for n in (1, 2, 3, 4)))
-    assert group.parts([1, 2, 3, 4]) == pytest.approx(0.2, abs=1e-3)
+    group.wait_until(lambda: all(group.view(number)["cut"] == "alone" for number in (1, 2, 3, 4)))
+    assert group.total_share([1, 2, 3, 4]) == pytest.approx(0.2, abs=1e-3)
     group.net.part()
     group.stage.routers[0].start()
-    group.until(group.whole)
+    group.wait_until(group.is_complete)
 
 
-def test_all_but_one_are_killed_and_it_only_keeps_its_own(group: Group) -> None:
+def test_sole_survivor_uses_only_its_reserved_share(group: Group) -> None:
     for number in (0, 2, 3, 4):
         group.stage.routers[number].end(signal.SIGKILL)
-    group.until(lambda: group.view(1)["cut"] == "alone" and group.view(1)["right"] == "keeps")
+    group.wait_until(lambda: group.view(1)["cut"] == "alone" and group.view(1)["right"] == "keeps")
     assert float(group.view(1)["part"]) == pytest.approx(0.05, abs=1e-3)
