--- a/marbleworks/background/__init__.py
+++ b/marbleworks/background/__init__.py
@@ -1,1 +1,1 @@
-"""Background tasks: work that no request waits for, within a share of the core and a rate of bytes."""
+"""Background tasks: work that no request waits for, limited to a share of the core and an I/O rate."""
--- a/marbleworks/background/options.py
+++ b/marbleworks/background/options.py
@@ -10,24 +10,30 @@
 
 BACKGROUND_SECTION = Section(
     "background",
-    "chores beside the commands: expiry, compaction, checkpoints, scrubbing",
+    "background tasks: expiry, compaction, checkpoints, scrubbing",
     (
         Setting(
             "core",
             ValueType.SHARE,
-            "The part of the core that chores may use.",
+            "Share of the core that background tasks may use.",
             0.1,
             0.01,
             0.5,
             reloadable=True,
         ),
         Setting(
-            "bytes", ValueType.RATE, "Bytes that chores may read and write.", 20e6, 1e5, 2e9, reloadable=True
+            "bytes",
+            ValueType.RATE,
+            "Bytes that background tasks may read and write per second.",
+            20e6,
+            1e5,
+            2e9,
+            reloadable=True,
         ),
         Setting(
             "patience",
             ValueType.DURATION,
-            "After this long a chore goes although the desk is behind.",
+            "Longest wait of a background task; after it the task runs although the router is backlogged.",
             10.0,
             0.1,
             600.0,
@@ -39,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BackgroundOptions:
-    """What the operator allows background tasks.
+    """The operator's limits for background tasks.
 
     Attributes:
-        core_share: share of the router's core.
-        bytes_per_s: bytes that they read and write a second.
-        max_wait_s: a task that has waited so long runs although the router is busy.
+        core_share: share of the router's core that tasks may use.
+        bytes_per_s: bytes that tasks may read and write per second.
+        max_wait_s: seconds after which a waiting task runs although the router is backlogged.
     """
 
     core_share: float
@@ -53,5 +59,5 @@
 
     @classmethod
     def from_section(cls, values: Mapping[str, Any]) -> BackgroundOptions:
-        """Reads the section's checked values."""
+        """Creates the options from the checked values of the section `background`."""
         return cls(core_share=values["core"], bytes_per_s=values["bytes"], max_wait_s=values["patience"])
--- a/marbleworks/background/task_runner.py
+++ b/marbleworks/background/task_runner.py
@@ -1,7 +1,8 @@
-"""Runs background tasks step by step beside the requests, blocking calls on a thread of their own.
+"""Runs background tasks step by step between requests, and their blocking calls on a separate thread.
 
-A step runs in the hub's thread, so it must be short: a file access or a long computation is yielded as an
-`OffloadedCall`. `task_queue` decides which task's step runs next; no two run at once.
+A step runs in the thread of the gevent hub, so it must be short: a file access or a long computation is
+yielded as an `OffloadedCall`. `task_queue` decides which task's step runs next. Steps never run
+concurrently, except those of dedicated tasks.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from marbleworks.net.actor import LOG, clock, spawn
 
 MAX_SLEEP_S = 0.5
-"""The longest sleep: whether the router is backlogged is asked again by then."""
+"""Longest sleep of the runner, after which it checks again whether the router is backlogged."""
 MIN_SLEEP_S = 0.001
 STOP_TIMEOUT_S = 5.0
 BACKLOG_THRESHOLD = 16
-"""Mails in the dispatcher's mailbox above which the router is backlogged."""
+"""Messages in the dispatcher's mailbox above which the router counts as backlogged."""
 
 
 @dataclass(frozen=True)
 class OffloadedCall:
-    """Yielded by a task: `work` is called on the tasks' thread, and the task gets what it returns or raises.
+    """Yielded by a task to call `work` on the worker thread; the task receives its result or exception.
 
     Attributes:
-        work: the call.
-        io_bytes: bytes that it reads or writes, for the budget.
+        work: the blocking call.
+        io_bytes: bytes that the call reads or writes, charged to the I/O budget.
     """
 
     work: Callable[[], Any]
@@ -42,11 +43,11 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Yielded by a task: it gets the outcome of something that another greenlet does.
+    """Yielded by a task to wait for another greenlet; the task receives its result or exception.
 
     Attributes:
-        outcome: set or failed by the other greenlet.
-        io_bytes: bytes that this reads or writes, for the budget.
+        outcome: set to the result or the exception by the other greenlet.
+        io_bytes: bytes that the other greenlet reads or writes, charged to the I/O budget.
     """
 
     outcome: AsyncResult[Any]
@@ -58,20 +59,20 @@
 
 @dataclass(eq=False)
 class PeriodicTask:
-    """A task that runs again and again.
+    """A task that runs periodically.
 
     Attributes:
-        name: for the log and for `TaskRunner.run_soon`.
-        priority: a smaller one runs first.
-        period_s: seconds from its end to its next start.
-        start: makes the generator of its steps.
-        start_within_s: after this time past `due_at` its start is overdue.
-        due_at: when it is to start next.
-        dedicated: whether it has a greenlet of its own, outside the queue and its budgets.
-        steps: the generator while it runs.
-        rerun: whether it is to start again right after its end.
-        next_value: what the next step is sent.
-        next_error: what is raised in the next step, if anything.
+        name: name in log lines and for `TaskRunner.run_soon`.
+        priority: a smaller number runs first.
+        period_s: returns the seconds between the end of a run and the start of the next.
+        start: creates the generator of the task's steps.
+        start_within_s: seconds after being queued at which the task's start is overdue.
+        due_at: time of the next start.
+        dedicated: whether the task has a greenlet of its own, outside the queue and its budgets.
+        steps: the generator of the current run; None between runs.
+        rerun: whether the task starts again as soon as the current run ends.
+        next_value: value that is sent to the next step.
+        next_error: exception that is raised in the next step, if any.
         wake_event: wakes the greenlet of a dedicated task.
     """
 
@@ -90,11 +91,11 @@
 
 
 class TaskRunner:
-    """Runs periodic tasks for as long as the router runs.
+    """Runs periodic tasks until it is stopped.
 
     Args:
-        options: the tasks' share of the core, rate of bytes and longest wait.
-        is_backlogged: whether requests wait for the router.
+        options: the tasks' share of the core, I/O rate and longest wait.
+        is_backlogged: returns whether the router is backlogged with requests.
     """
 
     def __init__(self, options: BackgroundOptions, is_backlogged: Callable[[], bool]) -> None:
@@ -108,7 +109,7 @@
         self.greenlet = spawn(self._run)
 
     def configure(self, options: BackgroundOptions) -> None:
-        """Changes the limits while tasks run."""
+        """Applies new limits while tasks run."""
         self.queue.set_limits(options.core_share, options.bytes_per_s, options.max_wait_s)
 
     def add_periodic(
@@ -120,9 +121,18 @@
         start_within_s: float,
         dedicated: bool = False,
     ) -> None:
-        """Adds a task; each yield of its generator ends a step.
-
-        A dedicated task is short and others depend on it: it waits neither for them nor for the budgets.
+        """Adds a periodic task; each yield of its generator ends a step.
+
+        A dedicated task is for short work that other tasks depend on: it waits neither for the queue nor for
+        the budgets.
+
+        Args:
+            name: name in log lines and for `run_soon`.
+            priority: a smaller number runs first.
+            period_s: returns the seconds between the end of a run and the start of the next.
+            start: creates the generator of the task's steps.
+            start_within_s: seconds after being queued at which the task's start is overdue.
+            dedicated: whether the task gets a greenlet of its own.
         """
         due_at = clock() + period_s()
         task = PeriodicTask(name, priority, period_s, start, start_within_s, due_at, dedicated)
@@ -131,7 +141,7 @@
             spawn(self._run_dedicated, task)
 
     def run_soon(self, name: str) -> None:
-        """Makes the task of that name due now, or again at its end if it runs."""
+        """Makes the task of that name due now; if it is running, it runs again as soon as it ends."""
         for task in self.periodic_tasks:
             if task.name == name:
                 task.due_at = 0.0
@@ -139,7 +149,7 @@
                 (task.wake_event if task.dedicated else self.wake_event).set()
 
     def stop(self) -> None:
-        """Begins no further step and waits for the one that runs."""
+        """Starts no further step and waits for the running one, for at most `STOP_TIMEOUT_S`."""
         self.stopped = True
         self.wake_event.set()
         for task in self.periodic_tasks:
@@ -169,11 +179,13 @@
                 self.running[task] = periodic
 
     def _sleep(self, now: float, backlogged: bool) -> None:
-        times = [task.due_at for task in self.periodic_tasks if task.steps is None and not task.dedicated]
-        wakeup = self.queue.next_wakeup(now, backlogged)
-        if wakeup is not None:
-            times.append(wakeup)
-        until_next = min(times, default=now + MAX_SLEEP_S) - now
+        wakeup_times = [
+            task.due_at for task in self.periodic_tasks if task.steps is None and not task.dedicated
+        ]
+        next_wakeup_at = self.queue.next_wakeup(now, backlogged)
+        if next_wakeup_at is not None:
+            wakeup_times.append(next_wakeup_at)
+        until_next = min(wakeup_times, default=now + MAX_SLEEP_S) - now
         self.wake_event.clear()
         self.wake_event.wait(min(max(until_next, MIN_SLEEP_S), MAX_SLEEP_S))
 
@@ -184,43 +196,43 @@
             if task.due_at > clock():
                 task.wake_event.wait(max(task.due_at - clock(), MIN_SLEEP_S))
                 continue
-            task.due_at = clock() + MAX_SLEEP_S  # `run_soon` may bring it forward while it runs
+            task.due_at = clock() + MAX_SLEEP_S  # `run_soon` may set an earlier time during the run
             try:
                 run_to_end(task.start(), threads)
-            except Exception:  # noqa: BLE001 - a failed run is logged, and the next one follows
+            except Exception:  # noqa: BLE001 - a failed run is logged, and the task runs again
                 LOG.exception("failed", work=task.name)
                 gevent.sleep(MAX_SLEEP_S)
             task.due_at = min(task.due_at, clock() + task.period_s())
 
     def _run_step(self, task: Task) -> None:
         periodic = self.running[task]
-        began = time.thread_time()
-        finished, yielded = _resume(periodic)
-        core_s = time.thread_time() - began
+        started_at = time.thread_time()
+        finished, yielded = _run_to_next_yield(periodic)
+        core_s = time.thread_time() - started_at
         periodic.next_value = None
         periodic.next_error = None
         io_bytes = 0
         if yielded is not None:
             io_bytes = yielded.io_bytes
-            core_s += self._fulfil(periodic, yielded)
+            core_s += self._complete_yielded(periodic, yielded)
         self.queue.record_step(task, clock(), core_s, io_bytes)
         if finished:
-            self._finish(task)
+            self._finish_run(task)
         gevent.sleep(0)
 
-    def _fulfil(self, periodic: PeriodicTask, yielded: OffloadedCall | Wait) -> float:
-        """Does what the step asked for; returns the seconds of the core that it took on the tasks' thread."""
+    def _complete_yielded(self, periodic: PeriodicTask, yielded: OffloadedCall | Wait) -> float:
+        """Carries out what the step yielded; returns the core seconds that it took on the worker thread."""
         core_s = 0.0
         try:
             if isinstance(yielded, OffloadedCall):
-                core_s, periodic.next_value = self.threads.call(_timed, yielded.work)
+                core_s, periodic.next_value = self.threads.call(_call_timed, yielded.work)
             else:
                 periodic.next_value = yielded.outcome.get()
         except Exception as error:  # noqa: BLE001 - it is raised in the task's next step
             periodic.next_error = error
         return core_s
 
-    def _finish(self, task: Task) -> None:
+    def _finish_run(self, task: Task) -> None:
         periodic = self.running.pop(task)
         self.queue.remove(task)
         periodic.steps = None
@@ -228,8 +240,12 @@
         periodic.rerun = False
 
 
-def _resume(periodic: PeriodicTask) -> tuple[bool, OffloadedCall | Wait | None]:
-    """Runs the task to its next yield; returns whether it finished, and what it yielded."""
+def _run_to_next_yield(periodic: PeriodicTask) -> tuple[bool, OffloadedCall | Wait | None]:
+    """Runs the task to its next yield.
+
+    Returns:
+        Whether the task finished or failed, and what it yielded.
+    """
     assert periodic.steps is not None
     try:
         return False, _advance(periodic.steps, periodic.next_value, periodic.next_error)
@@ -245,7 +261,7 @@
 
 
 def run_to_end(steps: TaskSteps, threads: WorkerThreads) -> None:
-    """Runs a task's steps from the first to the last; blocking calls go to `threads`."""
+    """Runs all steps of a task without a queue or budgets; blocking calls run on `threads`."""
     value: Any = None
     error: Exception | None = None
     while True:
@@ -263,7 +279,7 @@
             error = caught
 
 
-def _timed(work: Callable[[], Any]) -> tuple[float, Any]:
-    began = time.thread_time()
+def _call_timed(work: Callable[[], Any]) -> tuple[float, Any]:
+    started_at = time.thread_time()
     value = work()
-    return time.thread_time() - began, value
+    return time.thread_time() - started_at, value
--- a/marbleworks/background/threads.py
+++ b/marbleworks/background/threads.py
@@ -1,4 +1,4 @@
-"""Threads for calls that would block the hub."""
+"""A thread pool for calls that would block the gevent hub."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class WorkerThreads:
-    """A pool of threads that greenlets hand blocking calls to.
+    """A pool of threads on which greenlets run blocking calls.
 
     Args:
-        size: how many threads there are at most.
+        size: maximum number of threads.
     """
 
     def __init__(self, size: int) -> None:
         self.pool = ThreadPool(size)
 
     def call(self, work: Callable[..., Any], *args: Any) -> Any:
-        """Calls `work` on a thread while other greenlets go on; returns or raises what it does."""
+        """Calls `work` on a thread while other greenlets run; returns its result or raises its exception."""
         value, error = self.pool.apply(_call_and_catch, (work, args))
         if error is not None:
             raise error
@@ -27,8 +27,8 @@
 
 
 def _call_and_catch(work: Callable[..., Any], args: tuple[Any, ...]) -> tuple[Any, Exception | None]:
-    """Returns the error as a value: the pool would print a traceback of one that is raised."""
+    """Returns an exception as a value, since the pool prints a traceback of one that is raised."""
     try:
         return work(*args), None
-    except Exception as error:  # noqa: BLE001 - it is raised again where the call was made
+    except Exception as error:  # noqa: BLE001 - `WorkerThreads.call` raises it again
         return None, error
--- a/tests/background/__init__.py
+++ b/tests/background/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package background."""
+"""Tests of the package `background`."""
--- a/tests/background/test_background.py
+++ b/tests/background/test_background.py
@@ -1,4 +1,4 @@
-"""Chores: a deadline before priority, none left behind for ever, budgets kept, the commands first."""
+"""Background tasks: deadlines go before priorities, no task starves, budgets hold, and requests go first."""
 
 import random
 import time
@@ -7,127 +7,140 @@
 import pytest
 from gevent.event import AsyncResult, Event
 
-from marbleworks.background import task_runner as worker
+from marbleworks.background import task_runner as task_runner_module
 from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_queue import Task, TaskQueue
 from marbleworks.background.task_runner import OffloadedCall, TaskRunner, TaskSteps, Wait
 
 
-def played(
-    order: TaskQueue, chores: list[Task], seconds: float, behind: bool = False, step: float = 0.01
+def run_queue(
+    queue: TaskQueue, tasks: list[Task], seconds: float, backlogged: bool = False, step: float = 0.01
 ) -> list[str]:
-    """Steps of 10 ms and 10 KB each, one after the other, as the budgets allow."""
-    now, went = 0.0, list[str]()
-    for chore in chores:
-        order.add(chore)
+    """Runs the queue for `seconds` of simulated time, each step with `step` seconds and 10 KB.
+
+    Returns:
+        The names of the tasks in the order of their steps.
+    """
+    now, executed = 0.0, list[str]()
+    for task in tasks:
+        queue.add(task)
     while now < seconds:
-        chore = order.next_task(now, behind)
-        if chore is None:
-            wake = order.next_wakeup(now, behind)
-            now = max(now + 0.001, min(wake if wake is not None else seconds, seconds))
+        task = queue.next_task(now, backlogged)
+        if task is None:
+            wakeup = queue.next_wakeup(now, backlogged)
+            now = max(now + 0.001, min(wakeup if wakeup is not None else seconds, seconds))
             continue
-        went.append(chore.name)
+        executed.append(task.name)
         now += step
-        order.record_step(chore, now, step, 1e4)
-    return went
+        queue.record_step(task, now, step, 1e4)
+    return executed
 
 
-def test_a_deadline_goes_before_priority_and_the_earliest_first() -> None:
-    order = TaskQueue(0.5, 1e9, 10.0)
-    urgent, later, late = Task("urgent", 0, 0.0), Task("later", 9, 0.0, 3.0), Task("late", 9, 0.0, 2.0)
-    for chore in (urgent, later, late):
-        order.add(chore)
-    assert order.next_task(1.0, False) is urgent and order.next_task(4.0, False) is late
-    order.remove(late)
-    assert order.next_task(4.0, False) is later
+def test_passed_deadlines_go_before_priority_and_the_earliest_runs_first() -> None:
+    queue = TaskQueue(0.5, 1e9, 10.0)
+    urgent, later, earlier = Task("urgent", 0, 0.0), Task("later", 9, 0.0, 3.0), Task("earlier", 9, 0.0, 2.0)
+    for task in (urgent, later, earlier):
+        queue.add(task)
+    assert queue.next_task(1.0, False) is urgent and queue.next_task(4.0, False) is earlier
+    queue.remove(earlier)
+    assert queue.next_task(4.0, False) is later
 
 
-def test_no_chore_waits_for_ever_behind_a_more_important_one() -> None:
-    went = played(TaskQueue(0.5, 1e9, 1.0), [Task("first", 0, 0.0), Task("last", 3, 0.0)], 30.0)
-    assert went.count("first") > 5 * went.count("last") >= 5 * 5
+def test_no_task_starves_behind_one_of_higher_priority() -> None:
+    executed = run_queue(TaskQueue(0.5, 1e9, 1.0), [Task("first", 0, 0.0), Task("last", 3, 0.0)], 30.0)
+    assert executed.count("first") > 5 * executed.count("last") >= 5 * 5
 
 
-def test_both_budgets_are_kept_whatever_waits() -> None:
-    for core, pace, most in ((0.1, 1e9, 0.1 * 20 / 0.01), (0.9, 2e5, 2e5 * 20 / 1e4)):
-        went = played(TaskQueue(core, pace, 1.0), [Task(str(i), i, 0.0, 1.0) for i in range(5)], 20.0)
-        assert 0.9 * most < len(went) < 1.1 * most
+def test_both_budgets_hold_whatever_tasks_wait() -> None:
+    for core_share, bytes_per_s, expected_steps in ((0.1, 1e9, 0.1 * 20 / 0.01), (0.9, 2e5, 2e5 * 20 / 1e4)):
+        executed = run_queue(
+            TaskQueue(core_share, bytes_per_s, 1.0), [Task(str(i), i, 0.0, 1.0) for i in range(5)], 20.0
+        )
+        assert 0.9 * expected_steps < len(executed) < 1.1 * expected_steps
 
 
-def test_while_the_desk_is_behind_only_patience_and_deadlines_count() -> None:
-    order = TaskQueue(0.5, 1e9, 5.0)
-    went = played(order, [Task("patient", 0, 0.0), Task("due", 9, 0.0, 2.0)], 4.9, behind=True)
-    assert went[0] == "due" and "patient" not in went
-    went = played(TaskQueue(0.5, 1e9, 5.0), [Task("patient", 0, 0.0)], 20.5, behind=True)
-    assert len(went) == 4  # one step each 5 s
+def test_while_backlogged_only_the_longest_wait_and_deadlines_start_tasks() -> None:
+    queue = TaskQueue(0.5, 1e9, 5.0)
+    executed = run_queue(queue, [Task("waiting", 0, 0.0), Task("due", 9, 0.0, 2.0)], 4.9, backlogged=True)
+    assert executed[0] == "due" and "waiting" not in executed
+    executed = run_queue(TaskQueue(0.5, 1e9, 5.0), [Task("waiting", 0, 0.0)], 20.5, backlogged=True)
+    assert len(executed) == 4  # one step every 5 s
     assert TaskQueue(0.5, 1e9, 5.0).next_wakeup(0.0, True) is None
 
 
-def test_the_table_of_chores_is_bounded() -> None:
-    order = TaskQueue(0.5, 1e9, 5.0)
-    assert sum(order.add(Task("x", 0, 0.0)) for _ in range(1000)) == 256
+def test_the_number_of_waiting_tasks_is_bounded() -> None:
+    queue = TaskQueue(0.5, 1e9, 5.0)
+    assert sum(queue.add(Task("x", 0, 0.0)) for _ in range(1000)) == 256
 
 
-def test_any_mix_of_chores_all_get_their_turn() -> None:
-    chance = random.Random(4)
+def test_every_task_of_a_random_mix_runs() -> None:
+    rng = random.Random(4)
     for _ in range(30):
-        chores = [Task(str(i), chance.randrange(6), 0.0) for i in range(chance.randrange(1, 12))]
-        went = played(TaskQueue(0.3, 1e8, 1.0), chores, 40.0, behind=chance.random() < 0.3)
-        assert set(went) == {chore.name for chore in chores}
+        tasks = [Task(str(i), rng.randrange(6), 0.0) for i in range(rng.randrange(1, 12))]
+        executed = run_queue(TaskQueue(0.3, 1e8, 1.0), tasks, 40.0, backlogged=rng.random() < 0.3)
+        assert set(executed) == {task.name for task in tasks}
 
 
-def test_a_step_that_blocks_keeps_the_hub_free_and_one_that_raises_ends_its_round(
+def test_a_blocking_step_leaves_the_hub_free_and_a_raising_step_ends_its_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    logged: list[str] = []  # else the trace is drawn for a terminal, which takes long
-    monkeypatch.setattr(worker.LOG, "exception", lambda event, work: logged.append(work))
-    chores, seen, ticks = (
+    logged: list[str] = []  # without this the traceback is rendered for a terminal, which is slow
+    monkeypatch.setattr(task_runner_module.LOG, "exception", lambda event, work: logged.append(work))
+    runner, events, ticks = (
         TaskRunner(BackgroundOptions(0.5, 1e9, 1.0), lambda: False),
         list[object](),
         list[float](),
     )
 
     def slow() -> TaskSteps:
-        seen.append((yield OffloadedCall(lambda: time.sleep(0.3) or 7, 100)))
+        events.append((yield OffloadedCall(lambda: time.sleep(0.3) or 7, 100)))
         try:
             yield OffloadedCall(lambda: 1 // 0)
         except ZeroDivisionError as err:
-            seen.append(type(err))
+            events.append(type(err))
 
     def broken() -> TaskSteps:
-        seen.append("broken")
+        events.append("broken")
         raise RuntimeError("on purpose")
         yield None
 
-    chores.add_periodic("slow", 1, lambda: 0.01, slow, 1.0)
-    chores.add_periodic("broken", 2, lambda: 0.05, broken, 1.0)
-    began = time.monotonic()
-    while time.monotonic() < began + 0.8:
+    runner.add_periodic("slow", 1, lambda: 0.01, slow, 1.0)
+    runner.add_periodic("broken", 2, lambda: 0.05, broken, 1.0)
+    started_at = time.monotonic()
+    while time.monotonic() < started_at + 0.8:
         gevent.sleep(0.01)
         ticks.append(time.monotonic())
-    chores.stop()
-    assert max(b - a for a, b in zip(ticks, ticks[1:], strict=False)) < 0.15 and logged
-    assert [one for one in seen if one != "broken"][:2] == [7, ZeroDivisionError] and "broken" in seen
+    runner.stop()
+    assert (
+        max(following - previous for previous, following in zip(ticks, ticks[1:], strict=False)) < 0.15
+        and logged
+    )
+    assert [name for name in events if name != "broken"][:2] == [7, ZeroDivisionError] and "broken" in events
 
 
-def test_a_chore_apart_waits_for_no_other_and_is_hurried_while_it_runs() -> None:
-    chores, seen, go = TaskRunner(BackgroundOptions(0.01, 1.0, 1.0), lambda: True), list[str](), Event()
+def test_a_dedicated_task_waits_for_no_other_and_can_be_requested_while_it_runs() -> None:
+    runner, events, finished = (
+        TaskRunner(BackgroundOptions(0.01, 1.0, 1.0), lambda: True),
+        list[str](),
+        Event(),
+    )
 
     def slow() -> TaskSteps:
-        seen.append("slow")
-        yield Wait(held, 10**9)
+        events.append("slow")
+        yield Wait(outcome, 10**9)
 
-    def apart() -> TaskSteps:
-        seen.append("apart")
-        if len(seen) < 4:
-            chores.run_soon("apart")  # it is wanted again before it has ended
+    def dedicated_steps() -> TaskSteps:
+        events.append("dedicated")
+        if len(events) < 4:
+            runner.run_soon("dedicated")  # requested again while it runs
         else:
-            go.set()
+            finished.set()
         yield OffloadedCall(lambda: None)
 
-    held: AsyncResult[None] = AsyncResult()
-    chores.add_periodic("slow", 0, lambda: 0.001, slow, 0.0)
-    chores.add_periodic("apart", 1, lambda: 60.0, apart, 0.0, dedicated=True)
-    chores.run_soon("apart")
-    assert go.wait(5.0) and seen.count("apart") >= 3
-    held.set(None)
-    chores.stop()
+    outcome: AsyncResult[None] = AsyncResult()
+    runner.add_periodic("slow", 0, lambda: 0.001, slow, 0.0)
+    runner.add_periodic("dedicated", 1, lambda: 60.0, dedicated_steps, 0.0, dedicated=True)
+    runner.run_soon("dedicated")
+    assert finished.wait(5.0) and events.count("dedicated") >= 3
+    outcome.set(None)
+    runner.stop()
