--- a/marbleworks/operator_config/__init__.py
+++ b/marbleworks/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: its grammar, the types of its values, and what a reload of it changes."""
+"""The operator's file: its grammar, the types of its values, and the changes that a reload applies."""
--- a/marbleworks/operator_config/document.py
+++ b/marbleworks/operator_config/document.py
@@ -1,6 +1,7 @@
-"""A whole operator's file as checked values, and what a reload of it may change.
+"""Reads the operator's file into checked values and finds the changes that a reload may apply.
 
-Which sections there are is given as an argument: nothing here knows a section or a subsystem.
+The schemas of the sections are passed as an argument: this module depends on no particular section or
+subsystem.
 """
 
 from __future__ import annotations
@@ -14,11 +15,13 @@
 from marbleworks.operator_config.value_types import Section, Setting
 
 SectionValues = dict[str, Any]
+"""The values of a section, keyed by setting name."""
 SectionSchemas = Mapping[str, Section]
+"""The sections that a file may have, keyed by section name."""
 
 
 class OperatorConfigError(Exception):
-    """Why a file cannot be used, in one line: file, line, column and what was expected."""
+    """The file cannot be used; the message is one line with file, line, column and what was expected."""
 
 
 @dataclass(frozen=True)
@@ -26,9 +29,9 @@
     """The sections that a file has, each with a value for every setting.
 
     Attributes:
-        schemas: the sections that a file may have, by name.
-        path: the file.
-        sections: the values of each section that the file has, by name of section and setting.
+        schemas: the sections that a file may have, keyed by section name.
+        path: path of the file.
+        sections: the values of each section that the file has, keyed by section name and setting name.
     """
 
     schemas: SectionSchemas
@@ -40,7 +43,7 @@
         """Reads and checks a file.
 
         Raises:
-            OperatorConfigError: the file cannot be read, or is not right.
+            OperatorConfigError: the file cannot be read or is invalid.
         """
         try:
             text = Path(path).read_text("utf-8")
@@ -54,13 +57,14 @@
             raise OperatorConfigError(f"{path}:{error}") from None
 
     def has_section(self, name: str) -> bool:
-        """Whether the file has the section."""
+        """Returns whether the file has the section."""
         return name in self.sections
 
     def __getitem__(self, name: str) -> SectionValues:
-        """Returns the section's values; its defaults where the file does not have it.
+        """Returns the section's values, or its defaults if the file does not have the section.
 
-        A section of which the file may lack none has no setting without a default.
+        A section may be read without checking `has_section` only if each of its settings has a default; a
+        setting without one would be None.
         """
         if name in self.sections:
             return self.sections[name]
@@ -68,11 +72,11 @@
 
 
 class ConfigChanges(NamedTuple):
-    """What differs between two files.
+    """The differences between two operator's files.
 
     Attributes:
-        live: by section, the new values of what may change while the router runs.
-        needs_restart: names of what may not.
+        live: new values of the changed settings that may change while the router runs, keyed by section name.
+        needs_restart: names of the changed sections and settings that need a restart.
     """
 
     live: dict[str, SectionValues]
@@ -83,7 +87,7 @@
     """Parses a text into checked sections.
 
     Raises:
-        ConfigSyntaxError: the text is not of the grammar, or has what the schemas don't allow.
+        ConfigSyntaxError: the text does not follow the grammar or the schemas.
     """
     sections: dict[str, SectionValues] = {}
     for form in parse(text):
@@ -132,7 +136,7 @@
 
 
 def find_changes(old: OperatorConfig, new: OperatorConfig) -> ConfigChanges:
-    """Compares two files, the one in force and the one read anew."""
+    """Compares the configuration in force with the one that was just read."""
     changes = ConfigChanges({}, [])
     for name, schema in old.schemas.items():
         if old.has_section(name) != new.has_section(name):
@@ -155,7 +159,7 @@
 
 
 def describe_settings(schemas: SectionSchemas) -> list[str]:
-    """Describes every setting in a line each, by section: type, bounds, default and meaning."""
+    """Describes each setting in one line, grouped by section: type, bounds, default and meaning."""
     lines = []
     for schema in schemas.values():
         lines.append(f"({schema.name}) {schema.description}")
@@ -164,14 +168,14 @@
 
 
 def _describe(setting: Setting) -> str:
-    facts = [
+    properties = [
         setting.value_type.value,
         _describe_group(setting),
         setting.bounds_text,
         _describe_default(setting),
         "" if setting.reloadable else "needs a restart",
     ]
-    return f"  {setting.name}: {'; '.join(fact for fact in facts if fact)}. {setting.description}"
+    return f"  {setting.name}: {'; '.join(item for item in properties if item)}. {setting.description}"
 
 
 def _describe_group(setting: Setting) -> str:
--- a/marbleworks/operator_config/sexpr.py
+++ b/marbleworks/operator_config/sexpr.py
@@ -1,7 +1,7 @@
-"""Parses the S-expressions of the operator's file: text in, forms with their positions out.
+"""Parses the S-expressions of the operator's file into forms with their positions.
 
-Nothing here knows what a word means. The first thing that is not the grammar ends the parse, with line and
-column.
+The parser knows only the grammar, not the meaning of names. It stops at the first syntax error and reports
+its line and column.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 MAX_TEXT_CHARS = 1 << 18
 MAX_QUOTED_CHARS = 40
-"""Characters of an unexpected token that an error quotes."""
+"""Maximum number of characters of an unexpected token that an error message quotes."""
 GRAMMAR = r"""
 start: form*
 form: "(" WORD (form | WORD | NUMBER | STRING)* ")"
@@ -36,12 +36,12 @@
 
 
 class ConfigSyntaxError(Exception):
-    """What is wrong with a file, and where.
+    """A syntax error or an invalid value in a file, with its position.
 
     Attributes:
-        line: counts from 1, as does column.
-        column: where in the line it begins.
-        problem: what was expected, and what was found.
+        line: line number, counted from 1.
+        column: column in the line, counted from 1.
+        problem: what was expected and what was found.
     """
 
     def __init__(self, line: int, column: int, problem: str) -> None:
@@ -56,11 +56,11 @@
     """A name, a number or a text in quotes.
 
     Attributes:
-        text: as it is written; of a text in quotes, what they hold.
-        line: counts from 1, as does column.
-        column: where in the line it begins.
-        number: its value; None where it is no number.
-        quoted: whether it is a text in quotes.
+        text: the characters as written; without the quotes and escapes of a text in quotes.
+        line: line number, counted from 1.
+        column: column in the line, counted from 1.
+        number: value of a number; None for other atoms.
+        quoted: whether the atom is a text in quotes.
     """
 
     text: str
@@ -70,13 +70,20 @@
     quoted: bool = False
 
     def error(self, problem: str) -> ConfigSyntaxError:
-        """An error at this place, to be raised."""
+        """Returns an error at this position, for the caller to raise."""
         return ConfigSyntaxError(self.line, self.column, problem)
 
 
 @dataclass(frozen=True)
 class Form:
-    """A list `(name part ...)`, with the position of its name."""
+    """A list `(name part ...)`.
+
+    Attributes:
+        name: first word of the list.
+        line: line number of the name, counted from 1.
+        column: column of the name, counted from 1.
+        parts: what follows the name.
+    """
 
     name: str
     line: int
@@ -84,15 +91,15 @@
     parts: list[Atom | Form] = field(default_factory=list)
 
     def error(self, problem: str) -> ConfigSyntaxError:
-        """An error at this place, to be raised."""
+        """Returns an error at this position, for the caller to raise."""
         return ConfigSyntaxError(self.line, self.column, problem)
 
 
 def parse(text: str) -> list[Form]:
-    """Returns the forms of a whole text.
+    """Returns the forms of a text.
 
     Raises:
-        ConfigSyntaxError: the text is too long or not of the grammar.
+        ConfigSyntaxError: the text is too long or does not follow the grammar.
     """
     if len(text) > MAX_TEXT_CHARS:
         raise ConfigSyntaxError(1, 1, f"expected at most {MAX_TEXT_CHARS} characters, found {len(text)}")
@@ -106,16 +113,16 @@
         raise ConfigSyntaxError(error.line, error.column, f"expected no {error.char!r} here") from None
     except UnexpectedInput as error:
         raise ConfigSyntaxError(max(error.line, 1), max(error.column, 1), "expected a form") from None
-    return [_form(child) for child in tree.children if isinstance(child, Tree)]
+    return [_build_form(child) for child in tree.children if isinstance(child, Tree)]
 
 
 def _unexpected_token(error: UnexpectedToken, text: str) -> ConfigSyntaxError:
     if error.token.type == "$END":
         return _error_at_end(text)
     expected = sorted(TOKEN_NAMES[name] for name in error.expected if name in TOKEN_NAMES)
-    wanted = " or ".join(expected) or "the end"
+    expected_text = " or ".join(expected) or "the end"
     found = str(error.token)[:MAX_QUOTED_CHARS]
-    return ConfigSyntaxError(error.line, error.column, f"expected {wanted}, found {found!r}")
+    return ConfigSyntaxError(error.line, error.column, f"expected {expected_text}, found {found!r}")
 
 
 def _error_at_end(text: str) -> ConfigSyntaxError:
@@ -124,14 +131,14 @@
     return ConfigSyntaxError(line, column, "expected ')', found the end of the file")
 
 
-def _form(tree: Tree[Token]) -> Form:
+def _build_form(tree: Tree[Token]) -> Form:
     name, *rest = tree.children
     assert isinstance(name, Token)
-    parts = [_form(part) if isinstance(part, Tree) else _atom(part) for part in rest]
+    parts = [_build_form(part) if isinstance(part, Tree) else _build_atom(part) for part in rest]
     return Form(str(name), name.line or 1, name.column or 1, parts)
 
 
-def _atom(token: Token) -> Atom:
+def _build_atom(token: Token) -> Atom:
     line = token.line or 1
     column = token.column or 1
     if token.type == "STRING":
--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -1,7 +1,7 @@
-"""The types of settings: how a setting's words become a value, its units, and how a value is written back.
+"""The types of settings: how values are read from the file, their units, and how values are formatted.
 
-Nothing here knows a setting by name. Values are floats in base units (bytes, seconds, bytes a second, parts
-of one), ints, texts or bools.
+This module depends on no particular setting. Values are floats in base units (bytes, seconds, bytes per
+second, or a fraction of 1 for shares), ints, strings or bools.
 """
 
 from __future__ import annotations
@@ -44,16 +44,19 @@
 
     @property
     def units(self) -> dict[str, float]:
-        """Its units, each with its value in the base unit; none where a value has no unit."""
+        """The units of the type, each with its value in the base unit; empty if values have no unit."""
         return _UNITS.get(self, {})
 
     @property
     def example(self) -> str:
-        """How a value of it may look, for error messages."""
+        """An example of a value, for error messages."""
         return _EXAMPLES[self]
 
     def format(self, value: Any) -> str:
-        """Writes a value as the file would have it, in the largest unit that fits."""
+        """Formats a value as it is written in the file, in the largest decimal unit that does not exceed it.
+
+        A duration that is not a whole number of minutes, but shorter than an hour, is given in seconds.
+        """
         if value is None:
             return "none"
         if self is ValueType.TEXT:
@@ -86,7 +89,7 @@
 _EXAMPLES = {
     ValueType.SIZE: "a size such as 2 GB",
     ValueType.DURATION: "a time such as 10 min",
-    ValueType.RATE: "a pace such as 4 KB/s",
+    ValueType.RATE: "a rate such as 4 KB/s",
     ValueType.SHARE: "a share such as 25 %",
     ValueType.COUNT: "a whole number",
     ValueType.NUMBER: "a number",
@@ -97,14 +100,14 @@
 
 
 class KeyedValue(NamedTuple):
-    """A setting's value, and what it is for where the setting is keyed; else the key is empty."""
+    """A setting's value, with its key if the setting is keyed; otherwise the key is empty."""
 
     key: str
     value: Any
 
 
 class ParsedAtoms(NamedTuple):
-    """A value, and how many atoms it was written with."""
+    """A value and the number of atoms that it was read from."""
 
     value: Any
     atom_count: int
@@ -115,17 +118,18 @@
     """One setting of a section.
 
     Attributes:
-        name: as the file has it.
-        value_type: the type of its value.
-        description: its meaning, for `marbleworks settings`.
-        default: its value where the file has none; None: the file must have it.
-        minimum: least value that a number may have.
-        maximum: greatest value that a number may have.
-        reloadable: whether a reload takes it over; otherwise it needs a restart.
-        keyed_by: what it may be given for, once each, by a text before the value; its value is then a dict.
-        check_text: says what was expected of a text, or of a key; None where it is right.
-        group: the settings of a group, each with a default; the value is a dict of theirs.
-        check_group: says what was expected of a group's values; None where they go together.
+        name: name in the file.
+        value_type: type of the value.
+        description: meaning, printed by `marbleworks settings`.
+        default: value if the file does not have the setting; None if the file must have it.
+        minimum: smallest allowed value of a number, in base units.
+        maximum: largest allowed value of a number, in base units.
+        reloadable: whether a reload applies a new value; otherwise a change needs a restart.
+        keyed_by: kind of key, such as a tenant, of a setting that may be given once for each key. The key is
+            a text before the value, and the section's value is a dict. Empty for other settings.
+        check_text: returns what was expected instead of a text or a key; None if the text is valid.
+        group: the settings of a group, each with a default; the value is a dict keyed by setting name.
+        check_group: returns what was expected instead of the group's values; None if they are valid together.
     """
 
     name: str
@@ -142,7 +146,7 @@
 
     @property
     def bounds_text(self) -> str:
-        """Its bounds as the file would have them; empty where it has none."""
+        """The bounds as they are written in the file; empty if the type has none."""
         if self.value_type in (ValueType.TEXT, ValueType.SWITCH, ValueType.GROUP):
             return ""
         minimum = self.value_type.format(self.minimum)
@@ -151,10 +155,10 @@
         return f"{minimum} to {self.value_type.format(self.maximum)}"
 
     def read(self, form: Form) -> KeyedValue:
-        """Reads the setting's form.
+        """Reads the value of the setting from its form.
 
         Raises:
-            ConfigSyntaxError: the form does not have what this setting wants.
+            ConfigSyntaxError: the form is not valid for this setting.
         """
         parts = list(form.parts)
         key = self._read_key(form, parts) if self.keyed_by else ""
@@ -170,7 +174,7 @@
         return KeyedValue(key, parsed.value)
 
     def _read_key(self, form: Form, parts: list[Atom | Form]) -> str:
-        """Takes the key from the front of the parts."""
+        """Removes the key from the front of the parts and returns it."""
         first = parts.pop(0) if parts else None
         if not isinstance(first, Atom) or not first.quoted or not first.text:
             raise form.error(f"expected a {self.keyed_by} in quotes after '{self.name}'")
@@ -231,9 +235,9 @@
     """The settings of one subsystem.
 
     Attributes:
-        name: as the file has it.
-        description: its meaning, for `marbleworks settings`.
-        settings: in the order in which they are listed.
+        name: name in the file.
+        description: meaning, printed by `marbleworks settings`.
+        settings: the settings, in the order in which they are listed.
     """
 
     name: str
--- a/tests/operator_config/__init__.py
+++ b/tests/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package operator_config."""
+"""Tests of the package `operator_config`."""
--- a/tests/operator_config/test_operator_config.py
+++ b/tests/operator_config/test_operator_config.py
@@ -1,5 +1,4 @@
-"""The operator's file: what is wrong with it is said in a line with its place; what may change does while
-running."""
+"""The operator's file: errors have a position in one line, and a reload applies only reloadable settings."""
 
 from pathlib import Path
 
@@ -12,16 +11,16 @@
 from marbleworks.operator_config.value_types import ValueType
 from marbleworks.subsystems.registry import SECTIONS, describe_settings, parse_sections, read_operator_config
 
-GOOD = '(spool (folder "/a") (room 2 GB))'
+VALID_TEXT = '(spool (folder "/a") (room 2 GB))'
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('(spool (folder "/a")\n  (room 2 GB)', "2:14: expected ')', found the end of the file"),
         ("", ""),
         ("(spoool)", "1:2: expected a section of background, spool, door, peers, budgets, found 'spoool'"),
-        (GOOD + "\n" + GOOD, "2:2: expected section 'spool' once"),
+        (VALID_TEXT + "\n" + VALID_TEXT, "2:2: expected section 'spool' once"),
         ("(spool (room 2 GB))", "1:2: expected 'folder' in section 'spool'"),
         ('(spool (folder "/a") (room 2 GB) (roon 1 GB))', "1:35: expected a setting of folder, room"),
         ('(spool (folder "/a") (room 2 GB) (room 3 GB))', "1:35: expected 'room' once"),
@@ -44,27 +43,27 @@
         ('(spool (folder "/a))', "1:16: expected no '\"' here"),
     ],
 )
-def test_what_is_wrong_is_said_with_its_place(text: str, said: str) -> None:
-    if not said:
+def test_errors_have_a_position_and_say_what_was_expected(text: str, message: str) -> None:
+    if not message:
         assert parse_sections(text) == {}
         return
-    with pytest.raises(ConfigSyntaxError) as err:
+    with pytest.raises(ConfigSyntaxError) as error:
         parse_sections(text)
-    assert str(err.value).startswith(said)
+    assert str(error.value).startswith(message)
 
 
 def test_values_have_units_defaults_and_comments() -> None:
-    found = parse_sections(
+    sections = parse_sections(
         '; a comment\n(spool (folder "/a \\"b\\"") (room 1.5 GiB) (keep 90 s) (share 25 %)\n'
         ' (least-pace 8 KB/s) (quota "x" 10 %) (quota "y" 0 %)) (background)'
     )
-    spool = found["spool"]
+    spool = sections["spool"]
     assert spool["folder"] == '/a "b"' and spool["room"] == 1.5 * 2**30 and spool["keep"] == 90
     assert spool["share"] == 0.25 and spool["least-pace"] == 8e3 and spool["quota"] == {"x": 0.1, "y": 0.0}
-    assert spool["unread"] == 300 and found["background"]["core"] == 0.1
+    assert spool["unread"] == 300 and sections["background"]["core"] == 0.1
 
 
-def test_every_default_may_be_written_and_read_again() -> None:
+def test_every_formatted_default_parses_to_itself() -> None:
     text = '(background) (door) (peers) (budgets) (spool (folder "/a") (room 2 GB))'
     defaults = parse_sections(text)
     for name, section in SECTIONS.items():
@@ -73,19 +72,21 @@
                 extra = f"({setting.name} {setting.value_type.format(setting.default)}))"
                 changed = parse_sections(text.replace(f"({name}", f"({name} {extra[:-1]}"))
                 assert changed[name][setting.name] == pytest.approx(defaults[name][setting.name])
-    assert len(describe_settings()) == len(SECTIONS) + sum(len(s.settings) for s in SECTIONS.values())
+    assert len(describe_settings()) == len(SECTIONS) + sum(
+        len(schema.settings) for schema in SECTIONS.values()
+    )
 
 
-def test_a_reload_takes_what_may_change_and_names_the_rest(tmp_path: Path) -> None:
+def test_a_reload_applies_reloadable_changes_and_names_the_others(tmp_path: Path) -> None:
     path = tmp_path / "operator.lisp"
-    path.write_text(GOOD)
+    path.write_text(VALID_TEXT)
     old = read_operator_config(str(path))
     path.write_text('(background) (spool (folder "/b") (room 3 GB) (page 12 KB) (quota "x" 5 %))')
-    live, restart = find_changes(old, read_operator_config(str(path)))
+    live, needs_restart = find_changes(old, read_operator_config(str(path)))
     assert live == {"spool": {"room": 3e9, "quota": {"x": 0.05}}}
-    assert restart == ["background", "spool folder", "spool page"]
-    for bad in ("(", "(spool)"):
-        path.write_text(bad)
+    assert needs_restart == ["background", "spool folder", "spool page"]
+    for invalid in ("(", "(spool)"):
+        path.write_text(invalid)
         with pytest.raises(OperatorConfigError, match=str(path)):
             read_operator_config(str(path))
     with pytest.raises(OperatorConfigError, match="No such file"):
@@ -94,12 +95,12 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(alphabet='()";% \n\\spool12.GB-keep/s', max_size=60))
-def test_any_text_is_forms_or_misread_in_its_place(text: str) -> None:
+def test_any_text_parses_or_fails_with_a_position(text: str) -> None:
     try:
         forms = parse(text)
-    except ConfigSyntaxError as err:
+    except ConfigSyntaxError as error:
         lines = text.split("\n")
-        assert 1 <= err.line <= len(lines) + 1 and err.column >= 1 and "expected" in err.problem
+        assert 1 <= error.line <= len(lines) + 1 and error.column >= 1 and "expected" in error.problem
         return
     lines = text.split("\n")
     for form in forms:
