--- a/marbleworks/subsystems/__init__.py
+++ b/marbleworks/subsystems/__init__.py
@@ -1,1 +1,1 @@
-"""The subsystems that the operator's file turns on: its sections, and how they are wired to a router."""
+"""The subsystems that the operator's file enables: the file's sections and their wiring to a router."""
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -1,6 +1,6 @@
-"""The sections that the operator's file may have, gathered from the subsystems that own them.
+"""Collects the sections that the operator's file may have from the subsystems that define them.
 
-Each section is described in a module of its own that does nothing more, so that reading the file imports no
+Each section is defined in a separate module without other code, so that reading the file imports no
 subsystem.
 """
 
@@ -25,6 +25,10 @@
         BUDGETS_SECTION,
     )
 }
+"""Schemas of the sections, keyed by section name."""
 read_operator_config = partial(document.OperatorConfig.read, SECTIONS)
+"""Reads and checks the operator's file at a path; see `OperatorConfig.read`."""
 parse_sections = partial(document.parse_sections, SECTIONS)
+"""Parses a text into checked sections; see `document.parse_sections`."""
 describe_settings = partial(document.describe_settings, SECTIONS)
+"""Describes every setting in one line each; see `document.describe_settings`."""
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -1,6 +1,6 @@
-"""Starts the subsystems that the operator's file turns on, and wires them to a router.
+"""Starts the subsystems that the operator's file enables and wires them to a router.
 
-A subsystem is imported only where the file has its section.
+A subsystem is imported only if the file has its section.
 """
 
 from __future__ import annotations
@@ -32,11 +32,15 @@
     """The subsystems of one router.
 
     Args:
-        config: the operator's file.
+        config: the checked contents of the operator's file.
 
     Attributes:
-        result_store: where results are stored; None without the spool.
-        health_details: what `health` answers of a subsystem by its name; None where none answers.
+        task_runner: runs the spool's background tasks; None without the spool.
+        reload_catalog: rebuilds the budget catalog when the operator's file is reloaded; None without
+            budgets.
+        result_store: stores the results of requests; None without the spool.
+        health_details: returns what `health` answers about the named subsystem; None if no running subsystem
+            answers `health`.
     """
 
     def __init__(self, config: OperatorConfig) -> None:
@@ -53,10 +57,16 @@
     def join(
         self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
     ) -> None:
-        """Starts what the file has a section for, before the router accepts clients.
+        """Starts the subsystems whose sections the file has, before the router accepts clients.
+
+        Args:
+            dispatcher: the router's dispatcher, which the subsystems are attached to.
+            settings: the router's settings.
+            transport: sends and receives the datagrams of the router group.
+            name: the router's name.
 
         Raises:
-            SettingsError: a subsystem cannot be started, in one line.
+            SettingsError: a subsystem cannot be started; the reason is one line.
         """
         if self.config.has_section("peers") and settings.rules.allows_peer_messages:
             self._start_membership(dispatcher, transport)
@@ -154,18 +164,18 @@
         self.result_store = self.spool
 
     def reload(self) -> None:
-        """Takes over what may change of the file, and logs what needs a restart.
+        """Applies the settings that may change while the router runs, and logs those that need a restart.
 
-        A file that is not right changes nothing.
+        An invalid file changes nothing.
         """
         try:
-            new = read_operator_config(self.config.path)
+            new_config = read_operator_config(self.config.path)
         except OperatorConfigError as error:
             LOG.warning("operator file not reloaded", error=str(error))
             return
-        live, needs_restart = find_changes(self.config, new)
+        live, needs_restart = find_changes(self.config, new_config)
         if "background" in live and self.task_runner is not None:
-            self.task_runner.configure(BackgroundOptions.from_section(new["background"]))
+            self.task_runner.configure(BackgroundOptions.from_section(new_config["background"]))
         if "spool" in live and self.spool is not None:
             self.spool.change(live["spool"])
         if "door" in live and self.fair_queue is not None:
@@ -178,14 +188,14 @@
         LOG.info("operator file reloaded", changed=changed, needs_restart=needs_restart)
 
     def stopping(self) -> None:
-        """Has subsystems leave their groups: a planned stop has begun."""
+        """Ends the budget leases and leaves the router group, at the start of a planned stop."""
         if self.budgets is not None:
             self.budgets.leave()
         if self.membership is not None:
             self.membership.post(self.membership.leave)
 
     def _health_details(self, subsystem: str) -> dict[str, Any]:
-        """What `health` answers of the subsystem that it names."""
+        """Returns what `health` answers about the named subsystem."""
         if subsystem == "budgets" and self.budgets is not None:
             return self.budgets.snapshot()
         if subsystem == "peers" and self.membership is not None:
@@ -193,7 +203,7 @@
         return {}
 
     def close(self) -> None:
-        """Stops what runs, once the router has answered everything."""
+        """Stops the background tasks and the spool, after the router has answered all requests."""
         if self.task_runner is not None:
             self.task_runner.stop()
         if self.spool is not None:
@@ -201,7 +211,7 @@
 
 
 def _limit_connections(dispatcher: Dispatcher, enforcer: BudgetEnforcer) -> None:
-    """Counts each engine's connections in its budget too."""
+    """Also counts the connections to each engine in the connection budget of that engine."""
     from marbleworks.budgets.enforcement import BudgetedConnectionLimit
 
     make_client = dispatcher.make_engine_client
