--- a/marbleworks/cli/__init__.py
+++ b/marbleworks/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: one module a group of commands.
+"""The command line, with one module for each group of commands.
 
-Commands import what they run when they run it: `serve` without an operator's file loads no subsystem, and no
-command but the lab's needs the lab's requirements.
+A command imports its implementation only when it runs: `serve` without an operator's file loads no subsystem,
+and only the lab's commands need the lab's requirements.
 """
 
 from __future__ import annotations
--- a/marbleworks/cli/budgets.py
+++ b/marbleworks/cli/budgets.py
@@ -1,4 +1,4 @@
-"""The group `budgets`: what running routers have of the fleet's budgets."""
+"""The command group `budgets`: the fleet's shared budgets as running routers report them."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from marbleworks.cli.errors import failure
 
-app = typer.Typer(no_args_is_help=True, help="What running routers have of the fleet's budgets.")
-ADDRESSES = typer.Argument(..., help="host:port of routers, best of all of them.")
+app = typer.Typer(no_args_is_help=True, help="The fleet's shared budgets as running routers report them.")
+ADDRESSES = typer.Argument(..., help="host:port of routers, preferably of all routers of the fleet.")
 
 
 @app.callback()
 def group() -> None:
-    """What running routers have of the fleet's budgets."""
+    """The fleet's shared budgets as running routers report them."""
 
 
 @app.command("show")
 def show(addresses: list[str] = ADDRESSES) -> None:
-    """Print each budget: whole, held, used, free, unreachable, by router."""
+    """Print the whole, held, used, free and unreachable units of each budget, and the parts by router."""
     from marbleworks.budgets.report import render
     from marbleworks.membership.report import HealthQueryError
 
--- a/marbleworks/cli/errors.py
+++ b/marbleworks/cli/errors.py
@@ -1,4 +1,4 @@
-"""How a command ends that cannot do its work."""
+"""Error exit of the commands."""
 
 from __future__ import annotations
 
@@ -6,6 +6,10 @@
 
 
 def failure(reason: object) -> typer.Exit:
-    """Prints one line on standard error; returns the exit with code 1, for the command to raise."""
+    """Prints the reason in one line on standard error.
+
+    Returns:
+        The exit with code 1, for the command to raise.
+    """
     typer.echo(f"marbleworks: {reason}", err=True)
     return typer.Exit(1)
--- a/marbleworks/cli/fair_queue.py
+++ b/marbleworks/cli/fair_queue.py
@@ -1,4 +1,4 @@
-"""The group `door`: what the fair queue decided."""
+"""The command group `door`: decisions of the fair queue."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from marbleworks.cli.errors import failure
 
-app = typer.Typer(no_args_is_help=True, help="What the door decided.")
+app = typer.Typer(no_args_is_help=True, help="Decisions of the fair queue.")
 
 
 @app.callback()
 def group() -> None:
-    """What the door decided."""
+    """Decisions of the fair queue."""
 
 
 @app.command("explain")
 def explain(
     log: str = typer.Argument(..., help="A router's log, with `(trace on)` in the section door."),
-    ref: str = typer.Option("", "--ref", help="One command's id."),
+    ref: str = typer.Option("", "--ref", help="Print only the request with this id."),
 ) -> None:
-    """Print who was queued, promised and turned away, and why."""
+    """Print which requests were queued, given a retry promise or shed, and why."""
     from marbleworks.fair_queue.trace_report import explained
 
     try:
--- a/marbleworks/cli/membership.py
+++ b/marbleworks/cli/membership.py
@@ -1,4 +1,4 @@
-"""The group `peers`: what a running router believes of its group."""
+"""The command group `peers`: a running router's view of its group."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from marbleworks.cli.errors import failure
 
-app = typer.Typer(no_args_is_help=True, help="What a running router believes of its group.")
+app = typer.Typer(no_args_is_help=True, help="A running router's view of its group.")
 ADDRESS = typer.Argument(..., help="host:port where the router listens for clients.")
 
 
 @app.command("show")
 def show(address: str = ADDRESS) -> None:
-    """Print a router's view, doubts and rights as a table."""
+    """Print a router's view of the members, its own health and its quota as a table."""
     from marbleworks.membership.report import HealthQueryError, format_view, query_health
 
     try:
@@ -25,10 +25,10 @@
 @app.command("watch")
 def watch(
     address: str = ADDRESS,
-    every: float = typer.Option(0.5, min=0.1, max=60.0, help="Seconds between looks."),
-    times: int = typer.Option(0, min=0, help="So many looks; 0: until interrupted."),
+    every: float = typer.Option(0.5, min=0.1, max=60.0, help="Seconds between queries."),
+    times: int = typer.Option(0, min=0, help="Number of queries; 0: until interrupted."),
 ) -> None:
-    """Print a line for each change of a router's view or standing."""
+    """Print a line for each change of a router's view, quorum status or quota."""
     from marbleworks.membership.report import HealthQueryError, watch_view
 
     try:
--- a/marbleworks/cli/router.py
+++ b/marbleworks/cli/router.py
@@ -1,4 +1,4 @@
-"""`serve`, `check`, `settings` and `version`."""
+"""The commands `serve`, `check`, `settings` and `version`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from marbleworks.subsystems.wiring import Subsystems
 
 CONFIG = typer.Option(
-    os.environ.get("RELAY_CONFIG", ""), "--config", help="The router's configuration (RELAY_CONFIG)."
+    os.environ.get("RELAY_CONFIG", ""), "--config", help="File of the router's configuration (RELAY_CONFIG)."
 )
 OPERATOR = typer.Option(
     os.environ.get("MARBLEWORKS_OPERATOR", ""),
@@ -27,7 +27,7 @@
 
 
 def add_commands(app: typer.Typer) -> None:
-    """Adds this module's commands to the program itself."""
+    """Adds this module's commands at the top level of the program."""
     for command in (serve, check, settings, version):
         app.command()(command)
 
@@ -45,7 +45,7 @@
 
 
 def check(config: str = CONFIG, operator: str = OPERATOR) -> None:
-    """Read a configuration and the operator's file, and say in a line what is wrong with them."""
+    """Check a configuration and the operator's file, and print the first error in one line."""
     router_config = _read_config(config)
     subsystems = _read_subsystems(operator)
     if subsystems is not None:
@@ -73,14 +73,14 @@
 
     try:
         if not path:
-            raise SettingsError("no configuration: name one by --config or RELAY_CONFIG")
+            raise SettingsError("no configuration: set --config or RELAY_CONFIG")
         return RouterConfig.read(path)
     except SettingsError as error:
         raise failure(error) from None
 
 
 def _read_subsystems(path: str) -> Subsystems | None:
-    """What the operator's file turns on; nothing of it is imported without one."""
+    """Returns the subsystems of the operator's file; without a file returns None and imports none of them."""
     if not path:
         return None
     from marbleworks.operator_config.document import OperatorConfigError
