--- a/marbleworks/simulation/__init__.py
+++ b/marbleworks/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The simulation: the scheduler behind the simulator's wire, over standard input and output."""
+"""The simulation: the scheduler behind the simulator's line protocol, on standard input and output."""
--- a/marbleworks/simulation/adapter.py
+++ b/marbleworks/simulation/adapter.py
@@ -1,4 +1,4 @@
-"""Runs one scheduler for each router of the simulation, sharing nothing between them."""
+"""Runs a separate scheduler for each router of the simulation."""
 
 from __future__ import annotations
 
@@ -11,27 +11,31 @@
 from marbleworks.simulation.wire import Line, WireError
 
 CLOCK_ROUNDING_S = 1e-5
-"""By which a time on the wire may differ from the one that was asked for."""
+"""Largest rounding difference between a requested timer and the time at which the simulator reports it."""
 
 
 class SimulatedRouter:
-    """One router: implements `ports.SchedulerPort`, and passes the wire's events to its scheduler.
+    """One router: implements `ports.SchedulerPort` and passes events of the simulator to its scheduler.
 
     Args:
         line: the message that creates the router.
-        clock: the simulation's time in seconds.
-        listings: the engine lists of the simulation, by number.
+        clock: returns the simulation's time in seconds.
+        engine_lists: the engine lists of the simulation, keyed by number.
+
+    Attributes:
+        actions: lines of the answer to the current event.
+        timer_at: time of the earliest requested timer, in seconds; infinite if there is none.
     """
 
-    def __init__(self, line: Line, clock: Callable[[], float], listings: dict[int, list[Line]]) -> None:
+    def __init__(self, line: Line, clock: Callable[[], float], engine_lists: dict[int, list[Line]]) -> None:
         self.now = clock
-        self.listings = listings
+        self.engine_lists = engine_lists
         self.actions: list[str] = []
         self.settings = wire.read_settings(line)
         self.engine_ids: dict[str, int] = {}
         self.engine_names: list[str] = []
         self.requests: dict[str, RequestState] = {}
-        self.timer_at = math.inf  # the earliest timer that was asked for; the wire cannot take one back
+        self.timer_at = math.inf  # earliest requested timer; the protocol cannot cancel one
         self.scheduler = Scheduler(
             self,
             wire.read_seed(line),
@@ -42,18 +46,18 @@
         self._handlers = {
             wire.REQUEST_ARRIVED: self._submit,
             wire.ATTEMPT_ENDED: self._end_attempt,
-            wire.ATTEMPT_NOTE: self._note_progress,
+            wire.ATTEMPT_PROGRESS: self._note_progress,
             wire.TIMER: self._on_timer,
-            wire.ENGINES_LISTED: self._update_engines,
-            wire.CLIENT_LEFT: self._disconnect_client,
+            wire.ENGINE_LIST_RECEIVED: self._update_engines,
+            wire.CLIENT_DISCONNECTED: self._disconnect_client,
             wire.PROBE_RESULT: self._report_probe,
             wire.PEER_MESSAGE: self._receive_load_update,
         }
 
-    # What the scheduler asks for: see `ports.SchedulerPort`.
+    # Calls of the scheduler: see `ports.SchedulerPort`.
 
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
-        """Sends an attempt. The simulator sends at once, so `begin_by` always holds."""
+        """Sends an attempt; `begin_by` is always met, since the simulator sends at once."""
         self.actions.append(wire.start_attempt(ref, self.engine_names[engine_id], deadline))
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
@@ -61,7 +65,7 @@
         self.actions.append(wire.cancel_attempt(ref, attempt_no))
 
     def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
-        """Sets the terms of the next attempt."""
+        """Sets the priority and the memory of the request's next attempt."""
         self.actions.append(wire.set_attempt_terms(ref, priority, memory_mb))
 
     def shed(self, ref: str, retry_after_s: float) -> None:
@@ -81,28 +85,28 @@
         self.actions.append(wire.broadcast(data))
 
     def schedule_wakeup(self, at: float) -> None:
-        """Asks for a timer, unless an earlier one is due."""
+        """Requests a timer, unless an earlier one is pending."""
         if at < self.timer_at:
             self.timer_at = at
-            self.actions.append(wire.wake(at))
+            self.actions.append(wire.schedule_wakeup(at))
 
     def log(self, text: str) -> None:
-        """Logs a line."""
+        """Writes a line to the simulator's log."""
         self.actions.append(wire.log(text))
 
-    # What the wire says.
+    # Events of the simulator.
 
     def handle(self, line: Line) -> None:
         """Passes one event to the scheduler.
 
         Raises:
-            WireError: the line is not known, or not right.
+            WireError: the line is unknown or invalid.
         """
         handler = self._handlers.get(line.name)
         if handler is not None:
             handler(line)
-        elif line.name != wire.STREAM_BEGUN:  # no request class of this service streams
-            raise WireError(f"{line.name[: wire.QUOTED_CHARS]}: not a known message")
+        elif line.name != wire.STREAM_STARTED:  # ignored: no request class of this service streams
+            raise WireError(f"{line.name[: wire.MAX_QUOTED_CHARS]}: unknown message")
 
     def _engine_id(self, line: Line) -> int:
         name = line.text("engine")
@@ -112,16 +116,16 @@
         return self.engine_ids[name]
 
     def _submit(self, line: Line) -> None:
-        arrival = wire.read_arrival(line, self.settings)
-        self.requests[arrival.ref] = self.scheduler.submit(
-            arrival.ref,
-            class_index=arrival.class_index,
-            table_group=arrival.table_group,
-            ordering_key=arrival.ordering_key,
-            estimate=arrival.estimate,
-            tenant=arrival.tenant,
+        incoming = wire.read_request(line, self.settings)
+        self.requests[incoming.ref] = self.scheduler.submit(
+            incoming.ref,
+            class_index=incoming.class_index,
+            table_group=incoming.table_group,
+            ordering_key=incoming.ordering_key,
+            estimate=incoming.estimate,
+            tenant=incoming.tenant,
             received_at=self.now(),
-            time_left_s=arrival.time_left_s,
+            time_left_s=incoming.time_left_s,
         )
 
     def _end_attempt(self, line: Line) -> None:
@@ -140,8 +144,8 @@
     def _note_progress(self, line: Line) -> None:
         request = self.requests.get(line.text("handle"))
         if request is not None:
-            note = wire.read_note(line)
-            request.on_progress(note.attempt_no, note.progress, is_stalled=note.is_stalled)
+            report = wire.read_progress_report(line)
+            request.on_progress(report.attempt_no, report.progress, is_stalled=report.is_stalled)
 
     def _on_timer(self, line: Line) -> None:
         if self.now() >= self.timer_at - CLOCK_ROUNDING_S:
@@ -165,32 +169,42 @@
 
     def _update_engines(self, line: Line) -> None:
         form = line.text("how")
-        if form not in wire.LISTING_FORMS:
-            raise line.error("how", "is not known")
-        if form == wire.LISTING_FAILED:
+        if form not in wire.ENGINE_LIST_FORMS:
+            raise line.error("how", "is unknown")
+        if form == wire.ENGINE_LIST_FAILED:
             return
-        number = line.integer("roster_id")
-        if number not in self.listings:
-            raise WireError(f"peers_known: roster_id={number} was never given")
+        list_number = line.integer("roster_id")
+        if list_number not in self.engine_lists:
+            raise WireError(f"peers_known: roster_id={list_number} is unknown: no snapshot_rows defined it")
         entries = [
-            wire.read_engine(item, self.settings, self._engine_id(item)) for item in self.listings[number]
+            wire.read_engine(item, self.settings, self._engine_id(item))
+            for item in self.engine_lists[list_number]
         ]
-        self.scheduler.update_engines(entries, complete=form != wire.LISTING_CHANGES)
+        self.scheduler.update_engines(entries, complete=form != wire.ENGINE_LIST_CHANGES)
 
 
 class Simulation:
-    """The routers of one process; nothing passes between them but the batch's clock."""
+    """The routers of one process, which share only the clock and the engine lists.
+
+    Attributes:
+        now: the simulation's time in seconds.
+        routers: the routers, keyed by number.
+        engine_lists: the lines of each engine list, keyed by number.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
         self.routers: dict[int, SimulatedRouter] = {}
-        self.listings: dict[int, list[Line]] = {}
+        self.engine_lists: dict[int, list[Line]] = {}
 
     def handle(self, batch: wire.Batch) -> list[str]:
-        """Passes a batch's events to their routers; returns the lines of the answer.
+        """Passes a batch's events to their routers.
+
+        Returns:
+            The lines of the answer.
 
         Raises:
-            WireError: an event is not right or not in its place; the error names the batch.
+            WireError: an event is invalid or out of place; the message names the batch.
         """
         self.now = batch.now
         try:
@@ -201,50 +215,52 @@
 
     def _handle_events(self, events: list[Line]) -> list[str]:
         actions: list[str] = []
-        number: int | None = None
-        listing: list[Line] = []
+        router_number: int | None = None
+        engine_list: list[Line] = []
         missing_items = 0
         for line in events:
-            if missing_items and line.name != wire.LISTING_ITEM:
+            if missing_items and line.name != wire.ENGINE_LIST_ITEM:
                 raise _items_missing(missing_items)
             if line.name == wire.ROUTER_SELECTED:
-                number = line.integer("router")
-            elif line.name == wire.LISTING_OPENED:
-                listing_number = line.integer("roster_id")
+                router_number = line.integer("router")
+            elif line.name == wire.ENGINE_LIST_STARTED:
+                list_number = line.integer("roster_id")
                 missing_items = line.integer("members")
-                listing = []
-                self.listings[listing_number] = listing
-            elif line.name == wire.LISTING_ITEM:
+                engine_list = []
+                self.engine_lists[list_number] = engine_list
+            elif line.name == wire.ENGINE_LIST_ITEM:
                 if not missing_items:
-                    raise WireError("item: no list is open")
-                listing.append(line)
+                    raise WireError("item: outside the items of a snapshot_rows")
+                engine_list.append(line)
                 missing_items -= 1
-            elif number is None:
-                raise WireError(f"{line.name[: wire.QUOTED_CHARS]}: no context says whose it is")
+            elif router_number is None:
+                raise WireError(f"{line.name[: wire.MAX_QUOTED_CHARS]}: no context selects a router for it")
             else:
-                self._handle_router_event(number, line, actions)
+                self._handle_router_event(router_number, line, actions)
         if missing_items:
             raise _items_missing(missing_items)
         return actions
 
-    def _handle_router_event(self, number: int, line: Line, actions: list[str]) -> None:
+    def _handle_router_event(self, router_number: int, line: Line, actions: list[str]) -> None:
         if line.name == wire.ROUTER_CREATED:
-            self.routers[number] = SimulatedRouter(line, lambda: self.now, self.listings)
+            self.routers[router_number] = SimulatedRouter(line, lambda: self.now, self.engine_lists)
             return
         if line.name == wire.ROUTER_DESTROYED:
-            self.routers.pop(number, None)
+            self.routers.pop(router_number, None)
             return
-        router = self.routers.get(number)
+        router = self.routers.get(router_number)
         if router is None:
-            raise WireError(f"{line.name[: wire.QUOTED_CHARS]}: router {number} was not provisioned")
+            raise WireError(
+                f"{line.name[: wire.MAX_QUOTED_CHARS]}: router {router_number} is not provisioned"
+            )
         try:
             router.handle(line)
         except WireError:
             raise
-        except Exception as error:  # noqa: BLE001 - the bench must see it: a router that goes on would hide it
-            router.actions.append(wire.fatal(error))
+        except Exception as error:  # noqa: BLE001 - reported as fatal, so that the simulator does not miss the failure
+            router.actions.append(wire.report_error(error))
         if router.actions:
-            actions.append(wire.router_heading(number))
+            actions.append(wire.router_header(router_number))
             actions.extend(router.actions)
             router.actions.clear()
 
--- a/marbleworks/simulation/wire.py
+++ b/marbleworks/simulation/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire, and the only place that knows its words and units.
+"""The simulator's line protocol; no other module depends on its names and units.
 
-Lines of `name<TAB>field=value...` are read into the types of `model.py`, and what a scheduler asks for is
-written as lines. Times on the wire are milliseconds.
+Lines of the form `name<TAB>field=value...` are read into the types of `model.py`, and the calls of a
+scheduler are written as lines. Times in the protocol are milliseconds.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from marbleworks.settings import Settings, SettingsError
 
 T = TypeVar("T")
-QUOTED_CHARS = 40
-"""Characters of a wrong word that an error quotes."""
+MAX_QUOTED_CHARS = 40
+"""Maximum number of characters of an invalid value that an error message quotes."""
 WORK_UNIT = 4096
-"""An answer's cost is its work in milliseconds times this, plus its memory in units of `MEMORY_UNIT_MB`."""
+"""The cost of an answer is its work in milliseconds times this, plus its memory in `MEMORY_UNIT_MB` units."""
 MEMORY_UNIT_MB = 4.0
 
-# Messages that a router gets.
+# Messages from the simulator.
 
 ROUTER_CREATED = "provision"
 ROUTER_DESTROYED = "destroy"
 ROUTER_SELECTED = "context"
-LISTING_OPENED = "snapshot_rows"
-LISTING_ITEM = "item"
+ENGINE_LIST_STARTED = "snapshot_rows"
+ENGINE_LIST_ITEM = "item"
 REQUEST_ARRIVED = "work_item"
 ATTEMPT_ENDED = "reply"
-ATTEMPT_NOTE = "interim"
-STREAM_BEGUN = "first"
+ATTEMPT_PROGRESS = "interim"
+STREAM_STARTED = "first"
 TIMER = "timer"
-ENGINES_LISTED = "peers_known"
-CLIENT_LEFT = "aborted"
+ENGINE_LIST_RECEIVED = "peers_known"
+CLIENT_DISCONNECTED = "aborted"
 PROBE_RESULT = "health_result"
 PEER_MESSAGE = "heard"
 
@@ -50,21 +50,27 @@
     "unused": AttemptOutcome.UNSENT,
 }
 ENGINE_STATUSES = {"IN": EngineStatus.UP, "LAME": EngineStatus.DRAINING, "OUT": EngineStatus.GONE}
-LISTING_FAILED = "error"
-LISTING_CHANGES = "diff"
-LISTING_FORMS = (LISTING_CHANGES, "snapshot", "disk", LISTING_FAILED)
-NOTE_PROGRESS, NOTE_SPILLING, NOTE_STALLED = 1, 2, 3
+ENGINE_LIST_FAILED = "error"
+ENGINE_LIST_CHANGES = "diff"
+ENGINE_LIST_FORMS = (ENGINE_LIST_CHANGES, "snapshot", "disk", ENGINE_LIST_FAILED)
+KIND_PROGRESS, KIND_SPILLING, KIND_STALLED = 1, 2, 3
 EMPTY_BODY = "-"
-EVERY_PEER = -1
+ALL_PEERS = -1
 TIMER_CONTEXT = 0
 
 
 class WireError(Exception):
-    """A line that cannot be read, with the part that is wrong."""
+    """A line cannot be read; the message names the invalid part."""
 
 
 class Line:
-    """One line of the wire: its name, and its fields by name.
+    """One line of the protocol: its name, and its fields keyed by name.
+
+    Args:
+        text: the line as received.
+
+    Attributes:
+        tail: the settings of a new router as JSON; only for `provision`.
 
     Raises:
         WireError: a field is not written as `name=value`.
@@ -72,27 +78,31 @@
 
     def __init__(self, text: str) -> None:
         self.name, _, rest = text.rstrip("\n").partition("\t")
-        if self.name == "provision":  # the settings run to the end of the line
+        if self.name == "provision":  # the settings are the rest of the line
             rest, _, self.tail = rest.partition("profile_data=")
         self.fields: dict[str, str] = {}
         for field in rest.split("\t"):
             if field:
                 key, equals, value = field.partition("=")
                 if not equals:
-                    raise WireError(f"{self.name}: {field[:QUOTED_CHARS]!r} is not name=value")
+                    raise WireError(f"{self.name}: {field[:MAX_QUOTED_CHARS]!r} is not name=value")
                 self.fields[key] = value
 
     def text(self, key: str) -> str:
-        """Returns a field; raises WireError where it is missing, as do the readers below."""
+        """Returns a field as text.
+
+        Raises:
+            WireError: the field is missing; the methods below raise it too.
+        """
         try:
             return self.fields[key]
         except KeyError:
             raise WireError(f"{self.name}: {key} is missing") from None
 
-    def number(self, key: str, absent: float | None = None) -> float:
-        """Reads a finite number; `absent` stands for a field that is missing."""
-        if absent is not None and key not in self.fields:
-            return absent
+    def number(self, key: str, default: float | None = None) -> float:
+        """Reads a finite number; a missing field has the value `default`, unless that is None."""
+        if default is not None and key not in self.fields:
+            return default
         try:
             value = float(self.text(key))
         except ValueError:
@@ -101,33 +111,33 @@
             raise WireError(f"{self.name}: {key} is not finite")
         return value
 
-    def seconds(self, key: str, absent: float | None = None) -> float:
-        """Reads a number of milliseconds, in seconds."""
-        return self.number(key, absent) / 1000.0
+    def seconds(self, key: str, default: float | None = None) -> float:
+        """Reads a time in milliseconds and returns it in seconds; `default` is in milliseconds too."""
+        return self.number(key, default) / 1000.0
 
-    def integer(self, key: str, absent: int | None = None) -> int:
-        """Reads a whole number; `absent` stands for a field that is missing."""
-        if absent is not None and key not in self.fields:
-            return absent
+    def integer(self, key: str, default: int | None = None) -> int:
+        """Reads a whole number; a missing field has the value `default`, unless that is None."""
+        if default is not None and key not in self.fields:
+            return default
         try:
             return int(self.text(key))
         except ValueError:
             raise self.error(key, "is not a whole number") from None
 
     def choice(self, key: str, choices: Mapping[str, T]) -> T:
-        """Reads one of several words, as what it stands for."""
+        """Reads one of the keys of `choices` and returns its value."""
         try:
             return choices[self.text(key)]
         except KeyError:
-            raise self.error(key, "is not known") from None
+            raise self.error(key, "is unknown") from None
 
     def error(self, key: str, problem: str) -> WireError:
-        """An error about a field's value, to be raised."""
-        return WireError(f"{self.name}: {key}={self.fields[key][:QUOTED_CHARS]!r} {problem}")
+        """Returns an error about a field's value, for the caller to raise."""
+        return WireError(f"{self.name}: {key}={self.fields[key][:MAX_QUOTED_CHARS]!r} {problem}")
 
 
-class Arrival(NamedTuple):
-    """A request as it arrives; its fields are the arguments of `Scheduler.submit`."""
+class IncomingRequest(NamedTuple):
+    """An incoming request; the fields are the arguments of `Scheduler.submit`."""
 
     ref: str
     class_index: int
@@ -138,13 +148,13 @@
     time_left_s: float
 
 
-class Note(NamedTuple):
-    """What an engine says of an attempt that runs.
+class ProgressReport(NamedTuple):
+    """A progress report of an engine about a running attempt.
 
     Attributes:
-        attempt_no: which attempt of the request.
-        progress: the share done; None where it does not say.
-        is_stalled: whether the attempt stands still.
+        attempt_no: number of the attempt within the request.
+        progress: fraction of the work that is done; None if the report has none.
+        is_stalled: whether the attempt makes no progress.
     """
 
     attempt_no: int
@@ -154,12 +164,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The events of one moment.
+    """The events of one moment of the simulation.
 
     Attributes:
-        now: the simulation's clock in seconds.
-        frame: its number, as it is written.
-        events: its lines.
+        now: the simulation's time in seconds.
+        frame: number of the batch, as received.
+        events: the lines of the batch.
     """
 
     now: float
@@ -168,10 +178,10 @@
 
 
 def read_batches(lines: Iterable[str]) -> Iterator[Batch]:
-    """Reads batches of lines.
+    """Groups lines into batches.
 
     Raises:
-        WireError: a line is not right or not in its place; the error names the batch.
+        WireError: a line is invalid or out of place; the message names the batch.
     """
     frame = "?"
     now = 0.0
@@ -182,7 +192,7 @@
             line = Line(text)
             if line.name == "batch":
                 if is_open:
-                    raise WireError("batch: the one before has no flush")
+                    raise WireError("batch: the previous batch has no flush")
                 is_open = True
                 events = []
                 frame = "?"
@@ -191,7 +201,7 @@
                 now = line.seconds("sim_time_ms")
             elif not is_open:
                 if text.strip():
-                    raise WireError(f"{line.name[:QUOTED_CHARS]}: outside a batch")
+                    raise WireError(f"{line.name[:MAX_QUOTED_CHARS]}: outside a batch")
             elif line.name == "flush":
                 is_open = False
                 yield Batch(now, frame, events)
@@ -204,7 +214,7 @@
 
 
 def read_settings(line: Line) -> Settings:
-    """Reads the settings of a router that is created."""
+    """Reads the settings of a new router."""
     try:
         return Settings(json.loads(line.tail))
     except (ValueError, SettingsError) as error:
@@ -212,15 +222,15 @@
 
 
 def read_seed(line: Line) -> int:
-    """Reads the seed of a router that is created."""
+    """Reads the seed of a new router."""
     return line.integer("salt")
 
 
-def read_arrival(line: Line, settings: Settings) -> Arrival:
-    """Reads a request that arrives."""
+def read_request(line: Line, settings: Settings) -> IncomingRequest:
+    """Reads an incoming request."""
     ref = line.text("handle")
     tenant = line.fields.get("org", "0")
-    return Arrival(
+    return IncomingRequest(
         ref=ref,
         class_index=line.choice("cls", settings.class_index),
         table_group=int(line.number("schema_no", 0.0)),
@@ -231,39 +241,39 @@
     )
 
 
-def read_note(line: Line) -> Note:
-    """Reads what an engine says of an attempt that runs."""
+def read_progress_report(line: Line) -> ProgressReport:
+    """Reads a progress report of an engine about a running attempt."""
     attempt_no = line.integer("seq_no")
     kind = line.integer("kind")
     amount = line.number("amount")
-    if kind not in (NOTE_PROGRESS, NOTE_SPILLING, NOTE_STALLED):
-        raise WireError(f"interim: kind={kind} is not known")
-    return Note(attempt_no, amount if kind == NOTE_PROGRESS else None, kind == NOTE_STALLED)
+    if kind not in (KIND_PROGRESS, KIND_SPILLING, KIND_STALLED):
+        raise WireError(f"interim: kind={kind} is unknown")
+    return ProgressReport(attempt_no, amount if kind == KIND_PROGRESS else None, kind == KIND_STALLED)
 
 
 def read_engine(line: Line, settings: Settings, engine_id: int) -> EngineEntry:
-    """Reads one engine of a list."""
-    words = line.fields.get("site", ""), line.fields.get("machine", "")
+    """Reads one engine of an engine list."""
+    location = line.fields.get("site", ""), line.fields.get("machine", "")
     status = line.choice("availability", ENGINE_STATUSES)
     cell = line.integer("cohort", -1)
     started_at = line.seconds("started_at_ms", 0.0)
-    return settings.engine_entry(engine_id, line.text("engine"), words, cell, status, started_at)
+    return settings.engine_entry(engine_id, line.text("engine"), location, cell, status, started_at)
 
 
 def read_load_report(line: Line, settings: Settings) -> LoadReport | None:
-    """Reads an engine's load report; None where there is none."""
+    """Reads an engine's load report; returns None if there is none."""
     row = line.fields.get("pressure", "")
     values = dict(zip(settings.load_report_columns, row.split(","), strict=False)) if row else {}
     try:
         return settings.load_report(values)
     except ValueError:
         raise WireError(
-            f"{line.name}: pressure={row[:QUOTED_CHARS]!r} is not a row of finite numbers"
+            f"{line.name}: pressure={row[:MAX_QUOTED_CHARS]!r} is not a row of finite numbers"
         ) from None
 
 
 def read_usage(line: Line) -> tuple[float, float] | None:
-    """Reads the work in seconds and the memory in megabytes of an answer; None where it does not say."""
+    """Reads the work in seconds and the memory in megabytes of an answer; returns None if it has neither."""
     cost = line.integer("true_cost", 0)
     if not cost:
         return None
@@ -271,7 +281,7 @@
 
 
 def read_body(line: Line) -> bytes:
-    """Reads a message of a peer."""
+    """Reads a message from a peer."""
     body = line.text("body")
     try:
         return b"" if body == EMPTY_BODY else bytes.fromhex(body)
@@ -280,72 +290,72 @@
 
 
 def start_attempt(ref: str, engine: str, deadline: float) -> str:
-    """Has an attempt sent."""
-    return action("relay", handle=ref, cut_at_ms=milliseconds(deadline), engine=engine)
+    """Formats the action that sends an attempt; `deadline` is in seconds."""
+    return action("relay", handle=ref, cut_at_ms=format_milliseconds(deadline), engine=engine)
 
 
 def cancel_attempt(ref: str, attempt_no: int) -> str:
-    """Has an attempt cancelled."""
+    """Formats the action that cancels an attempt."""
     return action("revoke", handle=ref, seq_no=attempt_no)
 
 
 def set_attempt_terms(ref: str, priority: int, memory_mb: float) -> str:
-    """Sets the priority and the memory of a request's next attempt."""
+    """Formats the action that sets the priority and the memory of a request's next attempt."""
     return action("tune", handle=ref, rank=priority, allot_mb=f"{memory_mb:.0f}")
 
 
 def shed(ref: str, retry_after_s: float) -> str:
-    """Sheds a request; 0 names no Retry-After."""
-    retry_after_ms = milliseconds(retry_after_s) if retry_after_s else None
+    """Formats the action that sheds a request; without a Retry-After if `retry_after_s` is 0."""
+    retry_after_ms = format_milliseconds(retry_after_s) if retry_after_s else None
     return action("refuse", handle=ref, retry_after_ms=retry_after_ms)
 
 
 def fail(ref: str) -> str:
-    """Fails a request."""
+    """Formats the action that fails a request."""
     return action("report_failure", handle=ref)
 
 
 def probe(engine: str) -> str:
-    """Asks an engine for its load."""
+    """Formats the action that asks an engine for its load."""
     return action("poll", engine=engine)
 
 
 def broadcast(data: bytes) -> str:
-    """Sends a message to every peer."""
-    return action("say", whom=EVERY_PEER, body=data.hex() or EMPTY_BODY)
+    """Formats the action that sends a message to every peer."""
+    return action("say", whom=ALL_PEERS, body=data.hex() or EMPTY_BODY)
 
 
-def wake(at: float) -> str:
-    """Asks for a timer; it cannot be taken back."""
-    return action("wake_me", ctx=TIMER_CONTEXT, due_at_ms=milliseconds(at))
+def schedule_wakeup(at: float) -> str:
+    """Formats the action that requests a timer, which cannot be cancelled."""
+    return action("wake_me", ctx=TIMER_CONTEXT, due_at_ms=format_milliseconds(at))
 
 
 def log(text: str) -> str:
-    """Logs a line."""
+    """Formats the action that writes a line to the simulator's log."""
     return action("say_log", msg=text)
 
 
-def fatal(error: Exception) -> str:
-    """Reports an error of the scheduler."""
+def report_error(error: Exception) -> str:
+    """Formats the action that reports an exception of the scheduler."""
     return action("fatal", msg=f"{type(error).__name__}: {error}".replace("\n", " "))
 
 
-def router_heading(number: int) -> str:
-    """Says whose the next lines are."""
+def router_header(number: int) -> str:
+    """Formats the line that names the router of the next lines."""
     return action("at", router=number)
 
 
 def acknowledge(frame: str) -> str:
-    """Ends the answer to a batch."""
+    """Formats the line that ends the answer to a batch."""
     return action("ack", frame=frame)
 
 
 def action(name: str, **fields: Any) -> str:
-    """Writes one line; fields that are None are left out."""
-    written = [f"{key}={value}" for key, value in fields.items() if value is not None]
-    return "\t".join([name, *written])
+    """Formats one line; fields that are None are left out."""
+    parts = [f"{key}={value}" for key, value in fields.items() if value is not None]
+    return "\t".join([name, *parts])
 
 
-def milliseconds(seconds: float) -> str:
-    """Writes a time."""
+def format_milliseconds(seconds: float) -> str:
+    """Formats a time as milliseconds."""
     return f"{seconds * 1000.0:.3f}"
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package simulation."""
+"""Tests of the package `simulation`."""
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""What the drill does with misuse: one plain line and a non-zero exit."""
+"""The simulation: invalid input ends it with one line and a non-zero exit; timers do not multiply."""
 
 import json
 import subprocess
@@ -11,18 +11,18 @@
 from tests.support.stand_ins import SETTINGS
 
 
-def drill(text: str, *args: str) -> subprocess.CompletedProcess[str]:
+def run_simulation(text: str, *args: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "marbleworks.simulation", *args]
     return subprocess.run(command, input=text, capture_output=True, text=True, timeout=30, check=False)
 
 
 def test_an_empty_batch_is_acknowledged() -> None:
-    done = drill("batch\tsim_time_ms=8412.25\tframe=1\nflush\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "ack\tframe=1\n", "")
+    completed = run_simulation("batch\tsim_time_ms=8412.25\tframe=1\nflush\n")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, "ack\tframe=1\n", "")
 
 
 @pytest.mark.parametrize(
-    ("body", "names"),
+    ("body", "fragments"),
     [
         ("work_item\thandle=t/a\n", ["batch 7", "work_item", "context"]),
         ("context\trouter=0\nwork_item\thandle=t/a\n", ["batch 7", "work_item", "provisioned"]),
@@ -33,40 +33,47 @@
         ("context\trouter\n", ["batch 7", "context", "name=value"]),
     ],
 )
-def test_a_line_that_cannot_be_read_is_named(body: str, names: list[str]) -> None:
-    done = drill(f"batch\tsim_time_ms=1.0\tframe=7\n{body}flush\n")
-    assert done.returncode == 1 and done.stderr.count("\n") == 1
-    assert all(name in done.stderr for name in names), done.stderr
+def test_an_invalid_line_is_named_in_the_error(body: str, fragments: list[str]) -> None:
+    completed = run_simulation(f"batch\tsim_time_ms=1.0\tframe=7\n{body}flush\n")
+    assert completed.returncode == 1 and completed.stderr.count("\n") == 1
+    assert all(fragment in completed.stderr for fragment in fragments), completed.stderr
 
 
 @pytest.mark.parametrize("text", ["batch\tsim_time_ms=nan\tframe=1\nflush\n", "flush\n", "batch\tframe=1\n"])
-def test_a_bad_frame_ends_the_drill(text: str) -> None:
-    done = drill(text)
-    assert done.returncode == 1 and done.stderr.count("\n") == 1
+def test_an_invalid_batch_ends_the_simulation(text: str) -> None:
+    completed = run_simulation(text)
+    assert completed.returncode == 1 and completed.stderr.count("\n") == 1
 
 
-def test_timers_that_cannot_be_called_off_do_not_multiply() -> None:
-    """Each wish of the module is a timer of its own there, and each that rang would bring another."""
-    router, timers, rang = Simulation(), list[float](), 0
+def test_timers_that_cannot_be_cancelled_do_not_multiply() -> None:
+    """Guards against a growing number of timers.
 
-    def play(at: float, body: str) -> None:
-        text = f"batch\tsim_time_ms={1000.0 * at}\tframe=1\ncontext\trouter=0\n{body}flush\n"
+    Each request for a timer is a separate timer in the simulator, and none can be cancelled. If each one that
+    fires requested another, they would add up.
+    """
+    simulation, timers, fired = Simulation(), list[float](), 0
+
+    def run_batch(now_s: float, body: str) -> None:
+        text = f"batch\tsim_time_ms={1000.0 * now_s}\tframe=1\ncontext\trouter=0\n{body}flush\n"
         for batch in read_batches(text.splitlines(keepends=True)):
-            said = router.handle(batch)
-            asked = [line.split("due_at_ms=")[1] for line in said if line.startswith("wake_me")]
-            timers.extend(float(due) / 1000.0 for due in asked)
-
-    play(0.0, f"provision\tsalt=1\tprofile_data={json.dumps(SETTINGS)}\n")
-    for n in range(20):  # held, as there is no engine
-        left = 3000 + 7 * n
-        play(0.001 * n, f"work_item\thandle=t/{n}\tcls=look\tremaining_ms={left}\test_cost_ms=1\n")
+            answer = simulation.handle(batch)
+            requested = [line.split("due_at_ms=")[1] for line in answer if line.startswith("wake_me")]
+            timers.extend(float(due) / 1000.0 for due in requested)
+
+    run_batch(0.0, f"provision\tsalt=1\tprofile_data={json.dumps(SETTINGS)}\n")
+    for index in range(20):  # the requests wait, as there is no engine
+        remaining_ms = 3000 + 7 * index
+        run_batch(
+            0.001 * index,
+            f"work_item\thandle=t/{index}\tcls=look\tremaining_ms={remaining_ms}\test_cost_ms=1\n",
+        )
     while timers and min(timers) < 2.0:
-        at = min(timers)
-        timers.remove(at)
-        play(at, "timer\tctx=0\n")
-        rang += 1
-    assert 30 < rang < 60 and len(timers) < 5  # a review each 50 ms
+        now_s = min(timers)
+        timers.remove(now_s)
+        run_batch(now_s, "timer\tctx=0\n")
+        fired += 1
+    assert 30 < fired < 60 and len(timers) < 5  # the scheduler reviews its requests every 50 ms
 
 
-def test_an_argument_is_misuse() -> None:
-    assert drill("", "--help").returncode == 2
+def test_an_argument_is_a_usage_error() -> None:
+    assert run_simulation("", "--help").returncode == 2
