--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,22 +1,24 @@
-"""Leaves `.venv` and the compiled modules as `run` and `sim` need them: whole, or as they were before.
-
-It owns `.venv` and all beside it that is named `.venv.new-*` or `.venv.old-*`. An environment is made in a
-folder of its own, marked when it is complete, and only then renamed into place; the mark is a digest of
-requirements.txt and of the Python. So it must never install into `.venv`, never touch one that is whole and
-marked for what is asked (a router may be running from it), and never mark what it has not made or looked
-through.
-
-One build runs at a time, by a lock on the repository's folder. The kernel drops that lock with its process,
-however that ends, so there is no owner to be found dead, and the lock needs no file; flock(1) and a lock
-folder lack the one or the other. An installer that outlives its killed build holds no lock: the folder it
-writes into has a name that no other build uses, and the next build that finds the folder removes it.
-
-An environment without a mark (made by hand, by .ci/run or by an earlier way to build) is asked itself: if
-every pinned requirement and what it needs is there, each file at its recorded size, and pip would install
-nothing more, it is only marked, and a developer keeps their tools. Else it is replaced. One with another mark
-is always replaced, since what was dropped from requirements.txt must go too. One with the right mark is
-looked through the same way, but for pip: its Python may be gone, or someone may have installed into it by
-hand. No guard is made against a loss of power.
+"""Builds `.venv` and compiles the modules for `run` and `sim`; a failed build leaves `.venv` as it was.
+
+The build owns `.venv` and everything beside it that is named `.venv.new-*` or `.venv.old-*`. It creates an
+environment in a separate folder, writes a marker file into it when it is complete, and only then renames it
+to `.venv`. The marker holds a digest of requirements.txt and of the Python. Therefore the build never
+installs into `.venv`, never changes an environment that is complete and has the expected marker (a router may
+be running from it), and never marks an environment that it has neither created nor verified.
+
+Only one build runs at a time: it holds a lock on the repository's folder. The kernel releases the lock when
+the process ends, however it ends, so no lock can become stale; and the lock needs no file. flock(1) and a
+lock folder each lack one of these properties. An installer that outlives its killed build holds no lock: the
+folder that it writes into has a name that no other build uses, and the next build that finds the folder
+removes it.
+
+An environment without a marker (created by hand, by .ci/run or by an earlier version of the build) is
+verified: if every pinned requirement and its dependencies are there, each file has its recorded size, and pip
+would install nothing more, the build only adds the marker, so that developers keep their tools. Otherwise it
+replaces the environment. An environment with another marker is always replaced, since packages that were
+dropped from requirements.txt have to go too. One with the expected marker is verified in the same way but
+without pip: its Python may be missing, or someone may have installed into it by hand. The build does not
+guard against a power failure.
 """
 
 import fcntl
@@ -30,20 +32,21 @@
 from collections.abc import Callable
 from pathlib import Path
 
-MARK = "whole"
-TELL_PYTHON = """
+MARKER_FILE = "whole"
+"""File that marks a complete environment; it holds a digest of what the environment was built for."""
+DESCRIBE_PYTHON_SCRIPT = """
 import os, sys
 print(sys.version, sys.implementation.name, os.uname().machine)
 """
-LOOK_THROUGH = r"""
+VERIFY_PACKAGES_SCRIPT = r"""
 import csv, re, sys
 from importlib.metadata import PackageNotFoundError, distribution
 
-def name(line):
+def normalized_name(line):
     return re.sub(r"[-_.]+", "-", re.match(r"[\w.-]*", line)[0]).lower()
 
 pins = [line.split("#")[0].strip() for line in open(sys.argv[1], encoding="utf-8")]
-pins = {name(pin): pin.partition("==")[2] for pin in pins if pin}
+pins = {normalized_name(pin): pin.partition("==")[2] for pin in pins if pin}
 queue, seen = list(pins), set()
 while queue:
     package = queue.pop()
@@ -51,165 +54,208 @@
         continue
     seen.add(package)
     try:
-        found = distribution(package)
+        installed = distribution(package)
     except PackageNotFoundError:
         if package in pins:
             sys.exit(f"{package} is not installed")
-        continue  # It may be for another system; pip is asked about these.
-    if pins.get(package) not in (None, "", found.version):
-        sys.exit(f"{package} is {found.version}, not {pins[package]}")
-    record = found.read_text("RECORD")
-    if not record:  # An installer writes it last.
-        sys.exit(f"{package} has no record")
+        continue  # It may be needed only on other systems; pip checks these.
+    if pins.get(package) not in (None, "", installed.version):
+        sys.exit(f"{package} has version {installed.version}, expected {pins[package]}")
+    record = installed.read_text("RECORD")
+    if not record:  # Installers write it last.
+        sys.exit(f"{package} has no RECORD file")
     for path, _, size in csv.reader(record.splitlines()):
-        file = found.locate_file(path)
-        # Scripts change when an environment is moved; what has no size may be made again at any time.
+        file = installed.locate_file(path)
+        # Scripts change size when an environment is moved; files without a size may be generated again.
         if size and not (file.is_file() and (path.startswith("..") or file.stat().st_size == int(size))):
-            sys.exit(f"{package} lacks {path}")
-    queue += [name(line) for line in found.requires or () if "extra ==" not in line]
+            sys.exit(f"{package}: {path} is missing or has another size than recorded")
+    queue += [normalized_name(line) for line in installed.requires or () if "extra ==" not in line]
 """
 
 
-def say(line: str) -> None:
+def log(line: str) -> None:
+    """Prints a line on standard error."""
     print(f"build: {line}", file=sys.stderr, flush=True)
 
 
-def answer(python: Path | str, script: str, *args: str) -> str | None:
-    """What the script prints in that Python, or nothing if it can't be run or fails."""
+def run_script(python: Path | str, script: str, *args: str) -> str | None:
+    """Runs a script in that Python; the last line of its standard error is printed if it fails.
+
+    Returns:
+        The script's standard output; None if it cannot be run or fails.
+    """
     try:
-        done = subprocess.run([str(python), "-I", "-c", script, *args], capture_output=True, text=True)
+        completed = subprocess.run([str(python), "-I", "-c", script, *args], capture_output=True, text=True)
     except OSError:
         return None
-    if done.returncode and done.stderr:
-        say(done.stderr.strip().splitlines()[-1])
-    return None if done.returncode else done.stdout
+    if completed.returncode and completed.stderr:
+        log(completed.stderr.strip().splitlines()[-1])
+    return None if completed.returncode else completed.stdout
 
 
 def pip(venv: Path) -> list[str]:
+    """Returns the command that runs the environment's pip."""
     return [str(venv / "bin" / "python"), "-m", "pip", "-q", "--disable-pip-version-check", "--no-input"]
 
 
 def install(root: Path, new: Path) -> None:
-    """Makes an environment with all of requirements.txt at a path that does not exist yet."""
+    """Creates an environment with all of requirements.txt at a path that does not exist yet."""
     subprocess.run([sys.executable, "-m", "venv", "--prompt", ".venv", str(new)], check=True)
     subprocess.run([*pip(new), "install", "-r", "requirements.txt"], cwd=root, check=True)
 
 
-def satisfied(root: Path, venv: Path) -> bool:
-    """Whether pip, without an index, finds nothing left to install: what is needed in turn counts too."""
-    asked = "install --dry-run --no-index --only-binary :all: --report - -r requirements.txt".split()
-    done = subprocess.run([*pip(venv), *asked], cwd=root, capture_output=True, text=True)
+def is_satisfied(root: Path, venv: Path) -> bool:
+    """Returns whether pip finds nothing left to install, without an index; dependencies count too."""
+    arguments = "install --dry-run --no-index --only-binary :all: --report - -r requirements.txt".split()
+    completed = subprocess.run([*pip(venv), *arguments], cwd=root, capture_output=True, text=True)
     try:
-        return done.returncode == 0 and json.loads(done.stdout)["install"] == []
+        return completed.returncode == 0 and json.loads(completed.stdout)["install"] == []
     except (ValueError, KeyError):
         return False
 
 
 class Build:
-    """One build of the repository at `root`; `install` and `satisfied` may be replaced by stand-ins."""
+    """One build of a repository.
+
+    Args:
+        root: folder of the repository.
+        install: creates an environment for the repository at the given path; tests replace it.
+        is_satisfied: returns whether an environment needs no further installation; tests replace it.
+
+    Attributes:
+        python: description of the Python that runs the build: version, implementation and machine.
+        marker: the digest that the marker file of a complete environment holds.
+    """
 
     def __init__(
         self,
         root: Path,
         install: Callable[[Path, Path], None] = install,
-        satisfied: Callable[[Path, Path], bool] = satisfied,
+        is_satisfied: Callable[[Path, Path], bool] = is_satisfied,
     ) -> None:
         self.root, self.venv = root, root / ".venv"
-        self.install, self.satisfied = install, satisfied
+        self.install, self.is_satisfied = install, is_satisfied
 
     def run(self) -> None:
-        folder = os.open(self.root, os.O_RDONLY)
+        """Builds the environment if necessary and compiles the modules.
+
+        Raises:
+            OSError: Python cannot be run, or a file operation fails.
+            subprocess.CalledProcessError: the installation or the compilation fails.
+        """
+        root_descriptor = os.open(self.root, os.O_RDONLY)
         try:
-            fcntl.flock(folder, fcntl.LOCK_EX)
-            # Both are read under the lock: a build that waited takes what is there now.
-            self.python = answer(sys.executable, TELL_PYTHON)
+            fcntl.flock(root_descriptor, fcntl.LOCK_EX)
+            # Python and requirements.txt are read under the lock: a waiting build uses their current state.
+            self.python = run_script(sys.executable, DESCRIBE_PYTHON_SCRIPT)
             if self.python is None:
-                raise OSError(f"{sys.executable} does not run")
-            asked = (self.root / "requirements.txt").read_bytes()
-            self.mark = hashlib.sha256(f"{self.python}\n".encode() + asked).hexdigest()
-            self.finish_swap()
-            for left in [*self.root.glob(".venv.new-*"), *self.root.glob(".venv.old-*")]:
-                self.discard(left)
-            if not self.whole():
-                self.make()
-            compiled = [str(self.venv / "bin" / "python"), "-m", "compileall", "-q", "marbleworks"]
-            subprocess.run(compiled, cwd=self.root, check=True)
+                raise OSError(f"{sys.executable} cannot be run")
+            requirements = (self.root / "requirements.txt").read_bytes()
+            self.marker = hashlib.sha256(f"{self.python}\n".encode() + requirements).hexdigest()
+            self.finish_interrupted_swap()
+            for leftover in [*self.root.glob(".venv.new-*"), *self.root.glob(".venv.old-*")]:
+                self.remove_environment(leftover)
+            if not self.is_complete():
+                self.replace_environment()
+            compile_command = [str(self.venv / "bin" / "python"), "-m", "compileall", "-q", "marbleworks"]
+            subprocess.run(compile_command, cwd=self.root, check=True)
         finally:
-            os.close(folder)
+            os.close(root_descriptor)
 
-    def marked(self, venv: Path) -> str | None:
+    def read_marker(self, venv: Path) -> str | None:
+        """Returns the contents of the environment's marker file; None if there is none."""
         try:
-            return (venv / MARK).read_text()
+            return (venv / MARKER_FILE).read_text()
         except OSError:
             return None
 
-    def whole(self) -> bool:
-        """Whether `.venv` is what is asked for. Marks it if that is found out only now."""
-        mark, python = self.marked(self.venv), self.venv / "bin" / "python"
-        if mark not in (None, self.mark) or not python.exists():
+    def is_complete(self) -> bool:
+        """Returns whether `.venv` is complete for the current requirements and Python.
+
+        A complete environment that has no marker gets one.
+        """
+        marker, python = self.read_marker(self.venv), self.venv / "bin" / "python"
+        if marker not in (None, self.marker) or not python.exists():
             return False
-        if answer(python, TELL_PYTHON + LOOK_THROUGH, str(self.root / "requirements.txt")) != self.python:
+        if (
+            run_script(
+                python, DESCRIBE_PYTHON_SCRIPT + VERIFY_PACKAGES_SCRIPT, str(self.root / "requirements.txt")
+            )
+            != self.python
+        ):
             return False
-        if mark is None:
-            if not self.satisfied(self.root, self.venv):
+        if marker is None:
+            if not self.is_satisfied(self.root, self.venv):
                 return False
-            self.set_mark(self.venv)
-            say("the environment was whole, and is marked now")
+            self.write_marker(self.venv)
+            log("the existing environment is complete and is marked now")
         return True
 
-    def make(self) -> None:
+    def replace_environment(self) -> None:
+        """Creates an environment and swaps it for `.venv`; on failure the earlier `.venv` stays."""
         token = secrets.token_hex(8)
         new, old = self.root / f".venv.new-{token}", self.root / f".venv.old-{token}"
-        say("making the environment")
+        log("creating the environment")
         try:
             self.install(self.root, new)
-            self.move_paths(new)
-            self.set_mark(new)
+            self.rewrite_paths(new)
+            self.write_marker(new)
             if os.path.lexists(self.venv):
                 self.venv.rename(old)
             new.rename(self.venv)
         except BaseException:
             if not os.path.lexists(self.venv) and os.path.lexists(old):
                 old.rename(self.venv)
-            self.discard(new)
+            self.remove_environment(new)
             raise
-        self.discard(old)
+        self.remove_environment(old)
+
+    def finish_interrupted_swap(self) -> None:
+        """Puts the new environment in place if a build was interrupted between its two renames.
 
-    def finish_swap(self) -> None:
-        """Guards against a cut between the two renames of `make`: the new one is whole but not in place."""
+        The new environment is complete then, but there is no `.venv`.
+        """
         for new in self.root.glob(".venv.new-*"):
-            if not os.path.lexists(self.venv) and self.marked(new) == self.mark:
+            if not os.path.lexists(self.venv) and self.read_marker(new) == self.marker:
                 new.rename(self.venv)
 
-    def move_paths(self, new: Path) -> None:
-        """Guards against scripts that name the folder they were made in; .ci/run calls pip by its script."""
+    def rewrite_paths(self, new: Path) -> None:
+        """Replaces the path of the new folder by that of `.venv` in scripts and in pyvenv.cfg.
+
+        Scripts name the folder they were created in, and .ci/run calls pip by its script.
+        """
         for file in [new / "pyvenv.cfg", *new.glob("bin/*")]:
             if file.is_file() and not file.is_symlink():
-                held = file.read_bytes()
-                moved = held.replace(os.fsencode(new), os.fsencode(self.venv))
-                if moved != held:
-                    file.write_bytes(moved)
-
-    def set_mark(self, venv: Path) -> None:
-        # In two steps: a mark cut short would be a wrong one, and have a whole environment replaced.
-        (venv / f"{MARK}.new").write_text(self.mark)
-        (venv / f"{MARK}.new").rename(venv / MARK)
-
-    def discard(self, venv: Path) -> None:
-        """The mark goes first, so that what is half removed is not taken for whole if this is cut short."""
+                original = file.read_bytes()
+                rewritten = original.replace(os.fsencode(new), os.fsencode(self.venv))
+                if rewritten != original:
+                    file.write_bytes(rewritten)
+
+    def write_marker(self, venv: Path) -> None:
+        """Writes the marker file of an environment."""
+        # Written in two steps: a truncated marker would have a complete environment replaced.
+        (venv / f"{MARKER_FILE}.new").write_text(self.marker)
+        (venv / f"{MARKER_FILE}.new").rename(venv / MARKER_FILE)
+
+    def remove_environment(self, venv: Path) -> None:
+        """Removes an environment.
+
+        The marker goes first, so that an interrupted removal leaves no environment that seems complete.
+        """
         if venv.is_symlink() or venv.is_file():
             venv.unlink()
             return
-        (venv / MARK).unlink(missing_ok=True)
-        # An installer that outlived its build may still write there; what stays, the next build removes.
+        (venv / MARKER_FILE).unlink(missing_ok=True)
+        # An installer that outlived its build may still write there; the next build removes what remains.
         shutil.rmtree(venv, ignore_errors=True)
 
 
 def main() -> None:
+    """Builds the repository that contains this file; exits with 1 on failure."""
     try:
         Build(Path(__file__).resolve().parent.parent).run()
-    except (subprocess.CalledProcessError, OSError) as wrong:
-        say(f"failed: {wrong}")
+    except (subprocess.CalledProcessError, OSError) as error:
+        log(f"failed: {error}")
         sys.exit(1)
 
 
