--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,7 @@
-"""The picture in docs/architecture.md: no import points back up."""
+"""The layers of docs/architecture.md: no module imports from a layer above it."""
 
 from importlinter.cli import EXIT_STATUS_SUCCESS, lint_imports
 
 
-def test_no_import_points_back_up() -> None:
+def test_no_import_violates_the_layers() -> None:
     assert lint_imports(no_cache=True, is_debug_mode=False) == EXIT_STATUS_SUCCESS
