--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -245,4 +245,5 @@
     settings: tuple[Setting, ...] = field(default_factory=tuple)
 
     def __getitem__(self, name: str) -> Setting | None:
+        """Returns the setting of that name; None if the section has none."""
         return next((setting for setting in self.settings if setting.name == name), None)
--- a/marbleworks/simulation/adapter.py
+++ b/marbleworks/simulation/adapter.py
@@ -46,7 +46,7 @@
         self._handlers = {
             wire.REQUEST_ARRIVED: self._submit,
             wire.ATTEMPT_ENDED: self._end_attempt,
-            wire.ATTEMPT_PROGRESS: self._note_progress,
+            wire.ATTEMPT_PROGRESS: self._report_progress,
             wire.TIMER: self._on_timer,
             wire.ENGINE_LIST_RECEIVED: self._update_engines,
             wire.CLIENT_DISCONNECTED: self._disconnect_client,
@@ -141,7 +141,7 @@
             outcome = line.choice("disposition", wire.OUTCOMES)
             request.on_attempt_end(attempt_no, outcome, is_completed, load_report)
 
-    def _note_progress(self, line: Line) -> None:
+    def _report_progress(self, line: Line) -> None:
         request = self.requests.get(line.text("handle"))
         if request is not None:
             report = wire.read_progress_report(line)
@@ -257,7 +257,7 @@
             router.handle(line)
         except WireError:
             raise
-        except Exception as error:  # noqa: BLE001 - reported as fatal, so that the simulator does not miss the failure
+        except Exception as error:  # noqa: BLE001 - the router runs on, so the failure would be hidden if it were not reported
             router.actions.append(wire.report_error(error))
         if router.actions:
             actions.append(wire.router_header(router_number))
