--- a/deploy/build.py
+++ b/deploy/build.py
@@ -32,8 +32,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
+# File that marks a complete environment; it holds a digest of what the environment was built for.
 MARKER_FILE = "whole"
-"""File that marks a complete environment; it holds a digest of what the environment was built for."""
 DESCRIBE_PYTHON_SCRIPT = """
 import os, sys
 print(sys.version, sys.implementation.name, os.uname().machine)
--- a/marbleworks/fair_queue/admission.py
+++ b/marbleworks/fair_queue/admission.py
@@ -59,6 +59,7 @@
 
     def turn_away(self, ref: str, retry_after_s: float) -> None:
         """Sheds a request; retry_after_s is infinite where no retry was promised."""
+        ...
 
     def tell_peers(self, data: bytes) -> None:
         """Sends a summary to all peers."""
@@ -73,9 +74,11 @@
             duration_s: How long an admitted request has waited, or after which time a shed one may be
                 retried; infinite where no retry was promised.
         """
+        ...
 
     def broke(self, ref: str, tenant: str, cause: str) -> None:
         """Reports that a request that claimed its retry promise was not served."""
+        ...
 
 
 @dataclass(slots=True)
--- a/marbleworks/membership/failure_detector.py
+++ b/marbleworks/membership/failure_detector.py
@@ -2,7 +2,7 @@
 
 It joins the group, probes other routers, suspects them, declares them dead and refutes reports about itself.
 `tick` and `receive` return the messages to send; the caller drains `changes` of the view. Times are float
-seconds of one monotonic clock. docs/design/peers.md explains the design.
+seconds of one monotonic clock. docs/design/membership.md explains the design.
 """
 
 from __future__ import annotations
--- a/marbleworks/membership/leader_election.py
+++ b/marbleworks/membership/leader_election.py
@@ -1,9 +1,9 @@
 """Leader election by time-limited votes, and the leader's division of the quota among the routers.
 
 At no time do two routers lead, nor do all routers together use more than the whole quota.
-docs/design/peers.md has the proof, which covers the votes and the division together. Times are float seconds
-of one monotonic clock, whose rate differs from those of other routers by at most `MAX_CLOCK_DRIFT`. This
-module does no I/O and reads no clock.
+docs/design/membership.md has the proof, which covers the votes and the division together. Times are float
+seconds of one monotonic clock, whose rate differs from those of other routers by at most `MAX_CLOCK_DRIFT`.
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
--- a/marbleworks/operator_config/document.py
+++ b/marbleworks/operator_config/document.py
@@ -14,10 +14,10 @@
 from marbleworks.operator_config.sexpr import ConfigSyntaxError, Form, parse
 from marbleworks.operator_config.value_types import Section, Setting
 
+# The values of a section, keyed by setting name.
 SectionValues = dict[str, Any]
-"""The values of a section, keyed by setting name."""
+# The sections that a file may have, keyed by section name.
 SectionSchemas = Mapping[str, Section]
-"""The sections that a file may have, keyed by section name."""
 
 
 class OperatorConfigError(Exception):
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -15,6 +15,7 @@
 from marbleworks.operator_config import document
 from marbleworks.spool.options import SPOOL_SECTION
 
+# Schemas of the sections, keyed by section name.
 SECTIONS = {
     section.name: section
     for section in (
@@ -25,10 +26,9 @@
         BUDGETS_SECTION,
     )
 }
-"""Schemas of the sections, keyed by section name."""
+# Reads and checks the operator's file at a path; see `OperatorConfig.read`.
 read_operator_config = partial(document.OperatorConfig.read, SECTIONS)
-"""Reads and checks the operator's file at a path; see `OperatorConfig.read`."""
+# Parses a text into checked sections; see `document.parse_sections`.
 parse_sections = partial(document.parse_sections, SECTIONS)
-"""Parses a text into checked sections; see `document.parse_sections`."""
+# Describes every setting in one line each; see `document.describe_settings`.
 describe_settings = partial(document.describe_settings, SECTIONS)
-"""Describes every setting in one line each; see `document.describe_settings`."""
