--- a/marbleworks/cells/budget_leases.py
+++ b/marbleworks/cells/budget_leases.py
@@ -24,8 +24,8 @@
 from marbleworks.membership.codec import checked_counter, seal, unseal, wrap_decode_errors
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-ANSWER_TIMEOUT_S = 1.2  # without an answer, after which a cell's leader looks for the granter again
-HELLO_INTERVAL_S = 0.2  # between two messages that look for the granter
+ANSWER_TIMEOUT_S = 1.2  # without an answer a cell's leader looks for the granter again after it
+HELLO_INTERVAL_S = 0.2  # interval between two messages that look for the granter
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
     """Asks a machine of the level above whether it is the granter, and registers the cell's leader there.
 
     Attributes:
-        cell: that is led.
-        router: index of the router that leads it.
-        incarnation: of that router's process.
-        term: of that incarnation as the cell's leader.
-        token: comes back in the answer.
+        cell: Number of the cell that is led.
+        router: Index of the router that leads it.
+        incarnation: Incarnation of that router's process.
+        term: Number of that incarnation's term as the cell's leader.
+        token: Value that the answer repeats.
     """
 
     cell: int
@@ -52,10 +52,11 @@
     """The granter's answer to a `Hello`.
 
     Attributes:
-        incarnation: of the granter's process.
-        term: of that incarnation as the granter.
-        token: of the `Hello`.
-        epoch: under which this leader reports for its cell. It ends when another leader is given a later one.
+        incarnation: Incarnation of the granter's process.
+        term: Number of that incarnation's term as the granter.
+        token: Token of the `Hello`.
+        epoch: Epoch under which this leader reports for its cell. It ends when another leader is given a
+            later one.
     """
 
     incarnation: int
@@ -87,7 +88,7 @@
     """Decodes a datagram between levels; reports and answers have the same form as between routers.
 
     Raises:
-        DatagramDecodeError: it is damaged, of another group or not of this kind.
+        DatagramDecodeError: The datagram is damaged, of another group or not of this kind.
     """
     fields = unseal(FORMAT, group, data)
     with wrap_decode_errors():
@@ -105,8 +106,8 @@
     level, and what is in use beyond it for the budget's own `settle_s`.
 
     Args:
-        budget: as the cell has it.
-        lease_s: how long a lease lasts that the cell grants.
+        budget: The budget as the cell has it.
+        lease_s: Duration of a lease that the cell grants, in seconds.
     """
     return replace(budget, settle_s=budget.settle_s + lease_s)
 
@@ -119,7 +120,7 @@
     """
 
     def predecessor_settled_at(self, allocation: BudgetAllocation, lease_s: float, now: float) -> float:
-        """When all has ended that the former router of a place had.
+        """Returns when everything that the former router of a place had has ended.
 
         It may have moved to another cell rather than have died; then only its leases' expiry ends what it
         had.
@@ -141,7 +142,7 @@
         return self.share_count * max([unreported, *guarantees])
 
     def observed_use(self, usage: BudgetUsage) -> tuple[int, int]:
-        """Units that count as used by a cell: what it wants, if that is more than it uses.
+        """Units that count as used by a cell: the units wanted if these are more than the units used.
 
         A cell's demand is what its ledger estimates for its routers. To estimate it a second time from what
         is used makes shares oscillate, for it takes a while until routers use what their cell is granted.
@@ -155,7 +156,7 @@
     def predecessors_settled_at(
         self, allocation: BudgetAllocation, lease_s: float, age_s: float, now: float
     ) -> float:
-        """The present: a cell's leader reports for all routers that were ever in the cell."""
+        """Returns the present time: a cell's leader reports for all routers that were ever in the cell."""
         return now
 
     def on_new_incarnation(
@@ -174,16 +175,17 @@
     """Leases budgets to cells for one term of this machine as the granter of its level.
 
     Args:
-        machine_index: of this machine among those of its level.
-        cell_count: the most cells that there may be.
-        share_count: the most routers that the fleet may have.
-        incarnation: of our process.
-        term: counts the terms of this incarnation, from 1.
-        guaranteed_ratio: the part of each total of which each router always has an even share.
-        lease_s: how long a grant lasts.
-        now: when the term began.
-        known_totals: totals of each budget that our configuration had lately, by budget id.
-        source: what is divided, where this level is leased it by another; by default the totals.
+        machine_index: Index of this machine among those of its level.
+        cell_count: Maximum number of cells.
+        share_count: Maximum number of routers in the fleet.
+        incarnation: Incarnation of this process.
+        term: Number of the term within this incarnation, from 1.
+        guaranteed_ratio: Part of each total of which each router always has an even share.
+        lease_s: Duration of a grant, in seconds.
+        now: Time at which the term began.
+        known_totals: Totals of each budget that this machine's configuration had lately, by budget id.
+        source: Source of the units to divide, where another level leases them to this one; by default the
+            totals.
     """
 
     def __init__(
@@ -212,17 +214,17 @@
             policy,
             source,
         )
-        self.leaders: dict[int, tuple[int, int, int]] = {}  # by cell: router, its incarnation, its term
-        self.epochs: dict[int, int] = {}  # by cell: of its present leader
+        self.leaders: dict[int, tuple[int, int, int]] = {}  # router, incarnation and term, by cell
+        self.epochs: dict[int, int] = {}  # epoch of the present leader, by cell
 
     def hello(self, hello: Hello) -> Welcome | None:
-        """Registers a cell's leader: the one that asked last.
+        """Registers a cell's leader; the one that asked last counts.
 
         A late Hello of a former leader is registered too. That leader does nothing with the answer, and the
         present one asks again.
 
         Returns:
-            None where there is no such cell.
+            The answer, or None where there is no such cell.
         """
         if not 0 <= hello.cell < self.ledger.member_count:
             return None
@@ -246,9 +248,9 @@
     `in_flight` is what the cell's ledger may have granted to its routers.
 
     Attributes:
-        is_in_flight_known: whether the cell's routers can hold no more than `in_flight`.
-        routers_used_units: used by the cell's routers.
-        routers_wanted_units: wanted by the cell's routers.
+        is_in_flight_known: Whether the cell's routers can hold no more than `in_flight`.
+        routers_used_units: Units used by the cell's routers.
+        routers_wanted_units: Units wanted by the cell's routers.
     """
 
     is_in_flight_known: bool = False
@@ -269,21 +271,21 @@
 
 
 class BudgetLeaseHolder(LocalBudgets, BudgetSource):
-    """Leases budgets for a cell, for one term of our router as the cell's leader.
+    """Leases budgets for a cell, for one term of this router as the cell's leader.
 
     Args:
-        cell: that we lead.
-        leader: our router, its incarnation and its term, as in `Hello`.
-        machine_count: machines of the level above, one of which is the granter.
-        lease_s: how long a lease of that level lasts.
-        now: when the term began.
+        cell: Number of the cell that this router leads.
+        leader: This router, its incarnation and its term, as in `Hello`.
+        machine_count: Number of machines of the level above, one of which is the granter.
+        lease_s: Duration of a lease of that level, in seconds.
+        now: Time at which the term began.
 
     Attributes:
-        books: our own ledger, which divides what we hold among the cell's routers.
-        predecessor_units: by budget id: units that leaders before us may have granted.
-        epoch: of the granter's Welcome; 0: the granter is not known.
-        hello_count: Hellos sent in this term.
-        hello_machine: to which the last of them went.
+        books: This router's ledger, which divides what the cell holds among the cell's routers.
+        predecessor_units: Units that earlier leaders may have granted, by budget id.
+        epoch: Epoch of the granter's `Welcome`; 0 if the granter is not known.
+        hello_count: Number of Hellos sent in this term.
+        hello_machine: Index of the machine that the last Hello went to.
     """
 
     BUDGET_TYPE = CellBudget
@@ -303,7 +305,7 @@
             leader[0],
         )
 
-    # The source of what our own ledger divides.
+    # The source of what this router's ledger divides.
 
     def leasable_units(self, allocation: BudgetAllocation, now: float) -> int:
         """Units that are leased to the cell."""
@@ -327,7 +329,7 @@
         return local is not None and now < local.lease_expires_at
 
     def max_earlier_grants(self, allocation: BudgetAllocation, members: MemberPolicy) -> int:
-        """All that the cell was leased: leaders before us may have granted it.
+        """Returns all that the cell was leased: earlier leaders may have granted it.
 
         The ledger counts these units until the cell's routers have reported what they hold.
         """
@@ -353,12 +355,12 @@
         return [(self.granter[0], r) for r in self.make_reports(*self.granter, self.epoch, now)]
 
     def _hello_token(self) -> int:
-        """The token of our last Hello, which no answer to a Hello of an earlier term of ours has."""
+        """The token of the last Hello, which no answer to a Hello of an earlier term has."""
         _, incarnation, term = self.leader
         return (incarnation & 0xFFF) << 28 | (term & 0xFFF) << 16 | self.hello_count & 0xFFFF
 
     def _refresh(self, now: float) -> None:
-        """Takes over the sums of our ledger, beyond guaranteed units, for budgets of our configuration."""
+        """Takes over the ledger's sums, beyond guaranteed units, for the budgets configured here."""
         if self.books is None:
             return
         summaries = dict[int, AllocationSummary]()
@@ -372,7 +374,7 @@
         for budget_id, summary in summaries.items():
             local = self.budgets[budget_id]
             assert isinstance(local, CellBudget)
-            # What leaders before us granted is in the cell's account above, or in no account there yet.
+            # What earlier leaders granted is in the cell's account above, or in no account there yet.
             local.is_in_flight_known = budget_id in self.predecessor_units or summary.unreported_units == 0
             local.in_flight = summary.committed_units + (
                 summary.unreported_units if local.is_in_flight_known else 0
@@ -388,10 +390,10 @@
             )
 
     def age_ms(self, usages: tuple[BudgetUsage, ...], now: float) -> int:
-        """Time since our term began, as a report of these usages says it.
+        """Returns the time since this term began, as a report of these usages states it.
 
         Returns:
-            Milliseconds, 1 or more; 0 where we do not know what leaders before us granted, and the cell's
+            Milliseconds, 1 or more; 0 where it is not known what earlier leaders granted, and the cell's
             account is to stay as it is.
         """
         budgets = [self.budgets[usage.budget_id] for usage in usages]
@@ -402,12 +404,12 @@
         """Handles a message of the level above.
 
         Args:
-            sender: index of the machine that sent it.
-            message: an answer to a Hello or to a report.
-            now: seconds.
+            sender: Index of the machine that sent it.
+            message: The answer to a Hello or to a report.
+            now: The present time.
 
         Returns:
-            Whether it was an answer to us.
+            Whether it was an answer to this router.
         """
         if isinstance(message, Welcome):
             if not self.hello_count or message.token != self._hello_token():
--- a/marbleworks/cells/home_leases.py
+++ b/marbleworks/cells/home_leases.py
@@ -3,8 +3,8 @@
 A region's granter leases time to its cells, and a cell's leader, out of its own lease, to its routers.
 `Granter` keeps what was promised; `Holder`, `Router` and `Leader` decide what may be done under a lease. At
 no moment may two cells take loads of one table group, or one cell take them while loads that another began
-may still run. docs/design/cells.md has the proof. Times are float seconds of one's own clock, whose pace
-differs from others' by at most `MAX_CLOCK_DRIFT`.
+may still run. docs/design/cells.md has the proof. Times are float seconds of the machine's own clock, whose
+rate differs from those of other machines by at most `MAX_CLOCK_DRIFT`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-MAX_PLANS = 16  # adopted since one that was clear, that a holder remembers
-MAX_PENDING_ASKS = 64  # that may still be answered
+MAX_PLANS = 16  # plans that a holder remembers, adopted since one that was clear
+MAX_PENDING_ASKS = 64  # maximum number of requests that may still be answered
 
 
 class Homes(Protocol):
@@ -37,11 +37,11 @@
     """A holder's request for a lease.
 
     Attributes:
-        generation: of the process that asks; a later process has a higher one.
-        token: comes back in the answer.
-        plan_number: of the plan in force at the holder.
-        done_number: number of a plan. All loads that the holder began for homes which it lost by that plan
-            or an older one have ended.
+        generation: Generation of the process that asks; a later process has a higher one.
+        token: Value that the answer repeats.
+        plan_number: Number of the plan in force at the holder.
+        done_number: Number of a plan. All loads that the holder began for homes which it lost by that plan or
+            an older one have ended.
     """
 
     generation: int
@@ -55,13 +55,13 @@
     """A granter's answer to an `Ask`.
 
     Attributes:
-        generation: of the `Ask`.
-        token: of the `Ask`.
-        granted_s: seconds for which homes may be kept, counted from when the `Ask` was sent; 0: refused.
-        clear_number: number of a plan. All loads that any cell began by older plans have ended, and no more
-            of them begin. 0: not known.
-        newest_number: the highest plan number that the granter has heard of.
-        retry_after_s: seconds until, at the latest, a refusal or an unknown `clear_number` no longer applies.
+        generation: Generation of the `Ask`.
+        token: Token of the `Ask`.
+        granted_s: Seconds for which homes may be kept, counted from when the `Ask` was sent; 0 if refused.
+        clear_number: Number of a plan. All loads that any cell began by older plans have ended, and no more
+            of them begin. 0 if no such plan is known.
+        newest_number: The highest plan number that the granter has heard of.
+        retry_after_s: Seconds until, at the latest, a refusal or an unknown `clear_number` no longer applies.
     """
 
     generation: int
@@ -77,8 +77,8 @@
     """The load may be sent.
 
     Attributes:
-        begin_by: time by which it has to be sent.
-        ends_by: time by which it has ended in any case.
+        begin_by: Time by which it has to be sent.
+        ends_by: Time by which it has ended in any case.
     """
 
     begin_by: float
@@ -94,10 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotYet:
-    """By the plan the home is ours, but we may not take loads for it yet.
+    """By the plan this cell has the home, but it may not take loads for it yet.
 
     Attributes:
-        retry_after_s: seconds after which the load may be tried again.
+        retry_after_s: Seconds after which the load may be tried again.
     """
 
     retry_after_s: float
@@ -111,9 +111,9 @@
     """The most that one process of a holder may believe it was granted.
 
     Attributes:
-        generation: of the process.
-        done_number: the highest that it reported.
-        expires_at: when all its leases have expired.
+        generation: Generation of the process.
+        done_number: The highest done number that it reported.
+        expires_at: Time at which all its leases have expired.
     """
 
     generation: int
@@ -122,41 +122,41 @@
 
 
 class Granter:
-    """Leases homes for one term of our router as the leader of its region or cell.
+    """Leases homes for one term of this router as the leader of its region or cell.
 
-    A new one is made for each term and knows nothing of earlier ones.
+    A new granter is made for each term and knows nothing of earlier ones.
 
     Args:
-        plan_number: of the plan in force at our router.
-        now: when the term began.
-        lease_s: how long a lease lasts.
-        settle_s: the longest time that a load lasts.
+        plan_number: Number of the plan in force at this router.
+        now: Time at which the term began.
+        lease_s: Duration of a lease, in seconds.
+        settle_s: Longest duration of a load, in seconds.
     """
 
     def __init__(self, plan_number: int, now: float, lease_s: float, settle_s: float) -> None:
         self.newest_number, self.lease_s, self.settle_s = plan_number, lease_s, settle_s
-        # By then leases of an earlier granter have expired, and loads that began under them have ended.
+        # By then, leases of an earlier granter have expired, and loads that began under them have ended.
         self.predecessor_settled_at = now + (lease_s + settle_s) * (1 + MAX_CLOCK_DRIFT)
-        self.accounts: dict[int, list[_Account]] = {}  # by holder: the last is that of its present process
+        self.accounts: dict[int, list[_Account]] = {}  # by holder; the last is that of its present process
 
     def adopted(self, plan_number: int) -> None:
-        """Takes note that our router adopted a plan."""
+        """Notes that this router adopted a plan."""
         self.newest_number = max(self.newest_number, plan_number)
 
     def asked(self, holder_id: int, ask: Ask, now: float, valid_until: float = math.inf) -> Grant:
         """Answers a holder's request for a lease.
 
         Args:
-            holder_id: who asks.
-            ask: the request.
-            now: seconds.
-            valid_until: when that ends from which we lease: our term, or our cell's own lease.
+            holder_id: Identifier of the holder that asks.
+            ask: The request.
+            now: The present time.
+            valid_until: End of the right to grant: that of this router's term, or of the cell's own lease.
         """
-        # A leader may be done by a plan that its routers know and it does not: it is done by no older one.
+        # A leader may be done with a plan that its routers know and it does not, and with no older one.
         self.newest_number = max(self.newest_number, ask.plan_number, ask.done_number)
         accounts = self.accounts.setdefault(holder_id, [])
         if accounts and ask.generation < accounts[-1].generation:
-            return self._refusal(ask, now)  # late, of a process that another has followed
+            return self._refusal(ask, now)  # late: from a process that another has followed
         if not accounts or ask.generation > accounts[-1].generation:
             # Loads of an earlier process go on: its account ends by time alone.
             accounts.append(_Account(ask.generation))
@@ -193,7 +193,7 @@
                 del self.accounts[holder_id]
 
     def _retry_after_s(self, now: float) -> float:
-        """Seconds by which the newest plan is clear at the latest."""
+        """Returns the seconds by which the newest plan is clear at the latest."""
         pending = [
             self._settled_at(a)
             for accounts in self.accounts.values()
@@ -210,17 +210,17 @@
     """Holds leases of homes: a cell, by its leader, or one router.
 
     Args:
-        cell: ours.
-        generation: of this process; for a leader, of this term too.
-        lease_s: how long a lease lasts.
+        cell: Number of this holder's cell.
+        generation: Generation of this process; for a leader, of this term too.
+        lease_s: Duration of a lease, in seconds.
     """
 
     def __init__(self, cell: int, generation: int, lease_s: float) -> None:
         self.cell, self.generation, self.lease_s = cell, generation, lease_s
         self.lease_expires_at = -math.inf
-        self.has_clear_plan = False  # the oldest of `plans` was clear while our lease was unbroken
+        self.has_clear_plan = False  # the oldest of `plans` was clear while the lease was unbroken
         self.plans: list[Homes] = []  # adopted since then; the last is in force
-        self.last_token, self.pending_asks = 0, dict[int, float]()  # by token: when the Ask was sent
+        self.last_token, self.pending_asks = 0, dict[int, float]()  # time of sending, by token
         self.retry_at = -math.inf  # when a refusal, or not knowing a clear plan, ends at the latest
 
     @property
@@ -230,19 +230,19 @@
 
     @property
     def plan_number(self) -> int:
-        """The number of the plan in force; 0: none."""
+        """The number of the plan in force, or 0 if there is none."""
         return self.plans[-1].number if self.plans else 0
 
     @property
     def clear_number(self) -> int:
-        """The number of the plan by which we may hold homes that other cells had; 0: none."""
+        """The number of the plan by which homes that other cells had may be held, or 0 if there is none."""
         return self.plans[0].number if self.has_clear_plan and self.plans else 0
 
     def check_lease(self, now: float) -> bool:
-        """Returns whether our lease is in force, and forgets the clear plan if it has expired."""
+        """Returns whether the lease is in force, and forgets the clear plan if it has expired."""
         if now < self.lease_expires_at:
             return True
-        # Others may have had the homes since. We hold none of them, also once we have a lease again.
+        # Other cells may have had the homes since. None of them is held, not even under a new lease.
         self.has_clear_plan, self.plans = False, self.plans[-1:]
         return False
 
@@ -257,8 +257,8 @@
         """Makes the next request for a lease.
 
         Args:
-            now: seconds.
-            done_number: as in `Ask`.
+            now: The present time.
+            done_number: Done number of the request, as in `Ask`.
         """
         self.last_token += 1
         self.pending_asks[self.last_token] = now
@@ -269,7 +269,7 @@
     def granted(self, grant: Grant, now: float) -> None:
         """Takes over a granter's answer."""
         if grant.generation != self.generation or grant.token not in self.pending_asks:
-            return  # to an earlier process of ours, or to a request that we no longer remember
+            return  # answers an earlier process, or a request that is no longer remembered
         self.check_lease(now)  # an expired lease has to be noticed before the new one replaces it
         self.retry_at = now + grant.retry_after_s
         expires_at = self.pending_asks[grant.token] + grant.granted_s * (1 - MAX_CLOCK_DRIFT)
@@ -282,7 +282,7 @@
                 break
 
     def holds(self, group: int, now: float) -> bool:
-        """Whether a table group's home is ours and nobody else's, by every plan since one that was clear."""
+        """Whether only this cell has a table group's home, by every plan since one that was clear."""
         return (
             self.check_lease(now)
             and self.has_clear_plan
@@ -294,28 +294,28 @@
     """One router of a cell: which loads it may begin, and which it has in flight.
 
     Args:
-        cell: ours.
-        generation: of this process.
-        lease_s: how long a lease lasts.
-        settle_s: the longest time that a load lasts, with the time for which its engine may go on with one
-            whose end is not known.
+        cell: Number of this router's cell.
+        generation: Generation of this process.
+        lease_s: Duration of a lease, in seconds.
+        settle_s: Longest duration of a load, in seconds, with the time for which its engine may go on with
+            one whose end is not known.
     """
 
     def __init__(self, cell: int, generation: int, lease_s: float, settle_s: float) -> None:
         super().__init__(cell, generation, lease_s)
         self.settle_s = settle_s
-        self.loads: dict[int, list[float]] = {}  # by table group: latest end of each load in flight
+        self.loads: dict[int, list[float]] = {}  # latest end of each load in flight, by table group
 
     def begin(self, group: int, max_duration_s: float, now: float) -> LoadDecision:
         """Decides on a load that is about to be sent. The caller calls end() for each that is `Here`.
 
         Args:
-            group: the table group.
-            max_duration_s: seconds after which the load has ended in any case.
-            now: seconds.
+            group: The table group.
+            max_duration_s: Seconds after which the load has ended in any case.
+            now: The present time.
 
         Raises:
-            ValueError: the load may last longer than `settle_s`.
+            ValueError: The load may last longer than `settle_s`.
         """
         if max_duration_s > self.settle_s:
             raise ValueError(
@@ -333,13 +333,13 @@
         return Here(self.lease_expires_at, now + max_duration_s)
 
     def end(self, group: int, here: Here, now: float, may_run_for_s: float = 0.0) -> None:
-        """Takes note that a load has ended here.
+        """Notes that a load has ended at this router.
 
         Args:
-            group: the table group.
-            here: what begin() returned for the load.
-            now: seconds.
-            may_run_for_s: seconds for which the engine may go on with it; 0: it has ended there too.
+            group: The table group.
+            here: The value that begin() returned for the load.
+            now: The present time.
+            may_run_for_s: Seconds for which the engine may go on with it; 0 if it has ended there too.
         """
         ends = self.loads.get(group, [])
         if here.ends_by in ends:
@@ -348,7 +348,10 @@
                 ends.append(min(here.ends_by, now + may_run_for_s))
 
     def done_number(self, now: float) -> int:
-        """The number of our plan if no load is in flight for a home that it has in another cell; else 0."""
+        """Returns the number of the plan in force.
+
+        Returns 0 without a plan, and while a load is in flight for a home that the plan has in another cell.
+        """
         in_flight = {
             group: [ends_by for ends_by in ends if ends_by > now] for group, ends in self.loads.items()
         }
@@ -364,15 +367,16 @@
 class Leader:
     """Leads a cell for one term: holds the cell's lease from the region and leases to the cell's routers.
 
-    Our router is one of those.
+    This router is one of those.
 
     Args:
-        cell: ours.
-        generation: of this process and term.
-        plan: in force at our router.
-        now: when the term began.
-        lease_s: how long a lease lasts.
-        settle_s: as for `Router`.
+        cell: Number of the cell that is led.
+        generation: Generation of this process and term.
+        plan: The plan in force at this router.
+        now: Time at which the term began.
+        lease_s: Duration of a lease, in seconds.
+        settle_s: Longest duration of a load, in seconds, with the time for which its engine may go on with
+            one whose end is not known.
     """
 
     def __init__(
@@ -401,7 +405,7 @@
     def asked(self, router_index: int, ask: Ask, now: float) -> Grant:
         """Answers a router of the cell.
 
-        The lease lasts no longer than our own, and the clear plan is the one that the region told us.
+        The lease lasts no longer than the cell's own, and the clear plan is the one that the region reported.
         """
         has_lease = self.holder.check_lease(now)
         grant = self.granter.asked(
--- a/marbleworks/cells/options.py
+++ b/marbleworks/cells/options.py
@@ -10,8 +10,8 @@
 
 from marbleworks.operator_config.value_types import Section, Setting, ValueType
 
-MAX_SHARE_SUM_ERROR = 0.001  # by which the sum of the regions' shares may differ from 1
-MIN_BOUNDS_RATIO = 2.5  # of `routers` to `least`: a split leaves two cells of at least `routers` / 2.5
+MAX_SHARE_SUM_ERROR = 0.001  # largest difference of the sum of the regions' shares from 1
+MIN_BOUNDS_RATIO = 2.5  # lower bound of `routers` / `least`: cells after a split have `routers` / 2.5 or more
 
 
 def _check_region(region: dict[str, Any]) -> str | None:
@@ -101,11 +101,11 @@
     """Checks that the section agrees with itself and with the settings.
 
     Args:
-        values: of the section, by key.
-        zones: names of all zones in the settings.
+        values: Values of the section, by key.
+        zones: Names of all zones in the settings.
 
     Returns:
-        What is wrong, in one line; None where the section is valid.
+        The fault in one line, or None if the section is valid.
     """
     region_by_zone: dict[str, str] = {}
     if not values["region"]:
--- a/marbleworks/cells/plan.py
+++ b/marbleworks/cells/plan.py
@@ -22,20 +22,20 @@
 import msgpack
 import xxhash
 
-FORMAT_VERSION = 1  # of the encoding
+FORMAT_VERSION = 1  # version of the encoding
 MAX_PLAN_BYTES = 1 << 22
-CELL_NUMBER_LIMIT = 1 << 16  # cells have numbers below it
-NUMBER_LIMIT = 1 << 40  # plans and table groups have numbers below it
-FULL_HOME_WEIGHT = 4  # of a cell that is neither opening nor closing
-WHOLE = 10_000  # the regions' shares of all homes are parts of it
-WEIGHT_LIMIT = 1 << 16  # weights of a stratum are below it
-SCORE_TOLERANCE = 1e-9  # relative; another math library may order two scores that are closer differently
+CELL_NUMBER_LIMIT = 1 << 16  # exclusive bound of cell numbers
+NUMBER_LIMIT = 1 << 40  # exclusive bound of the numbers of plans and table groups
+FULL_HOME_WEIGHT = 4  # home weight of a cell that is neither opening nor closing
+WHOLE = 10_000  # sum of the regions' shares of all homes
+WEIGHT_LIMIT = 1 << 16  # exclusive bound of a stratum's weights
+SCORE_TOLERANCE = 1e-9  # relative; math libraries may differ in the order of two scores that are closer
 MAC_BYTES, DIGEST_BYTES = 32, 16
 MIN_KEY_BYTES = 16
 
 
 class PlanError(Exception):
-    """A plan can't be read, is inconsistent, or says nothing of a name; the text says why, in one line."""
+    """A plan can't be read, is inconsistent, or lacks a name's zone; the message says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
     """One cell of a region.
 
     Attributes:
-        number: unique in the fleet; never used again.
-        zones: that its routers and engines are in.
-        open: whether names that the plan does not know may be placed there. A cell that closes has a weight
+        number: Number of the cell, unique in the fleet and never used again.
+        zones: Zones that its routers and engines are in.
+        open: Whether names that the plan does not know may be placed there. A cell that closes has a weight
             of 0 for them.
     """
 
@@ -59,9 +59,9 @@
     """Requests of a class that come to a cell without an engine for them and go to another cell.
 
     Attributes:
-        cell: that they come to.
-        profile: the request class.
-        lender: the cell that they go to.
+        cell: Number of the cell that they come to.
+        profile: The request class.
+        lender: Number of the cell that they go to.
     """
 
     cell: int
@@ -74,13 +74,13 @@
     """The part of a plan that belongs to one region.
 
     Attributes:
-        cells: of the region, by ascending number.
-        strata: for each zone and kind of engine, or "" for routers, a weight for each of `cells`.
-        routers: cells of routers that are placed as exceptions to the hash, by name.
-        engines: likewise of engines.
-        loans: of the region's cells.
-        last_split: number of the plan in which the region last gained cells; 0: never.
-        last_merge: number of the plan in which the region last began to close cells; 0: never.
+        cells: Cells of the region, by ascending number.
+        strata: A weight for each of `cells`, by zone and kind of engine, or zone and "" for routers.
+        routers: Cells of routers that are placed as exceptions to the hash, by name.
+        engines: Cells of engines that are placed as exceptions to the hash, by name.
+        loans: Loans to the region's cells.
+        last_split: Number of the plan in which the region last gained cells, or 0 if it never did.
+        last_merge: Number of the plan in which the region last began to close cells, or 0 if it never did.
     """
 
     cells: tuple[Cell, ...]
@@ -139,7 +139,7 @@
         """Decodes a part.
 
         Raises:
-            PlanError: it is damaged, not in canonical form or inconsistent.
+            PlanError: The part is damaged, not in canonical form or inconsistent.
         """
         with _wrap_decode_errors():
             raw = msgpack.unpackb(data, strict_map_key=False)
@@ -189,10 +189,10 @@
         return part
 
     def check(self) -> None:
-        """Checks that the part agrees with itself.
+        """Checks that the part is consistent.
 
         Raises:
-            PlanError: it does not.
+            PlanError: The part is inconsistent.
         """
         numbers = set(self.cell_numbers)
         if (
@@ -214,15 +214,15 @@
 
 @dataclass(frozen=True)
 class Region:
-    """What every router knows of each region.
+    """The data of a region that every router has.
 
     Attributes:
-        name: of the region.
-        zones: of the region.
-        share: of all homes, in parts of WHOLE. It must never change while the fleet runs
+        name: The region's name.
+        zones: The region's zones.
+        share: The region's share of all homes, in units of 1/WHOLE. It must never change while the fleet runs
             (docs/design/cells.md).
-        home_weights: number and home weight of each of its cells, 0 to FULL_HOME_WEIGHT.
-        part_digest: of its Part.
+        home_weights: Number and home weight of each of its cells, 0 to FULL_HOME_WEIGHT.
+        part_digest: Digest of the region's Part.
     """
 
     name: str
@@ -237,13 +237,13 @@
     """A plan, or an excerpt of it: the header and some regions' parts.
 
     Attributes:
-        number: of the plan; a later plan has a higher one.
-        settings_digest: of the settings and rules that it was made for.
-        max_routers: of a cell; guaranteed quotas are divided by it.
-        next_cell: the lowest number that no cell has had.
-        regions: all, by name.
-        parts: by name of the region.
-        pinned_homes: cells of table groups whose home is not found by the hash.
+        number: Number of the plan; a later plan has a higher one.
+        settings_digest: Digest of the settings and rules that the plan was made for.
+        max_routers: Maximum number of routers in a cell; guaranteed quotas are divided by it.
+        next_cell: The lowest number that no cell has had.
+        regions: All regions, by name.
+        parts: The regions' parts, by name of the region.
+        pinned_homes: Cells of table groups whose home is not found by the hash.
     """
 
     number: int
@@ -267,15 +267,15 @@
         """Makes a whole plan.
 
         Args:
-            number: as the attribute.
-            settings_digest: as the attribute.
-            max_routers: as the attribute.
-            next_cell: as the attribute.
-            regions: name, zones, share, home weights and Part of each.
-            pinned_homes: as the attribute.
+            number: Number of the plan.
+            settings_digest: Digest of the settings and rules that the plan is made for.
+            max_routers: Maximum number of routers in a cell.
+            next_cell: The lowest number that no cell has had.
+            regions: Name, zones, share, home weights and Part of each region.
+            pinned_homes: Cells of table groups whose home is not found by the hash.
 
         Raises:
-            PlanError: the plan would not agree with itself.
+            PlanError: The plan would be inconsistent.
         """
         parts, heads = {}, []
         for name, zones, share, home_weights, part in sorted(regions, key=lambda row: row[0]):
@@ -291,10 +291,10 @@
         return plan
 
     def check(self) -> None:
-        """Checks that the plan agrees with itself.
+        """Checks that the plan is consistent.
 
         Raises:
-            PlanError: it does not.
+            PlanError: The plan is inconsistent.
         """
         zones = [zone for region in self.regions for zone in region.zones]
         numbers = [number for region in self.regions for number, _ in region.home_weights]
@@ -318,13 +318,13 @@
             if part is not None and not set(region.zones).issuperset(zone for zone, _ in part.strata):
                 raise PlanError("plan: a stratum is of a zone that its region does not have")
 
-    # Where a name belongs.
+    # Placement of names.
 
     def region_of(self, zone: str) -> Region:
         """The region of a zone.
 
         Raises:
-            PlanError: no region has the zone.
+            PlanError: No region has the zone.
         """
         region = self._by_zone.get(zone)
         if region is None:
@@ -335,7 +335,7 @@
         """The part of a zone's region.
 
         Raises:
-            PlanError: no region has the zone, or this excerpt lacks the region's part.
+            PlanError: No region has the zone, or this excerpt lacks the region's part.
         """
         region = self.region_of(zone)
         if region.name not in self.parts:
@@ -346,12 +346,12 @@
         """The cell of a router or engine, by its name and the plan alone.
 
         Args:
-            name: of the router or engine.
-            zone: that it is in.
-            kind: of the engine; None: it is a router.
+            name: Name of the router or engine.
+            zone: Zone of the router or engine.
+            kind: Kind of the engine, or None for a router.
 
         Raises:
-            PlanError: no region has the zone, or this excerpt lacks the region's part.
+            PlanError: No region has the zone, or this excerpt lacks the region's part.
         """
         part = self.part_of_zone(zone)
         exception = (part.routers if kind is None else part.engines).get(name)
@@ -361,15 +361,16 @@
         """The cell of a router or engine by the hash alone.
 
         Args:
-            name: as for `cell_of`.
-            zone: as for `cell_of`.
-            kind: as for `cell_of`.
+            name: Name of the router or engine.
+            zone: Zone of the router or engine.
+            kind: Kind of the engine, or None for a router.
 
         Returns:
-            The cell, and whether another came so close that the plan should place the name as an exception.
+            The cell, and whether another has so close a score that the plan should place the name as an
+                exception.
 
         Raises:
-            PlanError: as for `cell_of`.
+            PlanError: No region has the zone, or this excerpt lacks the region's part.
         """
         part = self.part_of_zone(zone)
         weights = part.strata.get((zone, kind or ""), part.default_weights)
@@ -393,7 +394,7 @@
         return rendezvous_hash(f"h:{group}", numbers, [weight for _, weight in region.home_weights])[0]
 
     def region_of_cell(self, cell: int) -> str | None:
-        """Name of the region that has a cell; None where there is no such cell."""
+        """Returns the name of a cell's region, or None if there is no such cell."""
         return self._by_cell.get(cell)
 
     @cached_property
@@ -416,7 +417,7 @@
 
     @cached_property
     def header(self) -> bytes:
-        """What every router has of the plan, encoded."""
+        """The encoded header, the part of the plan that every router has."""
         return _pack(
             {
                 0: self.number,
@@ -433,11 +434,11 @@
 
     @cached_property
     def digest(self) -> bytes:
-        """Of the whole plan, also where this is an excerpt: the header has the digest of every part."""
+        """The digest of the whole plan, also in an excerpt: the header has the digest of every part."""
         return _digest(self.header)
 
     def excerpt(self, region: str) -> Plan:
-        """What a router of a region needs: the header and the region's part.
+        """Returns the excerpt that a router of a region needs: the header and the region's part.
 
         It has the digest of the whole plan, and the MAC of the whole plan is valid for it.
 
@@ -465,7 +466,7 @@
         """Encodes the plan.
 
         Args:
-            key: MIN_KEY_BYTES or more, known to whoever may make plans and whoever reads them.
+            key: Key of MIN_KEY_BYTES or more, known to all that make or read plans.
         """
         return self.encode_with_mac(self.mac(key))
 
@@ -479,11 +480,12 @@
         """Decodes a plan and checks its MAC.
 
         Args:
-            data: as `write` or `encode_with_mac` made it.
-            keys: the one in use and, while it is being changed, the other.
+            data: The plan as encoded by `write` or `encode_with_mac`.
+            keys: The key in use and, during a change of keys, the other one.
 
         Raises:
-            PlanError: it is damaged, forged, not in canonical form or inconsistent, or the keys are unusable.
+            PlanError: The plan is damaged, forged, not in canonical form or inconsistent, or the keys are
+                unusable.
         """
         if len(data) > MAX_PLAN_BYTES:
             raise PlanError(f"plan: longer than {MAX_PLAN_BYTES} bytes")
@@ -498,7 +500,7 @@
             mac, header, parts = envelope[1], envelope[2], envelope[3]
             if not (isinstance(mac, bytes) and isinstance(header, bytes) and isinstance(parts, dict)):
                 raise TypeError
-            # Nothing of the header is decoded before this check: a forged one costs one MAC for each key.
+            # The header is decoded only after this check: a forged one costs one MAC for each key.
             if not any(hmac.compare_digest(_mac(header, key), mac) for key in keys):
                 raise PlanError("plan: its MAC matches none of our keys, or its header is damaged")
             raw = msgpack.unpackb(header, strict_map_key=False)
@@ -554,18 +556,18 @@
     or from its own number alone.
 
     Args:
-        name: to be placed.
-        numbers: to choose from.
-        weights: of each of the numbers; one of weight 0 is never chosen.
+        name: Name to place.
+        numbers: Numbers to choose from.
+        weights: Weight of each of the numbers; one of weight 0 is never chosen.
 
     Returns:
         The number, and whether the score of the next one is within SCORE_TOLERANCE.
 
     Raises:
-        ValueError: all weights are 0.
+        ValueError: All weights are 0.
     """
     # Of equal weights the highest hash has the least score, so that only the two highest need a logarithm.
-    data, tops = name.encode(), dict[int, tuple[int, int, int]]()  # by weight: highest, its number, second
+    data, tops = name.encode(), dict[int, tuple[int, int, int]]()  # highest, its number, second, by weight
     for number, weight in zip(numbers, weights, strict=True):
         if not weight:
             continue
@@ -610,11 +612,11 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The present plan, or the cell by it, stays.
+    """The present plan, or the cell assigned by it, stays.
 
     Attributes:
-        reason: why.
-        message: for the log, in one line.
+        reason: Why the plan or cell was rejected.
+        message: Message for the log, in one line.
     """
 
     reason: RejectionReason
@@ -627,12 +629,12 @@
     """Decides whether a plan that was read is adopted.
 
     Args:
-        current: the plan in force; None: there is none yet.
-        offered: the other plan.
-        settings_digest: of our settings (`planner.revision.Rules.digest`).
-        zone: that our router is in.
-        max_number_step: most by which the offered number may exceed the current one. All plans that follow
-            would be older than one whose number is far ahead.
+        current: The plan in force, or None if there is none yet.
+        offered: The offered plan.
+        settings_digest: Digest of this router's settings (`planner.revision.Rules.digest`).
+        zone: Zone of this router.
+        max_number_step: Most by which the offered number may exceed the current one. After a plan whose
+            number is far ahead, all that follow would be older.
     """
 
     def rejected(reason: RejectionReason) -> Rejected:
@@ -664,19 +666,19 @@
 
 
 def check_assigned_cell(plan: Plan, name: str, zone: str, cell: int) -> Rejected | None:
-    """Compares a cell that a router was told to be in with its cell by the plan, which takes precedence.
+    """Compares a router's assigned cell with its cell by the plan, which takes precedence.
 
     Args:
-        plan: in force.
-        name: of the router.
-        zone: that the router is in.
-        cell: that it was told.
+        plan: The plan in force.
+        name: Name of the router.
+        zone: Zone of the router.
+        cell: The assigned cell.
 
     Returns:
-        None where both are the same.
+        None if both are the same.
 
     Raises:
-        PlanError: the plan says nothing of the zone.
+        PlanError: No region has the zone, or this excerpt lacks the region's part.
     """
     planned_cell = plan.cell_of(name, zone, None)
     if planned_cell == cell:
--- a/marbleworks/cells/planner/revision.py
+++ b/marbleworks/cells/planner/revision.py
@@ -21,13 +21,13 @@
 BALANCE = 0.15  # part by which a cell's number of one kind may differ from the mean of its region
 MAX_STRATUM_DEVIATION = 0.30  # part by which a cell's number of one kind and zone may differ from the mean
 TARGET_FILL = 0.75  # mean part of a cell's maximum in use that a change of the number of cells aims at
-MAX_FILL = 1 / (1 + BALANCE)  # of the mean cell, which others exceed; above it a region gets more cells
-MISSING_ENGINE_PENALTY = 4  # for a profile without an engine; 1 is that of one member out of bounds
-ABOVE_MEAN_WEIGHT, DEFAULT_WEIGHT = 1, 2  # of a cell for unknown names; 0 for a cell at its maximum
+MAX_FILL = 1 / (1 + BALANCE)  # fill of the mean cell, which others exceed; above it a region gets more cells
+MISSING_ENGINE_PENALTY = 4  # penalty for a profile without an engine; one member out of bounds counts 1
+ABOVE_MEAN_WEIGHT, DEFAULT_WEIGHT = 1, 2  # weights of a cell for unknown names; 0 at its maximum
 
 
 class PlannerError(Exception):
-    """No plan can be made of the rules or the roster; the text says why, in one line."""
+    """No plan can be made of the rules or the roster; the message says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,11 +35,11 @@
     """A router or engine of the roster.
 
     Attributes:
-        name: unique among routers, or among engines.
-        zone: that it is in.
-        rack: that it is in.
-        kind: of the engine; None: it is a router.
-        up: whether it is reachable now. One that is not keeps its place as long as it is on the roster.
+        name: Name of the member, unique among routers or among engines.
+        zone: Zone of the member.
+        rack: Rack of the member.
+        kind: Kind of the engine, or None for a router.
+        up: Whether it is reachable now. One that is not keeps its place as long as it is on the roster.
     """
 
     name: str
@@ -54,9 +54,9 @@
     """The engines of which a profile needs at least one in each cell.
 
     Attributes:
-        profile: the request class.
-        zones: of the engines; None: any.
-        kinds: of the engines; None: any.
+        profile: The request class.
+        zones: Zones of the engines, or None if any zone will do.
+        kinds: Kinds of the engines, or None if any kind will do.
     """
 
     profile: str
@@ -70,17 +70,17 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """What the planner keeps to.
+    """Constraints and requirements of the planner.
 
     Attributes:
-        regions: zones of each region.
-        shares: of each region, of all homes, in parts of WHOLE.
-        needs: of the profiles.
-        least: fewest routers of a cell.
-        routers: most routers of a cell.
-        engines: most engines of a cell.
-        step: the largest part of a region's routers, and of its engines, that one plan moves.
-        rest: fewest plans between a merge and a split of one region's cells.
+        regions: Zones of each region, by name.
+        shares: Each region's share of all homes, in units of 1/WHOLE.
+        needs: Engines that the profiles need.
+        least: Minimum number of routers in a cell.
+        routers: Maximum number of routers in a cell.
+        engines: Maximum number of engines in a cell.
+        step: Largest part of a region's routers, and of its engines, that one plan moves.
+        rest: Minimum number of plans between a merge and a split of one region's cells.
     """
 
     regions: Mapping[str, tuple[str, ...]]
@@ -97,8 +97,8 @@
         """Makes the rules from the operator's file and the settings.
 
         Args:
-            values: of the section `cells`, which `check_cells_section` has found valid.
-            deployment: the settings.
+            values: Values of the section `cells`, which `check_cells_section` has found valid.
+            deployment: The settings.
         """
         zones, kinds = list(deployment.zone_index), list(deployment.machine_kind_index)
 
@@ -126,7 +126,7 @@
 
     @property
     def digest(self) -> int:
-        """Of what all routers have to agree on to use a plan."""
+        """Returns the digest of what all routers have to agree on to use a plan."""
         needs = [
             (n.profile, sorted(n.zones or ()), n.zones is None, sorted(n.kinds or ()), n.kinds is None)
             for n in self.needs
@@ -135,10 +135,10 @@
         return zlib.crc32(repr(agreed).encode())
 
     def check(self) -> None:
-        """Checks that the rules agree with each other.
+        """Checks that the rules are consistent.
 
         Raises:
-            PlannerError: they do not.
+            PlannerError: The rules are inconsistent.
         """
         zones = [zone for region_zones in self.regions.values() for zone in region_zones]
         if not zones or len(set(zones)) < len(zones) or set(self.shares) != set(self.regions):
@@ -153,7 +153,7 @@
 
 
 class ShortfallReason(Enum):
-    """What a plan could not provide."""
+    """The kinds of things that a plan could not provide."""
 
     ROUTERS_DOWN = "most of its routers are not there: nothing of it is moved"
     RECENTLY_RESIZED = "its cells would change in number, but did the other way too few plans ago"
@@ -169,10 +169,10 @@
     """One thing that a plan could not provide.
 
     Attributes:
-        reason: what is missing.
-        region: where.
-        cell: where; -1: in the region as a whole.
-        profile: for which; empty: for none in particular.
+        reason: What is missing.
+        region: Region in which it is missing.
+        cell: Cell in which it is missing, or -1 for the region as a whole.
+        profile: Request class that lacks it, or empty for none in particular.
     """
 
     reason: ShortfallReason
@@ -182,7 +182,7 @@
 
     @property
     def message(self) -> str:
-        """For an operator, in one line."""
+        """Returns a message for the operator, in one line."""
         cell = f", cell {self.cell}" if self.cell >= 0 else ""
         profile = f", profile '{self.profile}'" if self.profile else ""
         return f"region '{self.region}'{cell}{profile}: {self.reason.value}"
@@ -193,10 +193,10 @@
     """The move of a member that is up and was in a cell before.
 
     Attributes:
-        name: of the member.
-        kind: of the engine; None: it is a router.
-        old_cell: by the plan in force.
-        new_cell: by the next plan.
+        name: Name of the member.
+        kind: Kind of the engine, or None for a router.
+        old_cell: The member's cell by the plan in force.
+        new_cell: The member's cell by the next plan.
     """
 
     name: str
@@ -210,11 +210,11 @@
     """The next plan and what it changes.
 
     Attributes:
-        plan: the next, or the one in force where nothing changes.
-        moves: of this plan.
-        must: the fewest moves, of this and later plans together, that keep all bounds with the cells that
+        plan: The next plan, or the one in force if nothing changes.
+        moves: Moves that this plan makes.
+        must: The fewest moves, of this and later plans together, that keep all bounds with the cells that
             there are to be.
-        shortfalls: of this plan.
+        shortfalls: What this plan could not provide.
     """
 
     plan: Plan
@@ -227,29 +227,29 @@
     """Makes the next plan, one step from the one in force.
 
     Args:
-        plan: as for `revised`.
-        roster: as for `revised`.
-        rules: as for `revised`.
+        plan: The plan in force, or None if there is none yet.
+        roster: All members, in any order, with at most one router and one engine of a name.
+        rules: Constraints and requirements of the planner.
 
     Returns:
-        The next plan, or the one in force where nothing changes.
+        The next plan, or the one in force if nothing changes.
 
     Raises:
-        PlannerError: as for `revised`.
+        PlannerError: No plan can be made of the rules or the roster.
     """
     return revised(plan, roster, rules).plan
 
 
 def revised(plan: Plan | None, roster: Iterable[Member], rules: Rules) -> Revision:
-    """Makes the next plan, and tells what it moves and what it could not provide.
+    """Makes the next plan, with its moves and what it could not provide.
 
     Args:
-        plan: in force; None: there is none yet.
-        roster: all members, in any order, with at most one router and one engine of a name.
-        rules: to keep to.
+        plan: The plan in force, or None if there is none yet.
+        roster: All members, in any order, with at most one router and one engine of a name.
+        rules: Constraints and requirements of the planner.
 
     Raises:
-        PlannerError: no plan can be made of the rules or the roster.
+        PlannerError: No plan can be made of the rules or the roster.
     """
     rules.check()
     members = list(roster)
@@ -299,8 +299,8 @@
 ) -> tuple[Loan, ...]:
     """Chooses a lender for each cell and profile without an engine.
 
-    That is, of the cells with engines for the profile, the one with the most for each cell that it serves. A
-    cell of another region lends only where none of our region can.
+    Of the cells with engines for the profile, the lender is the one with the most of them for each cell that
+    it serves. A cell of another region lends only where none of the region's own can.
     """
     if draft.unchanged_part is not None:
         return draft.unchanged_part.loans
@@ -322,18 +322,18 @@
     return tuple(sorted(loans, key=lambda loan: (loan.cell, loan.profile)))
 
 
-Stratum = tuple[str, str]  # zone and kind; kind "": routers
+Stratum = tuple[str, str]  # zone and kind; the kind is "" for routers
 Bounds = tuple[int, int]  # minimum and maximum
 
 
 def _bounds_around_mean(count: int, cells: int, deviation: float) -> Bounds:
-    """Bounds of one cell's number of members.
+    """Returns the bounds of one cell's number of members.
 
     Args:
-        count: of the members of all cells.
-        cells: number of cells.
-        deviation: part by which a cell may differ from the mean. The whole numbers next to the mean are
-            always within bounds.
+        count: Number of members of all cells.
+        cells: Number of cells.
+        deviation: Part by which a cell may differ from the mean. The integers next to the mean are always
+            within bounds.
     """
     mean = count / cells
     maximum = max(math.ceil(mean), math.floor(mean * (1 + deviation) + 1e-9))
@@ -341,7 +341,7 @@
 
 
 def _distance(count: int, bounds: Bounds) -> int:
-    """By how much a number is out of its bounds."""
+    """Returns by how much a number is out of its bounds."""
     return max(bounds[0] - count, count - bounds[1], 0)
 
 
@@ -350,10 +350,10 @@
     """The members of one cell of a draft.
 
     Attributes:
-        by_stratum: members that are up, by name.
-        by_kind: number of members that are up, by kind; "": routers.
-        engine_count: of engines that are up.
-        down_routers: names of routers that are down and keep their place.
+        by_stratum: Members that are up, by stratum and then by name.
+        by_kind: Number of members that are up, by kind; "" for routers.
+        engine_count: Number of engines that are up.
+        down_routers: Names of routers that are down and keep their place.
     """
 
     by_stratum: dict[Stratum, dict[str, Member]] = field(default_factory=dict)
@@ -393,24 +393,26 @@
     """One region's part of the next plan, while it is made.
 
     Args:
-        name: of the region.
-        plan: in force; None: there is none yet.
-        members: of the region.
-        rules: to keep to.
-        plan_number: of the next plan.
-        next_cell: the lowest number that no cell has had.
+        name: The region's name.
+        plan: The plan in force, or None if there is none yet.
+        members: Members of the region.
+        rules: Constraints and requirements of the planner.
+        plan_number: Number of the next plan.
+        next_cell: The lowest number that no cell has had.
 
     Attributes:
-        open: numbers of the cells that members may be placed in.
-        closing: numbers of the cells that give up their homes and then their members.
-        draining: numbers of the closing cells without homes, whose members move to open ones.
-        cells: numbers of all cells, in ascending order.
-        home_weights: by cell.
-        contents_by_cell: the members of each cell, as far as the draft has got.
-        old_cells: cells by the plan in force, by whether it is a router, and name.
-        pending_moves: the member, its old and its new cell, by the same key.
-        min_moves: as `Revision.must`, of this region.
-        unchanged_part: the part in force, where the region is left as it is; None: a new one is made.
+        open: Numbers of the cells that members may be placed in.
+        closing: Numbers of the cells that give up their homes and then their members.
+        draining: Numbers of the closing cells without homes, whose members move to open ones.
+        cells: Numbers of all cells, in ascending order.
+        home_weights: Home weights of the cells, by number.
+        contents_by_cell: The members of each cell, as far as the draft is made.
+        old_cells: Members' cells by the plan in force; the key is whether the member is a router, and its
+            name.
+        pending_moves: The member, its old cell and its new cell, by the same key.
+        min_moves: The fewest moves of the region, of this and later plans together, that keep all bounds with
+            the cells that there are to be.
+        unchanged_part: The part in force if the region is left as it is, or None if a new one is made.
     """
 
     def __init__(
@@ -470,11 +472,11 @@
         rules, present = self.rules, len(self.open)
         routers = sum(
             member.kind is None for member in self.members
-        )  # also those that are down and will return
+        )  # includes those that are down and will return
         engines = len(self.members) - routers
 
         def cells_needed(fill: float) -> int:
-            """The number of cells with which the mean cell is no fuller than that part of its maximum."""
+            """Returns how many cells keep the mean cell no fuller than that part of its maximum."""
             return max(
                 math.ceil(routers / (rules.routers * fill)), math.ceil(engines / (rules.engines * fill)), 1
             )
@@ -512,7 +514,7 @@
         self.open += range(self.next_cell, self.next_cell + count)
         self.next_cell += count
 
-    closing_count = 0  # cells that begin to close by this plan
+    closing_count = 0  # number of cells that begin to close by this plan
 
     # The present cells of the members.
 
@@ -585,7 +587,7 @@
                 self.old_cells[True, name] = other
                 self.has_reassigned_down_routers = True
 
-    has_reassigned_down_routers = False  # by this plan
+    has_reassigned_down_routers = False  # whether this plan does so
 
     # Bounds of each cell.
 
@@ -602,11 +604,11 @@
     def _balance_bounds(
         self, all_contents: Sequence[_CellContents], deviation_scale: float
     ) -> tuple[dict[str, Bounds], dict[Stratum, Bounds]]:
-        """Bounds of an open cell's number of members, by kind and by stratum.
+        """Returns the bounds of an open cell's number of members, by kind and by stratum.
 
         Args:
-            all_contents: of cells whose members are to be in the open cells.
-            deviation_scale: factor of the deviations from the mean that are allowed.
+            all_contents: Contents of the cells whose members are to be in the open cells.
+            deviation_scale: Factor of the deviations from the mean that are allowed.
         """
         cells, kinds, strata = len(self.open), Counter[str](), Counter[Stratum]()
         for contents in all_contents:
@@ -623,7 +625,7 @@
         return by_kind, by_stratum
 
     def _kind_bounds_in(self, contents: _CellContents, kind: str) -> Bounds:
-        """Bounds of one cell's number of members of a kind that are up.
+        """Returns the bounds of one cell's number of members of a kind that are up.
 
         Routers that are up also have to be a majority of the cell's, and with those that are down no more
         than its maximum when all have returned, since guaranteed quotas are divided by that.
@@ -649,7 +651,7 @@
         )
 
     def _count_min_moves(self) -> int:
-        """A lower bound of the moves that keep all bounds.
+        """Returns a lower bound of the number of moves that keep all bounds.
 
         Each move takes one member of one stratum out of one cell and into another.
         """
@@ -662,7 +664,7 @@
         )
 
         def min_moves_for(bounds: Bounds, count: Callable[[_CellContents], int]) -> int:
-            """The larger of what has to leave cells and what has to come to open ones.
+            """Returns the number of members that leave cells, or join open ones if these are more.
 
             All members of closing cells have to leave.
             """
@@ -732,13 +734,13 @@
         ]
 
     def _violation(self, cell: int, removed: Stratum | None, added: Stratum | None, of_routers: bool) -> int:
-        """By how much a cell violates its bounds, after a change of one member.
+        """Returns by how much a cell violates its bounds, after a change of one member.
 
         Args:
-            cell: that is changed.
-            removed: stratum of a member that it loses; None: it loses none.
-            added: stratum of a member that it gains; None: it gains none.
-            of_routers: whether bounds of routers or of engines count.
+            cell: Number of the cell that is changed.
+            removed: Stratum of the member that it loses, or None if it loses none.
+            added: Stratum of the member that it gains, or None if it gains none.
+            of_routers: Whether the bounds of routers count, or those of engines.
         """
         contents = self.contents_by_cell[cell]
 
@@ -777,13 +779,13 @@
         added: Stratum | None,
         gains: dict[tuple[int, Stratum | None, Stratum | None], int],
     ) -> int:
-        """By how much a change of one member lowers a cell's violation of its bounds.
+        """Returns by how much a change of one member lowers a cell's violation of its bounds.
 
         Args:
-            cell: as for `_violation`.
-            removed: as for `_violation`.
-            added: as for `_violation`.
-            gains: cache of earlier results.
+            cell: Number of the cell that is changed.
+            removed: Stratum of the member that it loses, or None if it loses none.
+            added: Stratum of the member that it gains, or None if it gains none.
+            gains: Cache of earlier results.
         """
         key = (cell, removed, added)
         if key not in gains:
@@ -801,7 +803,7 @@
         """The move with the largest gain and, of equal ones, from the fullest to the emptiest cell.
 
         Returns:
-            The stratum, the cell that gives a member and the one that takes it; None where no move gains.
+            The stratum, the cell that gives a member and the one that takes it; None if no move gains.
         """
         best: tuple[int, int, Stratum, int, int] | None = None
         for s in strata:
@@ -832,8 +834,8 @@
         """The exchange of two members with the largest gain.
 
         Returns:
-            Two cells, the stratum of which the first gives a member, and that of which it takes one; None
-            where no exchange gains.
+            Two cells, the stratum of the member that the first gives, and that of the one it takes; None if
+            no exchange gains.
         """
         best: tuple[int, int, int, Stratum, Stratum] | None = None
         for s in strata:
@@ -891,7 +893,7 @@
         self.contents_by_cell[taker].add(member)
         key = member.kind is None, member.name
         if key not in self.old_cells:
-            return  # in no cell by the plan in force: it is placed, not moved
+            return  # it has no cell in the plan in force: it is placed, not moved
         if self.old_cells[key] == taker:
             self.pending_moves.pop(key, None)
         else:
@@ -921,7 +923,7 @@
         """Finds an exchange that takes a member of a rack out of a cell.
 
         Returns:
-            That member, the other cell and the member in exchange; None where there is no such exchange.
+            That member, the other cell and the member in exchange; None if there is no such exchange.
         """
         for other in self.open:
             other_racks = self.contents_by_cell[other].racks(of_routers)
@@ -1024,12 +1026,12 @@
             if not any(weights):
                 weights = [int(cell in self.open) for cell in self.cells]
             strata[stratum] = tuple(weights)
-        exceptions: tuple[dict[str, int], dict[str, int]] = ({}, {})  # routers, engines
+        exceptions: tuple[dict[str, int], dict[str, int]] = ({}, {})  # of routers, of engines
         zones: dict[int, set[str]] = {cell: set() for cell in self.cells}
         for member in self.members:
             cell = cell_by_member[member.kind is None, member.name]
             if cell not in cell_index:
-                continue  # it is down and its cell was removed: when it returns, the hash places it
+                continue  # the member is down and its cell was removed: when it returns, the hash places it
             weights = list(strata[member.zone, member.kind or ""])
             prefix = "r:" if member.kind is None else "e:"
             hashed_cell, is_close = rendezvous_hash(prefix + member.name, self.cells, weights)
@@ -1040,7 +1042,7 @@
         return Part(cells, strata, exceptions[0], exceptions[1], loans, self.last_split, self.last_merge)
 
     def is_same_as(self, plan: Plan, part: Part) -> bool:
-        """Whether nothing that anyone acts on differs from the plan in force.
+        """Returns whether nothing that any component acts on differs from the plan in force.
 
         Members that leave, and other weights for unknown names, are no reason for a new plan.
         """
