--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -1,8 +1,8 @@
-"""Budgets leased from level to level: never more than the total is in use, whatever fails.
+"""Tests that budgets leased from level to level are never exceeded, whatever fails.
 
-The explorer of the lab plays every order of a few acts, and long random walks, over two cells whose leaders,
-routers and connections change. The same walks have to find each guard that a test removes. Further tests
-check one case at a time, and the encoding.
+The lab's explorer runs every order of a few actions, and long random walks, over two cells whose leaders,
+routers and connections change. The same walks have to detect the removal of each guard. Further tests check
+single cases and the encoding.
 """
 
 from typing import Any
@@ -120,7 +120,7 @@
 
 
 MOVE_WEIGHTS = {"moved": 0.15, "cut": 0.2, "fills": 2.0}
-# A guard, and the weights of acts with which walks find that it is missing.
+# A guard, and the weights of actions with which walks detect that it is missing.
 GUARDS: list[tuple[Any, dict[str, float]]] = [
     (account_ends_with_its_leader, {}),
     (new_leader_claims_to_know_its_use, {}),
@@ -179,7 +179,7 @@
 
 
 def max_units(world: World, cell: int) -> int:
-    """Units that the routers of a cell may have in use."""
+    """Returns the units that the routers of a cell may have in use."""
     return sum(world.pocket(n).max_units(world.clock(n)) for n, (c, _) in world.home.items() if c == cell)
 
 
@@ -231,7 +231,7 @@
 def move_router_to_a_cut_off_cell(world: World) -> None:
     """Moves a router with requests beyond its guaranteed units to a cell that is cut off.
 
-    Its old cell wants the units.
+    Its old cell needs the units.
     """
     warm(world, 90, (4,))
     world.cuts(1)
@@ -291,7 +291,7 @@
     assert max_units(world, 0) >= units_before - 3
     warm(world, 14, (0, 2, 4))  # the cell's lease expires, and its routers' after that
     assert max_units(world, 0) == 3 * 2 and not cell_budget(world, 0).valid_lease_units(world.clock(0))
-    warm(world, 60, (1, 3, 5))  # what it had is free, and the other cell uses it
+    warm(world, 60, (1, 3, 5))  # its units are free, and the other cell uses them
     assert max_units(world, 1) > 25
     world.cuts(0)
     for n in (1, 3, 5):
--- a/tests/cells/test_home_leases.py
+++ b/tests/cells/test_home_leases.py
@@ -1,6 +1,6 @@
-"""Leases of homes: a table group's home is in one cell at a time, whatever fails.
+"""Tests that a table group's home is in one cell at a time, whatever fails.
 
-Each scenario plays one order of messages, cuts and restarts in which a missing guard puts a home into two
+Each scenario runs one order of messages, cuts and restarts in which a missing guard puts a home into two
 cells, or begins loads in one cell while those of another may still run. One test runs the scenarios as they
 are, another with one guard removed.
 """
@@ -15,7 +15,7 @@
 from marbleworks.lab.explore import Broken
 from marbleworks.lab.home_moves import LEASE, SETTLE, Homes, World, exhaust, paces, settled, stroll
 
-CELL_0_NODES = (1, 3)  # its leader and its router; 2 and 4 are those of cell 1
+CELL_0_NODES = (1, 3)  # leader and router of cell 0; 2 and 4 are those of cell 1
 
 
 def holding_cells(world: World, group: int = 0) -> set[int]:
@@ -30,7 +30,7 @@
 
 
 def time_until_held(world: World, cell: int, limit_s: float, silent_nodes: tuple[int, ...] = ()) -> float:
-    """True seconds until a cell holds table group 0.
+    """Returns the true seconds until a cell holds table group 0.
 
     All nodes but the silent ones ask every 4 ms. Another cell that may begin loads of the group does so.
     """
@@ -82,8 +82,8 @@
     """The region and cell 1 learn the plan, cell 0 does not.
 
     Args:
-        world: in which a plan moves group 0 to cell 1.
-        asking_nodes: nodes of cell 0 that go on asking. Its router begins loads as long as it may.
+        world: World in which a plan moves group 0 to cell 1.
+        asking_nodes: Nodes of cell 0 that go on asking. Its router begins loads as long as it may.
     """
     for node in (0, 2, 4):
         world.learns(node)
@@ -161,7 +161,7 @@
 
 
 def cell_has_a_new_leader() -> None:
-    """The new leader knows nothing of a router with a load in flight, and may not report it as done."""
+    """The new leader knows nothing of a router with a load in flight, and must not report it as done."""
     world = settled_world()
     world.begins(3, 0)
     world.planned((1, 0))
@@ -171,7 +171,7 @@
 
 
 def cell_misses_the_plan_before_the_home_returns() -> None:
-    """The old cell's lease expired. It learned neither of the plan that took the home nor of loads since."""
+    """The old cell's lease expired. It did not learn of the plan that took the home, nor of loads since."""
     world = settled_world()
     world.planned((1, 0))
     time_until_held(world, 1, 4.0, CELL_0_NODES)
@@ -201,7 +201,7 @@
 
 
 def router_is_ahead_of_its_leader() -> None:
-    """A router learns that the home is back before its leader learns that it was to go.
+    """A router learns that the home is back before its leader learns that it was to move away.
 
     The router is done by the later plan alone, which its leader does not know.
     """
--- a/tests/cells/test_plan.py
+++ b/tests/cells/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of cells: where names belong, its encoding, and which plans are adopted."""
+"""Tests of the plan of cells: placement of names, encoding, and adoption of plans."""
 
 import random
 
@@ -47,7 +47,7 @@
     return Plan.made(number, 99, 20, 8, rows, pinned_homes)
 
 
-# Where names belong, and the encoding.
+# Placement of names, and the encoding.
 
 
 def test_a_name_finds_its_cell_by_name_and_plan_alone() -> None:
@@ -89,7 +89,7 @@
     plan = make_plan(
         pinned_homes={next(g for g in range(99) if make_plan().home_region(g).name == "west"): 6}
     )
-    data = plan.excerpt("east").encode_with_mac(plan.mac(KEY))  # passing it on needs no key
+    data = plan.excerpt("east").encode_with_mac(plan.mac(KEY))  # an excerpt is passed on without a key
     read = Plan.read(data, [KEY])
     assert read.digest == plan.digest and len(data) < len(plan.write(KEY))
     assert read.cell_of("a", "e2", "small") == plan.cell_of("a", "e2", "small")
@@ -171,13 +171,13 @@
         make_inconsistent_plan()
 
 
-# Which plans are adopted.
+# Adoption of plans.
 
 
 def rejection(
     current: Plan | None, offered: Plan, settings_digest: int = 99, zone: str = "e1"
 ) -> RejectionReason | None:
-    """Why a plan is not adopted; None where it is."""
+    """Returns why a plan is not adopted, or None if it is."""
     decision = adopt(current, offered, settings_digest, zone, 100)
     if isinstance(decision, Adopted):
         assert decision.plan == offered
--- a/tests/cells/test_planner.py
+++ b/tests/cells/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner of cells: balance, moves, shortfalls, and its rules from the operator's file."""
+"""Tests of the planner of cells: balance, moves, shortfalls, and its rules from the operator's file."""
 
 import random
 from collections import Counter
@@ -54,7 +54,7 @@
 def revise_until_settled(
     plan: Plan | None, roster: list[Member], rules: Rules
 ) -> tuple[Plan, list[Revision]]:
-    """Revises until nothing changes any more; the last plan, and the revisions up to it."""
+    """Revises until nothing changes; returns the last plan and the revisions up to it."""
     steps: list[Revision] = []
     while True:
         revision = revised(plan, roster, rules)
@@ -170,7 +170,7 @@
         for of_routers in (True, False):
             max_moves = max(int(rules.step * sum((m.kind is None) == of_routers for m in up_members)), 2)
             assert all(sum((m.kind is None) == of_routers for m in step.moves) <= max_moves for step in steps)
-        assert all(cell.open for cell in plan.parts["r"].cells)  # all that closed have been removed
+        assert all(cell.open for cell in plan.parts["r"].cells)  # all closing cells have been removed
         assert all(weight == FULL_HOME_WEIGHT for _, weight in plan.regions[0].home_weights)
         check_balance(plan, roster, rules)
 
@@ -248,7 +248,7 @@
 
 
 def test_a_cell_does_not_exceed_its_maximum_when_all_routers_return() -> None:
-    # Routers that are up, and that are down, by cell.
+    # Numbers of routers that are up and down, by cell.
     rules, counts = make_rules(1), {0: (10, 9), 1: (16, 0), 2: (17, 0)}
     roster, exceptions = [], {}
     for cell, (up, down) in counts.items():
@@ -304,7 +304,7 @@
 
 
 def test_a_region_of_which_most_routers_are_down_is_left_as_it_is() -> None:
-    """The planner is more likely cut off from the region than the region gone."""
+    """The planner is more likely cut off from the region than all of its routers are down."""
     roster, rules = make_roster(90, 200), make_rules()
     first_plan = revise(None, roster, rules)
     mostly_down = [replace(m, up=int(m.name[1:]) % 5 == 0) for m in roster]
