--- a/marbleworks/spool/catalog.py
+++ b/marbleworks/spool/catalog.py
@@ -42,8 +42,8 @@
 
     Attributes:
         since_read_s: seconds that a result lives after a page of it was last read.
-        unread_s: seconds that it lives while no page has been read.
-        max_age_s: seconds that it lives at most.
+        unread_s: seconds that a result lives while no page has been read.
+        max_age_s: seconds that a result lives at most.
     """
 
     since_read_s: float
@@ -54,8 +54,8 @@
         """Returns when a result expires.
 
         Args:
-            made: when it was committed.
-            last_read_at: when a page of it was last read; None if none was.
+            made: time at which the result was committed.
+            last_read_at: time at which a page was last read; None if none was.
         """
         return min(
             made + self.max_age_s,
@@ -69,16 +69,16 @@
 
     Attributes:
         number: random 64-bit number, which its records carry.
-        key: digest of its token and tenant.
+        key: digest of the result's token and tenant.
         tenant: the tenant that owns it.
         profile: profile of the request that produced it.
-        made: when it was committed.
+        made: time at which it was committed.
         rows: number of rows.
         size: bytes before compression.
         pages: number of pages.
         places: location of each page's record, then that of the end record.
-        lengths: bytes of the same records on disk.
-        last_read_at: when a page was last read; None if none was.
+        lengths: bytes of each of these records on disk.
+        last_read_at: time at which a page was last read; None if none was.
         stored_bytes: bytes on disk, the sum of the lengths.
         segments: numbers of the segments that hold any of its records.
     """
@@ -115,11 +115,11 @@
         live_bytes: bytes of records that the index refers to.
         drops: the drop records in it, each as the dropped result's number and the last segment that may hold
             records of that result. None where they are not known, as after a start.
-        closed: whether it is no longer written.
+        closed: whether the segment is no longer written.
         has_moved_records: whether records were copied from it to other segments. An older checkpoint may
             still refer to the originals.
         unreadable: whether a read of the file failed. Its live records are then left where they are.
-        live_until: from when on nothing in it is live, as far as is known.
+        live_until: time from which on nothing in it is live, as far as is known.
     """
 
     size: int = 0
@@ -136,9 +136,9 @@
 
     Attributes:
         lifetimes: the rule of expiry.
-        results: by key.
+        results: stored results, by key.
         by_number: the same results by number.
-        segments: by number.
+        segments: segment files, by number.
         sorted_expiries: expiry time, stored bytes and tenant of each result, sorted.
         expiry_heap: heap of (time, result number). An entry's time may be earlier than the expiry: the entry
             is then pushed back with the later time when it is popped.
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -30,15 +30,15 @@
 from marbleworks.spool.segment_store import RecordSpan, SegmentStore
 from marbleworks.spool.space_allocator import Reservation, SpaceAllocator
 
-MAX_PENDING_PAGES = 2  # pages of one result that are being written at a time
-GROUP_COMMIT_BYTES = 1 << 20  # about how much is written and synced together
+MAX_PENDING_PAGES = 2  # maximum number of pages of one result that are being written
+GROUP_COMMIT_BYTES = 1 << 20  # approximate size of a group that is written and synced together
 READER_THREADS = 2
-PAGE_SLOT_TIMEOUT_S = 1.0  # how long a call for a page waits for memory to hold it
+PAGE_SLOT_TIMEOUT_S = 1.0  # longest wait of a call for a page for memory to hold it
 SCAN_BATCH_RECORDS = 32  # records that a background task handles in one step
-MAX_COMPACTED_SEGMENTS = 16  # in one run of the compaction task
+MAX_COMPACTED_SEGMENTS = 16  # maximum in one run of the compaction task
 COPY_SHARE = 0.1  # share of the folder's room that is reserved for the copies of a compaction
 TIGHT_SHARE = 0.5  # used share of the folder's room from which on dead files are deleted at once
-MAX_EXPIRY_INTERVAL_S = 0.25  # between two runs of the expiry task
+MAX_EXPIRY_INTERVAL_S = 0.25  # longest interval between two runs of the expiry task
 ANSWER_MARGIN_S = 0.02  # subtracted from a deadline, to leave time for sending the answer
 WriteJob = tuple[
     "AsyncResult[list[RecordSpan]]",
@@ -222,7 +222,7 @@
                 break
             except (OSError, CorruptRecordError, KeyError) as err:
                 if self.catalogue.by_number.get(result.number) is not result:
-                    return PageUnavailable.UNKNOWN_RESULT  # it was removed during the read
+                    return PageUnavailable.UNKNOWN_RESULT  # the result was removed during the read
                 if is_last_try or span[0] == result.places[number - 1]:
                     self._remove_lost(result, err)
                     return PageUnavailable.LOST
@@ -668,9 +668,9 @@
         service: the spool.
         reservation: the request's reservation.
         number: the result's number.
-        rows: rows so far.
+        rows: number of rows so far.
         size: bytes so far, before compression.
-        pages: pages so far.
+        pages: number of pages so far.
         first_page: rows of the first page.
         taken: bytes taken from the reservation.
         finished: whether the result was committed or discarded.
@@ -746,16 +746,16 @@
     def _on_page_written(self, expected: int, spans: list[RecordSpan]) -> None:
         """Corrects the room taken for a page from the expected bytes to those written."""
         self.spans += spans
-        excess = spans[0][1] - expected  # mostly negative
+        excess = spans[0][1] - expected  # usually negative: pages mostly compress better than expected
         if self.reservation.space is not None and not self.finished:
             self.reservation.space.add_written(spans[0][1])
         if self.reservation.space is None or not self.reservation.space.take(excess, clock()):
-            self.is_out_of_room = True  # this page has been written all the same, but is the last
+            self.is_out_of_room = True  # this page was written nevertheless, but is the last
         else:
             self.taken += excess
 
     def commit(self, deadline: float) -> StoredResult:
-        """Writes the rest and the END record, and returns once all is durable.
+        """Writes the remaining rows and the END record, and returns once everything is durable.
 
         Raises:
             ResultNotStoredError: The result had no room or was not durable by the deadline (Unix seconds).
@@ -798,7 +798,7 @@
         elif was_discarded:
             self.service.allocator.adjust_held(result.tenant, result.stored_bytes)
         self.service.catalogue.add(result)
-        if was_discarded:  # the request has been answered without it
+        if was_discarded:  # the request has been answered without the result
             self.service._remove([result])
 
     def _await_write(self, outcome: AsyncResult[list[RecordSpan]], deadline: float) -> None:
--- a/marbleworks/spool/space_allocator.py
+++ b/marbleworks/spool/space_allocator.py
@@ -12,21 +12,21 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MAX_LEARNED_SIZES = 32  # sizes remembered of each profile
-MIN_LEARNED_SIZES = 4  # with fewer, the operator's setting is a lower bound of the expected size
+MAX_LEARNED_SIZES = 32  # sizes remembered for each profile
+MIN_LEARNED_SIZES = 4  # below this count the operator's setting is a lower bound of the expected size
 SIZE_QUANTILE = 0.95  # share of the learned sizes that a reservation covers
 SAFETY_FACTOR = 1.1  # applied to learned sizes and compression ratios
-GROWTH_STEP_BYTES = 64_000  # by which a reservation grows if it can, when its result needs more
-MAX_PROMISES = 4096  # retry promises at a time
-PROMISE_WINDOW_S = 2.0  # how long promised room is kept after the promised time
-EARLY_TOLERANCE_S = 0.05  # how much before its time a promised request is let in
+GROWTH_STEP_BYTES = 64_000  # growth of a reservation whose result needs more, if there is room
+MAX_PROMISES = 4096  # maximum number of open retry promises
+PROMISE_WINDOW_S = 2.0  # time for which promised room is kept after the promised time
+EARLY_TOLERANCE_S = 0.05  # time by which a promised request may be early
 MIN_DELETION_DELAY_S = 0.25  # lower bound on what is added to an expiry for deleting the expired files
-MAX_DELETION_DELAYS = 16  # measured deletion delays that are remembered
+MAX_DELETION_DELAYS = 16  # number of measured deletion delays remembered
 DELETION_DELAY_FACTOR = 1.5  # applied to the longest of the remembered delays
 BACKOFF_S = (
     0.5,
     8.0,
-)  # how long no result is taken after a disk failure: at first, and the bound of doubling
+)  # seconds without new results after a disk failure: first value, and upper bound of its doubling
 
 UpcomingExpiries = Callable[[float, float], list[tuple[float, int, str]]]
 UpcomingDeletions = Callable[[float, float], list[tuple[float, int]]]
@@ -40,7 +40,7 @@
         tenant: the request's tenant.
         fingerprint: hash of the statement. A retry has a new request id and is recognized by this.
         size: bytes promised.
-        due_at: when the client was told to retry.
+        due_at: time at which the client was told to retry.
     """
 
     tenant: str
@@ -58,9 +58,9 @@
         tenant: the tenant that it is charged to.
         profile: profile of the request.
         size: bytes reserved.
-        used: bytes of them that are assigned to pages.
-        written: bytes of them that are on disk.
-        released: whether nothing is reserved any more.
+        used: reserved bytes that are assigned to pages.
+        written: reserved bytes that are on disk.
+        released: whether the reservation has ended.
     """
 
     allocator: SpaceAllocator
@@ -93,8 +93,8 @@
         """Returns the bytes of a discarded attempt.
 
         Args:
-            taken: bytes that were assigned to its pages.
-            written: bytes of it on disk, which are dead now.
+            taken: bytes that were assigned to the attempt's pages.
+            written: bytes of the attempt on disk, which are dead now.
         """
         self.used -= taken
         self.add_written(-written)
@@ -104,7 +104,7 @@
 
         Args:
             stored_bytes: bytes that the result takes on disk.
-            raw_bytes: its bytes before compression.
+            raw_bytes: bytes of the result before compression.
         """
         if not self.released:
             self.release()
@@ -124,33 +124,33 @@
     """Divides the room among tenants, and promises room to requests that find none.
 
     Attributes:
-        room: bytes that results may fill.
-        default_size: size that is expected of a result of a profile with few learned sizes.
+        room: maximum bytes of all results.
+        default_size: expected size of a result of a profile with few learned sizes.
         tenant_share: share of the room that one tenant may use.
-        tenant_quotas: the same for single tenants, by name.
+        tenant_quotas: share of the room that single tenants may use, by name.
         max_retry_after_s: longest Retry-After that may be given, in seconds; 0 if none may be.
         max_results: bound on the number of results.
-        upcoming_expiries: given two times, returns the results that expire between them if they are not read
-            before: time, bytes and tenant.
+        upcoming_expiries: given two times, returns time, bytes and tenant of each result that expires between
+            them if it is not read before.
         writable_bytes: returns how many bytes may be written before the folder is full; the folder also holds
             dead bytes that are not deleted yet.
-        upcoming_deletions: given two times, returns the files that can be deleted between them: time and
-            bytes.
-        held: bytes of live results, by the name that the deployment gives the tenant.
+        upcoming_deletions: given two times, returns time and bytes of each file that can be deleted between
+            them.
+        held: bytes of live results, by the tenant's name in the deployment.
         reserved: bytes reserved, by tenant.
-        written: bytes of the reservations that are on disk already.
+        written: reserved bytes that are already on disk.
         result_count: number of results, reserved ones included.
         learned_sizes: stored sizes of the last results, by profile.
         compression_ratios: stored over raw size of the last results, by profile.
         promises: the retry promises that are open.
-        closed_until: no reservation is granted before, because the disk failed.
-        backoff_s: how long the next disk failure closes the spool.
-        deletion_delays: seconds that the last deletions took from the end of a file's last result.
-        shed_count: requests that got no room.
-        promised_count: retry promises given.
-        kept_count: promises whose request got its room.
-        broken_count: promises whose request came back at its time and found no room.
-        outgrown_count: results that needed more than their reservation and found no free room.
+        closed_until: time before which no reservation is granted, because the disk failed.
+        backoff_s: seconds for which the next disk failure closes the spool.
+        deletion_delays: seconds from the end of a file's last result to its deletion, for the last deletions.
+        shed_count: number of requests that got no room.
+        promised_count: number of retry promises given.
+        kept_count: number of promises whose request got its room.
+        broken_count: number of promises whose request came back at its time and found no room.
+        outgrown_count: number of results that needed more than their reservation and found no free room.
     """
 
     def __init__(
@@ -212,7 +212,7 @@
         Args:
             profile: profile of the request.
             stored_bytes: bytes that the result takes on disk.
-            raw_bytes: its bytes before compression; 0 if not known, which counts as not compressible.
+            raw_bytes: bytes of it before compression; 0 if not known, which counts as not compressible.
         """
         self.learned_sizes.setdefault(profile, deque(maxlen=MAX_LEARNED_SIZES)).append(stored_bytes)
         self.compression_ratios.setdefault(profile, deque(maxlen=MAX_LEARNED_SIZES)).append(
@@ -334,7 +334,7 @@
         return lowest
 
     def _expected_wait(self, tenant: str, size: float, now: float) -> float:
-        """Returns the seconds until expiries have made room for this size, behind all promises.
+        """Returns the seconds until expiries have made room for this size, after all promises.
 
         Returns:
             Infinite where that depends on results that are not committed yet, or takes longer than clients
@@ -363,7 +363,7 @@
 
         Args:
             reservation: a reservation whose result is larger than expected.
-            shortfall: bytes that it needs at least.
+            shortfall: minimum number of bytes that it needs.
             now: the present time.
 
         Returns:
