--- a/marbleworks/cli/budgets.py
+++ b/marbleworks/cli/budgets.py
@@ -17,7 +17,7 @@
 
 @app.command("show")
 def show(addresses: list[str] = ADDRESSES) -> None:
-    """Print the whole, held, used, free and unreachable units of each budget, and the parts by router."""
+    """Print the total, held, used, free and unreachable units of each budget, and the shares by router."""
     from marbleworks.budgets.report import render
     from marbleworks.membership.report import HealthQueryError
 
--- a/marbleworks/fair_queue/peer_usage.py
+++ b/marbleworks/fair_queue/peer_usage.py
@@ -3,8 +3,8 @@
 It does no I/O and reads no clock. A summary has a header of 6 bytes, which holds the pace of the requests
 that wait at the sender, and 6 bytes for each tenant: 32 bits of the hash of its name and the work that was
 admitted, in units of 10 ms. Pace is work a second per unit of weight. Lost and late summaries do no harm:
-each tells what was admitted since the one before, and what does not arrive is not charged. A peer that sends
-false figures is bounded by what its part of the engines can do.
+each reports what was admitted since the one before, and what does not arrive is not charged. A peer that
+sends false figures is bounded by what its part of the engines can do.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class PeerUsage:
-    """What this router tells its peers of its tenants, and the state of the summaries received from each.
+    """The usage of tenants that this router sends to its peers, and the state of those received from each.
 
     Attributes:
         unreported_work: Work admitted since the last summary, by hash of the tenant's name.
@@ -69,7 +69,7 @@
             self.unreported_work[tenant_hash] = self.unreported_work.get(tenant_hash, 0.0) + work
 
     def pace_ratio(self, pace: float, now: float) -> float:
-        """Returns our pace over the mean of all routers where requests wait; 1 where that is unknown."""
+        """Returns this router's pace divided by the mean of all routers where requests wait; 1 if unknown."""
         self.paces = {peer: entry for peer, entry in self.paces.items() if entry[1] > now - PACE_LIFETIME_S}
         total_pace = pace + sum(peer_pace for peer_pace, _ in self.paces.values())
         return pace * (1 + len(self.paces)) / total_pace if self.paces and total_pace else 1.0
@@ -81,7 +81,7 @@
             pace: Work a second that the waiting requests are given per unit of weight; 0 where none waits.
 
         Returns:
-            The datagram; None where there is nothing to tell.
+            The datagram; None if there is nothing to report.
         """
         heaviest = sorted(self.unreported_work.items(), key=lambda item: -item[1])[:MAX_ENTRIES]
         entries = [
--- a/marbleworks/fair_queue/trace_report.py
+++ b/marbleworks/fair_queue/trace_report.py
@@ -6,7 +6,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
 
-MAX_TENANTS_LISTED = 20  # those with the most decisions
+MAX_TENANTS_LISTED = 20  # the tenants with the most decisions are listed
 REASONS = ("passed", "queued", "let in", "kept", "early", "too late", "full", "left", "timed out", "stopping")
 
 
--- a/marbleworks/scheduling/outcomes.py
+++ b/marbleworks/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""Updates the scheduler's parts with the outcome of each attempt."""
+"""Updates the scheduler's components with the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class OutcomeRecorder:
-    """Passes the outcome of an attempt to the parts that count it."""
+    """Passes the outcome of an attempt to the components that count it."""
 
-    def __init__(  # noqa: PLR0913 - each of these parts counts outcomes
+    def __init__(  # noqa: PLR0913 - each of these components counts outcomes
         self,
         port: SchedulerPort,
         rules: DeploymentRules,
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -33,7 +33,7 @@
         seed: seed of the pseudo-random choice among equally loaded engines.
 
     Attributes:
-        parts: the parts of the scheduler.
+        parts: the components of the scheduler.
         engines: the listed engines, keyed by engine id.
         pending: requests that wait for an attempt, keyed by sequence number.
     """
--- a/marbleworks/scheduling/wiring.py
+++ b/marbleworks/scheduling/wiring.py
@@ -1,4 +1,4 @@
-"""Creates the parts of one router's scheduler and connects them."""
+"""Creates the components of one router's scheduler and connects them."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class SchedulerParts:
-    """The parts of a scheduler.
+    """The components of a scheduler.
 
-    Only `Scheduler` uses this object; each part is given only the parts that it needs.
+    Only `Scheduler` uses this object; each component is given only those that it needs.
 
     Attributes:
         start_slack_s: the longest time (s) between the decision to start an attempt and its first byte.
@@ -105,7 +105,7 @@
         )
 
     def use_shared_budgets(self, budgets: SharedBudgets | None) -> None:
-        """Passes the budgets shared among routers to each part that uses them."""
+        """Passes the budgets shared among routers to each component that uses them."""
         self.placement.shared_budgets = budgets
         self.retry_budget.shared_budgets = budgets
         self.slow_start.shared_budgets = budgets
@@ -114,7 +114,7 @@
         self.outcomes.shared_budgets = budgets
 
     def refresh(self, now: float) -> None:
-        """Recomputes the figures that the parts derive from their measurements."""
+        """Recomputes the figures that the components derive from their measurements."""
         self.latency.refresh(now)
         self.estimates.refresh()
         self.table_groups.prune()
--- a/tests/fair_queue/test_admission.py
+++ b/tests/fair_queue/test_admission.py
@@ -748,7 +748,7 @@
         self.yard = Yard(3.0, Bounds(30, 1e5, 40, True, False), 3)
         self.yard.passes = lambda sender, receiver: (sender, receiver) not in self.cut_links
         self.cut_links: set[tuple[int, int]] = set()
-        self.router_by_ref: dict[str, int] = {}  # of requests whose router was not killed
+        self.router_by_ref: dict[str, int] = {}  # router of each request, unless it was killed
         self.count, self.generations = 0, [1, 1, 1]
 
     @rule(
