--- a/marbleworks/net/__init__.py
+++ b/marbleworks/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on sockets: it tells the decisions what happened and does what they ask, and decides nothing."""
+"""The router's network I/O: reports events to the scheduler and carries out its decisions."""
--- a/marbleworks/net/actor.py
+++ b/marbleworks/net/actor.py
@@ -1,7 +1,7 @@
-"""Actors: a mailbox, and one greenlet that calls what is posted to it.
+"""Actors: a mailbox and one greenlet that makes the calls posted to it.
 
-Only an actor's own greenlet changes its state; others post calls. A call that raises is logged, and the actor
-goes on with the next. The module knows nothing of what the calls mean.
+Only an actor's own greenlet changes its state; other greenlets post calls. A call that raises is logged, and
+the actor continues with the next one. This module does not interpret the calls.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from gevent.queue import Empty, PriorityQueue
 
 LOG = structlog.get_logger()
-TURN_S = 0.002  # for which an actor may go on with its mail while other greenlets are ready
+TIME_SLICE_S = 0.002  # how long an actor may process its mailbox before it yields to other greenlets
 _CLOCK_OFFSET_S = time.time() - time.monotonic()
 
 
-class MailPriority(IntEnum):
-    """Which mail an actor handles first."""
+class MailboxPriority(IntEnum):
+    """Priority of a posted call; an actor makes the calls with the lowest value first."""
 
     WORK_IN_PROGRESS = 0
     NEW_WORK = 1
 
 
-# Priority, place among new work, number of the post, and the call; the queue compares the first three.
-# A plain tuple, since a router makes one for each event.
-Mail = tuple[MailPriority, float, int, Callable[..., Any], tuple[Any, ...]]
+# Priority, order among new work, sequence number, callable and arguments; the queue compares the first three.
+# This is a plain tuple because a router creates one for each event.
+MailboxEntry = tuple[MailboxPriority, float, int, Callable[..., Any], tuple[Any, ...]]
 
 
 def clock() -> float:
-    """Returns Unix time in seconds; unlike the system's clock it never goes back."""
+    """Returns Unix time in seconds; unlike the system clock, it never goes backwards."""
     return _CLOCK_OFFSET_S + time.monotonic()
 
 
 def spawn(work: Callable[..., Any], *args: Any) -> gevent.Greenlet[..., Any]:
-    """Starts a greenlet; an exception that ends it is logged."""
+    """Starts a greenlet that makes the call; an exception that ends it is logged."""
     return gevent.spawn(_call_and_log, work, *args)
 
 
@@ -50,47 +50,57 @@
 
 
 class Actor:
-    """Owns a mailbox, the greenlet that empties it, and one timer.
+    """Owns a mailbox, the greenlet that processes it, and one timer.
 
     Attributes:
-        wake_at: When `on_timer` is to be called; None for never. The timer is cleared before the call.
+        post_count: Number of calls posted so far; it keeps calls of equal priority in their order.
+        finished: Whether the greenlet ends after the current call.
+        wake_at: Unix time in seconds at which `on_timer` is called; None for never. The timer is cleared
+            before the call.
     """
 
     def __init__(self) -> None:
-        self.mailbox: PriorityQueue[Mail] = PriorityQueue()
+        self.mailbox: PriorityQueue[MailboxEntry] = PriorityQueue()
         self.post_count = 0
         self.finished = False
         self.wake_at: float | None = None
         self.greenlet = gevent.spawn(self._run)
 
     def post(self, action: Callable[..., Any], *args: Any) -> None:
-        """Has this actor's greenlet call one of its methods, after everything posted before."""
+        """Queues a call that this actor's greenlet makes after all calls posted here before."""
         self.post_count += 1
-        self.mailbox.put((MailPriority.WORK_IN_PROGRESS, 0.0, self.post_count, action, args))
+        self.mailbox.put((MailboxPriority.WORK_IN_PROGRESS, 0.0, self.post_count, action, args))
 
-    def post_new_work(self, place: float, action: Callable[..., Any], *args: Any) -> None:
-        """Posts a call for new work: after all that concerns work in progress, then by place."""
+    def post_new_work(self, order: float, action: Callable[..., Any], *args: Any) -> None:
+        """Queues a call for new work, which waits for all calls about work in progress.
+
+        Args:
+            order: Sort key among new work; the lowest is called first.
+            action: The callable.
+            *args: Its arguments.
+        """
         self.post_count += 1
-        self.mailbox.put((MailPriority.NEW_WORK, place, self.post_count, action, args))
+        self.mailbox.put((MailboxPriority.NEW_WORK, order, self.post_count, action, args))
 
     def finish(self) -> None:
-        """Ends the greenlet; posted last.
+        """Ends the greenlet; this has to be the last call posted.
 
-        A greenlet that is killed would keep its frame, and all that it refers to, in a reference cycle.
+        The greenlet is not killed instead, because a killed greenlet keeps its frame, and all objects that
+        the frame refers to, in a reference cycle.
         """
         self.finished = True
 
     def on_timer(self) -> None:
-        """Called when `wake_at` has come."""
+        """Called once `wake_at` has passed."""
 
     def _run(self) -> None:
-        turn_began = 0.0
+        slice_began_at = 0.0
         while not self.finished:
             try:
                 now = clock()
-                if now > turn_began + TURN_S:  # a full mailbox must not starve other greenlets
+                if now > slice_began_at + TIME_SLICE_S:  # a full mailbox must not starve other greenlets
                     gevent.sleep(0)
-                    turn_began = now = clock()
+                    slice_began_at = now = clock()
                 timeout_s = None if self.wake_at is None else self.wake_at - now
                 if timeout_s is not None and timeout_s <= 0:
                     action, args = self.on_timer, ()
@@ -101,4 +111,5 @@
             if action == self.on_timer:
                 self.wake_at = None
             _call_and_log(action, *args)
-            del action, args  # they may hold a large result, and the next mail may be long in coming
+            # They may refer to a large result, and the next call may not come for a long time.
+            del action, args
--- a/marbleworks/net/addresses.py
+++ b/marbleworks/net/addresses.py
@@ -1,5 +1,5 @@
-"""The form in which sockets take and give addresses."""
+"""The type of a socket address."""
 
 from __future__ import annotations
 
-SocketAddress = tuple[str, int]  # IPv4 host and port, as `socket.connect` takes and `recvfrom` returns them
+SocketAddress = tuple[str, int]  # IPv4 host and port, as used by `socket.connect` and `socket.recvfrom`
--- a/marbleworks/net/client_listener.py
+++ b/marbleworks/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections and keeps their number within the router's file descriptors."""
+"""Accepts client connections and limits their number to the router's quota of file descriptors."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from marbleworks.ports import ResultStore
 from marbleworks.settings import Settings
 
-_FIRST_MESSAGE_GRACE_S = 0.25  # in which a new connection is not closed for the next one
+_FIRST_MESSAGE_GRACE_S = 0.25  # minimum age at which a connection without a message may be closed for another
 _ACCEPT_RETRY_INTERVAL_S = 0.05
 
 
@@ -26,12 +26,12 @@
     """A listening socket and the sessions of the connections it accepted.
 
     Attributes:
-        descriptors: One for each connection that may be open.
+        descriptors: Quota of file descriptors; each open connection holds one.
         healthy: The answer to `health`.
-        result_store: Where results are stored, if anywhere.
-        health_details: Answers a `health` call about a subsystem.
+        result_store: Store of query results; None where results are not stored.
+        health_details: Returns the details that answer a `health` call about a subsystem, by its name.
         sessions: Sessions that are not closed, in the order of their connections.
-        accepted: A connection that still waits for a descriptor, with its peer's address.
+        pending_connection: An accepted connection that waits for a descriptor, with its peer's address.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.result_store: ResultStore | None = None
         self.health_details: Callable[[str], dict[str, Any]] | None = None
         self.sessions: dict[ClientSession, None] = {}
-        self.accepted: tuple[socket.socket, tuple[str, int]] | None = None
+        self.pending_connection: tuple[socket.socket, tuple[str, int]] | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
@@ -59,26 +59,30 @@
         while True:
             try:
                 self._accept()
-            except OSError as err:  # the host is short of descriptors or memory
+            except OSError as err:  # for example, the host has run out of descriptors or memory
                 LOG.warning("accept failed", error=str(err))
                 gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)
 
     def _accept(self, deadline: float = math.inf) -> None:
-        """Accepts one connection; while there is no descriptor for it, later ones wait in the backlog.
+        """Accepts one connection; while no descriptor is free for it, later ones wait in the backlog.
+
+        Args:
+            deadline: Unix time in seconds until which to wait for a descriptor.
 
         Raises:
-            BlockingIOError: There is no descriptor by the deadline.
-            OSError: The host accepts none.
+            BlockingIOError: No descriptor was free by the deadline, or the socket is non-blocking and the
+                backlog is empty.
+            OSError: The host could not accept a connection.
         """
-        if self.accepted is None:
-            self.accepted = self.sock.accept()
+        if self.pending_connection is None:
+            self.pending_connection = self.sock.accept()
         while not self.descriptors.acquire(blocking=False):
             if clock() >= deadline:
                 raise BlockingIOError
             if not self._close_unused_session():
-                gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)  # a session may have become unused by then
-        sock, (host, port) = self.accepted
-        self.accepted = None
+                gevent.sleep(_ACCEPT_RETRY_INTERVAL_S)  # a session may become unused in this time
+        sock, (host, port) = self.pending_connection
+        self.pending_connection = None
         try:
             stream = Stream(sock, "client", f"{host}:{port}", MAX_MESSAGE_BYTES, self.descriptors.release)
         except BaseException:
@@ -86,37 +90,44 @@
             sock.close()
             raise
         ClientSession(self, stream)
-        gevent.sleep(0)  # the session reads before the next connection is accepted
+        gevent.sleep(0)  # lets the session read before the next connection is accepted
 
     def _close_unused_session(self) -> bool:
-        """Closes the session that is most likely kept for nothing; returns whether one was closed.
+        """Closes the unused session that is least likely to be needed.
 
         That is the oldest one that never sent a message, or else the one that has been unused for longest. A
-        new connection gets time for its first message, and bytes that have arrived are read first.
+        new connection gets time for its first message, and a session with unread bytes is not closed.
+
+        Returns:
+            Whether a session was closed.
         """
         unused = [session for session in self.sessions if session.is_unused()]
         if not unused:
             return False
-        opened_by = clock() - _FIRST_MESSAGE_GRACE_S
-        silent = (
+        opened_before = clock() - _FIRST_MESSAGE_GRACE_S
+        never_used = (
             session
             for session in unused
-            if session.last_message_at is None and session.stream.opened_at <= opened_by
+            if session.last_message_at is None and session.stream.opened_at <= opened_before
         )
-        session = next(silent, None) or min(unused, key=_last_used_at)
+        session = next(never_used, None) or min(unused, key=_last_used_at)
         if session.stream.peek() is not None:
             return False
-        session.stream.close(CloseReason.NO_ROOM)
+        session.stream.close(CloseReason.NO_DESCRIPTOR)
         return True
 
     def stop_accepting(self, deadline: float) -> None:
-        """Accepts what is in the host's backlog, then closes the listening socket."""
+        """Accepts the connections in the host's backlog, then closes the listening socket.
+
+        Args:
+            deadline: Unix time in seconds after which no more connections are accepted.
+        """
         self.accept_greenlet.kill()
         self.sock.settimeout(0.0)
         while clock() < deadline:
             try:
                 self._accept(deadline)
-            except BlockingIOError:  # the backlog is empty, and nothing else runs before the close
+            except BlockingIOError:  # the backlog is empty, and no other greenlet runs before the close
                 break
             except OSError as err:
                 LOG.warning("accept failed", error=str(err))
@@ -124,7 +135,7 @@
         self.sock.close()
 
     def close_idle_sessions(self) -> bool:
-        """Gracefully closes sessions without open calls; returns whether no session is left."""
+        """Gracefully closes sessions without open calls and returns whether no session is left."""
         for session in [session for session in self.sessions if session.is_idle()]:
             session.close_gracefully(CloseReason.STOPPING)
         return not self.sessions
--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -1,7 +1,8 @@
 """One client's connection: its MessagePack-RPC calls, their answers, and its close.
 
-A session is an actor: its own greenlet writes, a second one reads. It never answers a call twice, and closes
-a connection with open calls only where the client breaks the protocol, is gone, or the router stops.
+A session is an actor: its own greenlet writes, and a second one reads. It never answers a call twice, and
+closes a connection with open calls only if the client violates the protocol, the client has disconnected, or
+the router stops.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from gevent.event import Event
 
 from marbleworks.net import protocol
-from marbleworks.net.actor import TURN_S, Actor, clock, spawn
+from marbleworks.net.actor import TIME_SLICE_S, Actor, clock, spawn
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.messages import OpenRequest
 from marbleworks.net.protocol import InvalidCallError, PageCall
@@ -32,23 +33,25 @@
 from marbleworks.ports import PageUnavailable, ResultStore
 from marbleworks.settings import Settings
 
-_MAX_OPEN_PAGE_CALLS = 4  # each holds a page in memory
-_WRITE_TIMEOUT_S = 1.0  # at least, also for an answer whose call has no time left
-_CLIENT_GONE_POLL_INTERVAL_S = 0.5  # while a page is being delivered
-_DRAIN_TIMEOUT_S = 0.25  # in which received bytes are discarded before a graceful close ends
+_MAX_OPEN_PAGE_CALLS = 4  # for each session, since each call holds a page in memory
+_WRITE_TIMEOUT_S = 1.0  # minimum time for a write, also for an answer whose call has no time left
+_CLIENT_GONE_POLL_INTERVAL_S = 0.5  # how often to check for a disconnect while a page is being delivered
+_DRAIN_TIMEOUT_S = 0.25  # how long a graceful close discards received bytes
 _MAX_DRAIN_BYTES = 1 << 18
-# Reasons for which the router, and not the client, ends the connection.
-_CLOSED_BY_US = (CloseReason.SILENT, CloseReason.MALFORMED, CloseReason.TOO_LONG)
+# Reasons for which the router, not the client, closes the connection.
+_CLOSED_BY_ROUTER = (CloseReason.TIMEOUT, CloseReason.MALFORMED, CloseReason.TOO_LONG)
 _BUSY_RETRY_AFTER_S = 1.0
 
 
 class SessionHost(Protocol):
-    """What all sessions share: the listener that accepted them.
+    """The listener that accepted the sessions, and the state that they share.
 
     Attributes:
+        dispatcher: Actor that takes the clients' requests.
+        settings: Settings of the deployment.
         healthy: The answer to `health`; False while the router stops.
-        result_store: Where results are stored, if anywhere.
-        health_details: Answers a `health` call about a subsystem.
+        result_store: Store of query results; None where results are not stored.
+        health_details: Returns the details that answer a `health` call about a subsystem, by its name.
         sessions: Sessions that are not closed, in the order of their connections; a session adds and removes
             itself.
     """
@@ -63,12 +66,12 @@
 
 @dataclass(eq=False)
 class PendingCall:
-    """An open call; it is kept until it is answered or, once abandoned, until the dispatcher knows.
+    """An open call, kept until it is answered or until the dispatcher knows that it was abandoned.
 
     Attributes:
         deadline: Unix time in seconds until which the client waits.
-        request: What the dispatcher was given; None for a page.
-        abandoned: The client cancelled the call or is gone; nothing is sent for it any more.
+        request: The request passed to the dispatcher; None for a call for a page.
+        abandoned: Whether the client cancelled the call or disconnected; nothing more is sent for it.
     """
 
     deadline: float
@@ -80,9 +83,10 @@
     """A client's connection, from its first byte to its close.
 
     Attributes:
-        calls: Open calls by the client's numbers for them.
+        calls: Open calls by the call ids that the client gave them.
         last_message_at: Unix time in seconds of the last complete message; None before the first.
-        has_written: Whether anything was sent to the client.
+        has_written: Whether a write to the client has begun since the connection was opened.
+        writing: Whether a message is being written.
         closing_reason: Set once a graceful close has begun; received bytes are discarded from then on.
     """
 
@@ -100,22 +104,27 @@
         listener.sessions[self] = None
         spawn(self._read)
 
-    # Answers. These methods are posted.
+    # Answers. The dispatcher and the reading greenlet post these methods.
 
     def answer(self, call_id: int, result: bytes, result_fields: dict[str, str]) -> None:
-        """Sends a query's result."""
+        """Sends a query's result and its metadata."""
         self._finish_call(Response(call_id, None, [result, result_fields]))
 
     def shed(self, call_id: int, retry_after_s: float) -> None:
-        """Rejects a query; 0 names no time to retry after."""
+        """Rejects a query.
+
+        Args:
+            call_id: The client's id of the call.
+            retry_after_s: Seconds after which the client may retry; 0 if the answer gives no time.
+        """
         self._finish_call(Response(call_id, protocol.rejected_error(retry_after_s), None))
 
     def fail(self, call_id: int, reason: str) -> None:
-        """Fails a query for good."""
+        """Answers a query with a permanent error."""
         self._finish_call(Response(call_id, protocol.failed_error(reason), None))
 
     def forget(self, request: OpenRequest) -> None:
-        """Drops an abandoned call, now that the dispatcher knows; its number may be in use again."""
+        """Removes an abandoned call once the dispatcher knows of it; its call id may be in use again."""
         call = self.calls.get(request.call_id)
         if call is not None and call.request is request:
             del self.calls[request.call_id]
@@ -132,17 +141,17 @@
         if call is not None and not call.abandoned:
             self._write(response, call.deadline)
         if call is not None and (call.request is None or not call.abandoned):
-            self.calls.pop(response.call_id, None)  # the reader may have ended during the write
+            self.calls.pop(response.call_id, None)  # the reader may have removed it during the write
 
     def _post_response(self, response: Response) -> None:
-        """Sends by way of the mailbox: two greenlets that write at once would mix their bytes."""
+        """Sends through the mailbox, because two greenlets that write at once would mix their bytes."""
         self.post(self._write, response, 0.0)
 
     def _post_error(self, call_id: int, error: protocol.CallError) -> None:
         self._post_response(Response(call_id, error, None))
 
     def _write(self, response: Response, deadline: float) -> None:
-        """Sends a message; a client that does not read delays no answer but its own."""
+        """Sends a message; a client that does not read delays only its own answers."""
         self.has_written = self.writing = True
         try:
             self.stream.write(response.encode(), max(deadline, clock() + _WRITE_TIMEOUT_S))
@@ -154,18 +163,18 @@
     # Closing.
 
     def is_unused(self) -> bool:
-        """Whether no call is open and nothing is being written; there may be unread bytes."""
+        """Whether no call is open and nothing is waiting to be written; there may be unread bytes."""
         return self.closing_reason is None and not (self.calls or self.writing or self.mailbox.qsize())
 
     def is_idle(self) -> bool:
-        """Whether it is unused and nothing is unread."""
+        """Whether the session is unused and has no unread bytes."""
         return self.is_unused() and not self.stream.unread_end and self.stream.peek() is None
 
     def close_gracefully(self, reason: CloseReason) -> None:
-        """Closes the connection so that what was just written still arrives.
+        """Closes the connection in such a way that data just written still arrives.
 
-        Bytes that the client sends after a plain close would reset the connection and destroy it. So only the
-        sending direction is shut down, and received bytes are discarded for a moment.
+        After a plain close, bytes sent by the client would reset the connection and destroy that data. So
+        only the sending direction is shut down, and received bytes are discarded for `_DRAIN_TIMEOUT_S`.
         """
         self.closing_reason = reason
         self.stream.shutdown_write()
@@ -179,7 +188,7 @@
                 unread = self.stream.unread_end - self.stream.unread_start
                 remaining_bytes -= unread
                 self.stream.consume(unread)
-                # By then everything is written, and a posted `close_gracefully` has run.
+                # Within this time all answers are written and a posted `close_gracefully` has run.
                 self.stream.fill(clock() + _WRITE_TIMEOUT_S)
                 gevent.sleep(0)
         self.stream.close(reason)
@@ -187,7 +196,7 @@
     # Reading.
 
     def _read(self) -> None:
-        reason = CloseReason.FAULT
+        reason = CloseReason.INTERNAL_ERROR
         try:
             self._read_messages()
         except StreamClosedError as err:
@@ -199,9 +208,9 @@
         """Handles messages until a graceful close begins.
 
         Raises:
-            StreamClosedError: The connection is to end or has ended.
+            StreamClosedError: The connection has ended or has to be closed.
         """
-        # When the wait for a first message, the rest of one or a first answer began; None: for none of these.
+        # Start of the wait for a first message, the rest of a message or a first answer; None if not waiting.
         waiting_since: float | None = self.stream.opened_at
         while self.closing_reason is None:
             try:
@@ -209,8 +218,8 @@
                     None if waiting_since is None else waiting_since + protocol.MESSAGE_TIMEOUT_S
                 )
             except StreamClosedError as err:
-                awaits_answer = bool(self.calls or self.has_written)
-                if err.reason is not CloseReason.SILENT or self.stream.unread_end or not awaits_answer:
+                is_in_use = bool(self.calls or self.has_written)
+                if err.reason is not CloseReason.TIMEOUT or self.stream.unread_end or not is_in_use:
                     raise
                 waiting_since = None if self.has_written else clock()
                 continue
@@ -224,14 +233,14 @@
 
     def _end(self, reason: CloseReason) -> None:
         if reason is CloseReason.CLOSED and self.calls:
-            reason = CloseReason.BROKEN
+            reason = CloseReason.CLOSED_EARLY
         for call_id in list(self.calls):
             self._abandon(call_id)
         self.calls.clear()
-        unsent = self.has_written or self.mailbox.qsize()
-        if self.closing_reason is None and reason in _CLOSED_BY_US and unsent:
+        may_have_unsent = self.has_written or self.mailbox.qsize()
+        if self.closing_reason is None and reason in _CLOSED_BY_ROUTER and may_have_unsent:
             self.closing_reason = reason
-            self.post(self.close_gracefully, reason)  # behind what is still to be written
+            self.post(self.close_gracefully, reason)  # runs after the writes that are still in the mailbox
         if self.closing_reason is not None:
             self._drain(self.closing_reason)
         self.stream.close(reason)
@@ -239,14 +248,14 @@
         self.post(self.finish)
 
     def _handle_messages(self) -> bool:
-        """Handles all complete messages in the buffer; returns whether there were any."""
-        handled = False
+        """Handles all complete messages in the buffer and returns whether there were any."""
+        handled_any = False
         for message in self._messages():
-            handled = True
+            handled_any = True
             self.last_message_at = clock()
             self._handle_message(message)
-            self._hold_back()
-        return handled
+            self._apply_backpressure()
+        return handled_any
 
     def _messages(self) -> Iterator[Message]:
         """Yields complete messages; the rest of an incomplete one stays in the buffer."""
@@ -261,20 +270,20 @@
                 raise StreamClosedError(CloseReason.MALFORMED) from None
             self.stream.consume(decoder.consumed)
 
-    def _hold_back(self) -> None:
-        """Waits until a client at full speed has its errors written and its cancels handled.
+    def _apply_backpressure(self) -> None:
+        """Pauses reading while too many error answers or cancellations of the client are unprocessed.
 
-        The buffer goes on filling meanwhile, so that a disconnect is noticed.
+        Bytes are still received into the buffer during the pause, so that a disconnect is noticed.
         """
         max_open = protocol.MAX_OPEN_CALLS
         while self.mailbox.qsize() > max_open or len(self.calls) > 2 * max_open:
             if self.stream.buffer_full:
-                gevent.sleep(TURN_S)
+                gevent.sleep(TIME_SLICE_S)
                 continue
             try:
-                self.stream.fill(clock() + TURN_S)
+                self.stream.fill(clock() + TIME_SLICE_S)
             except StreamClosedError as err:
-                if err.reason is not CloseReason.SILENT:
+                if err.reason is not CloseReason.TIMEOUT:
                     raise
 
     # Calls.
@@ -291,7 +300,7 @@
             self._abandon(message.call_id)
 
     def _abandon(self, call_id: int) -> None:
-        """The client no longer waits for this call."""
+        """Marks a call that its client cancelled or left, and tells the dispatcher."""
         call = self.calls.get(call_id)
         if call is None or call.abandoned:
             return
@@ -341,10 +350,10 @@
             reservation=reservation,
         )
         self.calls[request.call_id] = PendingCall(deadline, open_request)
-        # New work is ordered by when its client began to wait; for a retry that was before this call.
-        place = deadline - self.settings.client_timeouts_s[query.class_index]
+        # New work is ordered by when its client began to wait, which for a retry is before this call.
+        wait_began_at = deadline - self.settings.client_timeouts_s[query.class_index]
         self.dispatcher.post_new_work(
-            place,
+            wait_began_at,
             self.dispatcher.submit,
             query.request_id,
             open_request,
@@ -369,7 +378,7 @@
         spawn(self._read_page, store, request.call_id, page_call)
 
     def _read_page(self, store: ResultStore, call_id: int, page_call: PageCall) -> None:
-        """Runs in its own greenlet until the page has been written or the client has gone."""
+        """Runs in its own greenlet until the page has been written or the client has disconnected."""
         page = store.read_page(page_call.token, page_call.tenant, page_call.number)
         if isinstance(page, PageUnavailable):
             if page is PageUnavailable.BUSY:
--- a/marbleworks/net/connection_pool.py
+++ b/marbleworks/net/connection_pool.py
@@ -1,6 +1,6 @@
-"""The connections to one engine: those that are idle, and whoever waits for one.
+"""Connection pool of one engine: idle connections and the requests that wait for one.
 
-Every open connection takes a descriptor of a quota that all engines share. Where the quota is used up, a
+Every open connection holds a file descriptor of a quota that all engines share. When the quota is used up, a
 request waits for a connection of this pool, or for a descriptor that another engine's pool hands over.
 """
 
@@ -24,26 +24,38 @@
 
 
 class DescriptorQuota(Protocol):
-    """Descriptors that the connections of all engines may hold together, as a semaphore counts them."""
+    """Semaphore that counts the descriptors which the connections of all engines may hold together."""
 
     def acquire(self, blocking: bool = True) -> bool:
-        """Takes a descriptor; False where none is free and it is not to block."""
+        """Takes a descriptor; returns False if none is free and the call must not block."""
 
     def release(self) -> object:
-        """Gives a descriptor back."""
+        """Returns a descriptor to the quota."""
 
 
 class PoolOwner(Protocol):
-    """The actor that a pool belongs to."""
+    """The actor that a pool belongs to.
+
+    Attributes:
+        wake_at: Unix time in seconds of the actor's next timer; None for none.
+    """
 
     wake_at: float | None
 
     def on_descriptor_shortage(self) -> None:
-        """A request waits, there is no connection that it could get, and the quota is used up."""
+        """Called when a request waits, the pool has no open connection, and the quota is used up."""
 
 
 class ConnectionPool:
-    """Connections to one engine. All its methods are called by its owner's greenlets."""
+    """Connections to one engine. Only its owner's greenlets call its methods.
+
+    Attributes:
+        max_idle_s: Age in seconds at which an idle connection is closed.
+        idle: Idle connections; the last used one is at the end.
+        open_count: Number of connections that are idle, in use or being opened.
+        waiters: Requests that wait, in order; each gets a connection, or None for an acquired descriptor.
+        descriptor_recipient: Engine client that gets the descriptor of the next connection that becomes free.
+    """
 
     def __init__(
         self,
@@ -53,22 +65,28 @@
         settings: Settings,
         descriptor_quota: DescriptorQuota,
     ) -> None:
-        # A weak reference: in a cycle the two would outlive their engine until garbage is looked for.
+        # A weak reference, since a reference cycle would keep both alive until the next garbage collection.
         self._owner = weakref.ref(owner)
         self.engine_name = engine_name
         self.address = address
         self.descriptor_quota = descriptor_quota
         self.connect_timeout_s = settings.rules.connect_timeout_s
-        self.max_idle_s = settings.idle_timeout_s / 2  # well before the engine would close it
-        self.idle: list[EngineConnection] = []  # the last used is last
-        self.open_count = 0  # idle or not, and those being opened
-        self.waiters: deque[AsyncResult[EngineConnection | None]] = deque()  # None: a descriptor
-        self.descriptor_recipient: EnginePort | None = None  # gets the descriptor of the next free connection
+        self.max_idle_s = settings.idle_timeout_s / 2  # well before the engine closes the connection
+        self.idle: list[EngineConnection] = []
+        self.open_count = 0
+        self.waiters: deque[AsyncResult[EngineConnection | None]] = deque()
+        self.descriptor_recipient: EnginePort | None = None
 
     def acquire(self, ref: str, deadline: float, wait_timeout_s: float = math.inf) -> EngineConnection:
-        """Returns a connection for a request: an idle one, else a new one. Raises StreamClosedError.
+        """Returns a connection for a request: an idle one if there is one, else a new one.
+
+        Args:
+            ref: Id of the request.
+            deadline: Unix time in seconds by which the connection is needed.
+            wait_timeout_s: Maximum wait in seconds when all descriptors are in use.
 
-        wait_timeout_s: how long it may wait where the descriptors are used up.
+        Raises:
+            StreamClosedError: No connection could be had in time.
         """
         connection = self._reuse(deadline, wait_timeout_s)
         if connection is None:
@@ -76,37 +94,42 @@
         connection.ref = ref
         return connection
 
-    def release(self, connection: EngineConnection, may_keep: bool) -> None:
-        """Takes a connection back after a sound response; may_keep: whether more requests may come."""
+    def release(self, connection: EngineConnection, may_reuse: bool) -> None:
+        """Takes a connection back after a valid response.
+
+        Args:
+            connection: The connection.
+            may_reuse: Whether the engine may get more requests, so that the connection is worth keeping.
+        """
         connection.idle_since = clock()
         if self.descriptor_recipient is not None:
             recipient = self.descriptor_recipient
             self.descriptor_recipient = None
-            connection.close(CloseReason.NO_ROOM)
+            connection.close(CloseReason.NO_DESCRIPTOR)
             self.open_count -= 1
             recipient.post(recipient.serve_waiters)
             if self.waiters and not self.open_count:
                 self._report_shortage()
-        elif connection.keep_alive and may_keep:
-            self._pass_on(connection)
+        elif connection.keep_alive and may_reuse:
+            self._hand_to_next_waiter(connection)
         else:
             self.discard(connection, CloseReason.IDLE)
 
     def discard(self, connection: EngineConnection, reason: CloseReason) -> None:
-        """Closes a connection of this pool, and serves who waits for its descriptor."""
+        """Closes a connection of this pool and gives its descriptor to the next waiter."""
         connection.close(reason)
         self.open_count -= 1
         self.serve_waiters()
 
     def serve_waiters(self) -> None:
-        """Gives the descriptors that are free to those who wait longest."""
+        """Gives free descriptors to the requests that have waited for longest."""
         while self.waiters and self.descriptor_quota.acquire(blocking=False):
             self.waiters.popleft().set(None)
 
     def hand_over_descriptor(self, recipient: EnginePort) -> None:
-        """Frees a descriptor for another engine, now or as soon as a connection is free."""
+        """Frees a descriptor for another engine's client, now or as soon as a connection becomes free."""
         if self.idle:
-            self.discard(self.idle.pop(0), CloseReason.NO_ROOM)
+            self.discard(self.idle.pop(0), CloseReason.NO_DESCRIPTOR)
             recipient.post(recipient.serve_waiters)
         elif self.open_count:
             self.descriptor_recipient = recipient
@@ -117,16 +140,21 @@
             self.discard(self.idle.pop(), reason)
 
     def close_expired(self) -> float | None:
-        """Closes what was idle for too long. Returns when the next will be, None where none is idle."""
-        newest_expired = clock() - self.max_idle_s
-        while self.idle and self.idle[0].idle_since <= newest_expired:
+        """Closes connections that were idle for too long.
+
+        Returns:
+            Unix time in seconds at which the next one expires; None if none is idle.
+        """
+        idle_before = clock() - self.max_idle_s
+        while self.idle and self.idle[0].idle_since <= idle_before:
             self.discard(self.idle.pop(0), CloseReason.IDLE)
         return self.idle[0].idle_since + self.max_idle_s if self.idle else None
 
     def _reuse(self, deadline: float, wait_timeout_s: float) -> EngineConnection | None:
-        """A connection that is free, or None: a descriptor for a new one has been acquired.
+        """Returns a free connection, or None once a descriptor for a new one has been acquired.
 
-        None that has been closed meanwhile, or has more to say on what was asked before, is used again.
+        A connection that the engine has closed, or that has unread bytes of an earlier response, is closed
+        and not reused.
         """
         while True:
             if self.idle:
@@ -135,21 +163,21 @@
             elif self.descriptor_quota.acquire(blocking=False):
                 return None
             else:
-                handed = self._wait(min(wait_timeout_s, deadline - clock()))
-                if handed is None:
+                assigned = self._wait(min(wait_timeout_s, deadline - clock()))
+                if assigned is None:
                     return None
-                connection = handed
+                connection = assigned
             if connection.keep_alive and connection.stream.peek() is None:
                 return connection
             self.discard(connection, CloseReason.CLOSED)
 
     def _open(self, deadline: float) -> EngineConnection:
-        """Opens a connection with the descriptor that was acquired for it."""
+        """Opens a connection, which takes over the descriptor that was acquired for it."""
         self.open_count += 1
         try:
             timeout_s = min(self.connect_timeout_s, deadline - clock())
             if timeout_s <= 0:
-                raise StreamClosedError(CloseReason.SILENT)
+                raise StreamClosedError(CloseReason.TIMEOUT)
             stream = connect(
                 self.address,
                 "engine",
@@ -160,29 +188,32 @@
             )
         except BaseException:
             self.open_count -= 1
-            self._pass_on(None)
+            self._hand_to_next_waiter(None)
             raise
         return EngineConnection(stream)
 
     def _wait(self, timeout_s: float) -> EngineConnection | None:
-        """Waits for a connection of this pool, or for a descriptor, which is None."""
+        """Waits for a connection of this pool (returned) or for a descriptor (None is returned)."""
         if not self.open_count:
             self._report_shortage()
-        handed: AsyncResult[EngineConnection | None] = AsyncResult()
-        self.waiters.append(handed)
+        assigned: AsyncResult[EngineConnection | None] = AsyncResult()
+        self.waiters.append(assigned)
         try:
-            return handed.get(timeout=max(timeout_s, 0.0))
+            return assigned.get(timeout=max(timeout_s, 0.0))
         except BaseException as err:
-            if handed in self.waiters:
-                self.waiters.remove(handed)
-            elif handed.ready():
-                self._pass_on(handed.value)
+            if assigned in self.waiters:
+                self.waiters.remove(assigned)
+            elif assigned.ready():
+                self._hand_to_next_waiter(assigned.value)
             if isinstance(err, gevent.Timeout):
-                raise StreamClosedError(CloseReason.NO_ROOM) from None
+                raise StreamClosedError(CloseReason.NO_DESCRIPTOR) from None
             raise
 
-    def _pass_on(self, connection: EngineConnection | None) -> None:
-        """Gives a free connection, or a descriptor where it is None, to who waits longest for one."""
+    def _hand_to_next_waiter(self, connection: EngineConnection | None) -> None:
+        """Gives a free connection, or a descriptor if `connection` is None, to the longest waiter.
+
+        If no request waits, the connection becomes idle or the descriptor returns to the quota.
+        """
         if self.waiters:
             self.waiters.popleft().set(connection)
         elif connection is None:
--- a/marbleworks/net/datagrams.py
+++ b/marbleworks/net/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between the routers of a tier, of several kinds, each with one owner.
+"""Transport of datagrams between routers; each kind of datagram has one owner.
 
-This owns the one socket for them and the limits on what each kind may send and receive. It knows nothing of
-what a datagram means, and passes on nothing from an address that is no peer's.
+This module owns the socket and the rate limits of each kind for sending and receiving. It does not interpret
+datagrams, and drops those from addresses that are not a peer's.
 """
 
 from __future__ import annotations
@@ -16,29 +16,32 @@
 from marbleworks.net.actor import LOG, Actor, clock, spawn
 from marbleworks.net.addresses import SocketAddress
 
-MAX_DATAGRAM_BYTES = 256  # by the protocol
-BURST_S = 2.0  # seconds of a kind's rate that may be saved up
-DROP_LOG_INTERVAL_S = 10.0  # between log lines on what is dropped
-# Reasons to drop a datagram that are counted and never logged, since strangers could fill the log with them.
-UNKNOWN_SENDER = "no peer's"
-UNKNOWN_KIND = "not registered"
+MAX_DATAGRAM_BYTES = 256  # set by the protocol
+BURST_S = 2.0  # capacity of a rate limit, in seconds of its rate
+DROP_LOG_INTERVAL_S = 10.0  # minimum time between log lines about dropped datagrams
+# Datagrams dropped for these reasons are counted but not logged, since anyone could fill the log with them.
+UNKNOWN_SENDER = "unknown sender"  # or a datagram of an invalid size
+UNKNOWN_KIND = "unknown kind"
 
-DatagramHandler = Callable[[int, bytes], None]  # takes the index of the sending peer and the datagram
+DatagramHandler = Callable[[int, bytes], None]  # called with the index of the sending peer and the datagram
 
 
 class DatagramSender(Protocol):
-    """Sends a datagram of one kind."""
+    """Sends datagrams of one kind."""
 
     def __call__(self, data: bytes, to: int | None = None, /) -> None:
-        """Posts it to one peer, by index, or to all."""
+        """Queues a datagram to one peer, by index, or to all peers if that is None."""
 
 
 @dataclass(frozen=True)
 class DatagramKind:
     """One kind of datagrams, named after its owner.
 
-    first_byte: of each datagram of the kind; None: the kind is that of `size_bytes` bytes, which begin with
-    anything. max_bytes_per_s: what the kind may send, and what each peer may send of it.
+    Attributes:
+        name: Name in logs and counters.
+        first_byte: First byte of each datagram of the kind; None if the kind is recognized by its size.
+        max_bytes_per_s: Rate limit for sending the kind, and for receiving it from each peer.
+        size_bytes: Size of each datagram of a kind without a `first_byte`.
     """
 
     name: str
@@ -47,30 +50,37 @@
     size_bytes: int = 0
 
     def matches(self, data: bytes) -> bool:
-        """Whether a datagram, of one byte at least, is of this kind."""
+        """Whether a datagram, which must not be empty, is of this kind."""
         if self.first_byte is not None:
             return data[0] == self.first_byte
         return len(data) == self.size_bytes
 
 
-LOAD_UPDATE = DatagramKind("news", None, size_bytes=5)  # of an engine, from a scheduler to the others
+LOAD_UPDATE = DatagramKind("news", None, size_bytes=5)  # an engine's load, sent between schedulers
 
 
 class RateLimit:
-    """Allows so many bytes a second, some seconds of which may be saved up."""
+    """A token bucket of bytes, which holds at most `BURST_S` seconds of its rate.
+
+    Attributes:
+        max_bytes_per_s: Rate at which the bucket is refilled; infinite for no limit.
+        capacity_bytes: Maximum number of bytes in the bucket.
+        available_bytes: Bytes in the bucket at `updated_at`.
+        updated_at: Unix time in seconds of the last refill.
+    """
 
     def __init__(self, max_bytes_per_s: float) -> None:
         self.max_bytes_per_s = max_bytes_per_s
-        self.max_saved_bytes = BURST_S * max_bytes_per_s
-        self.available_bytes = self.max_saved_bytes
+        self.capacity_bytes = BURST_S * max_bytes_per_s
+        self.available_bytes = self.capacity_bytes
         self.updated_at = 0.0
 
     def allows(self, size_bytes: int, now: float) -> bool:
-        """Whether a datagram may pass; takes its bytes if so."""
+        """Returns whether a datagram is within the limit, and takes its bytes from the bucket if so."""
         if math.isinf(self.max_bytes_per_s):
             return True
-        earned_bytes = self.max_bytes_per_s * (now - self.updated_at)
-        self.available_bytes = min(self.available_bytes + earned_bytes, self.max_saved_bytes)
+        refilled_bytes = self.max_bytes_per_s * (now - self.updated_at)
+        self.available_bytes = min(self.available_bytes + refilled_bytes, self.capacity_bytes)
         self.updated_at = now
         if self.available_bytes < size_bytes:
             return False
@@ -82,35 +92,55 @@
 class _Registration:
     kind: DatagramKind
     handler: DatagramHandler
-    receive_limits: dict[int, RateLimit] = field(default_factory=dict)  # by peer
+    receive_limits: dict[int, RateLimit] = field(default_factory=dict)  # keyed by peer index
 
 
 class DatagramTransport(Actor):
-    """The socket for datagrams between routers.
-
-    listen: where it is bound. peers: the addresses of all routers by index, ours among them. broadcast: sends
-    to all of them. own_index: ours.
+    """The actor that owns the socket for datagrams between routers.
+
+    Attributes:
+        peer_addresses: Addresses of all routers by index, including this router's.
+        broadcast_address: Address that reaches all routers.
+        own_index: Index of this router.
+        peer_indices: Index of each router, keyed by address.
+        registrations: Registered kinds with their handlers, in the order in which they are matched.
+        dropped_counts: Number of dropped datagrams, keyed by one of a few fixed reasons.
+        drop_logged_at: Unix time in seconds of the last log line about dropped datagrams.
+        sent_bytes: Bytes sent, keyed by the name of the kind.
     """
 
     def __init__(
         self, listen: SocketAddress, peers: list[SocketAddress], broadcast: SocketAddress, own_index: int
     ) -> None:
+        """Binds the socket; datagrams are received after `listen`.
+
+        Args:
+            listen: Address to bind the socket to.
+            peers: Addresses of all routers by index, including this router's.
+            broadcast: Address that reaches all routers.
+            own_index: Index of this router.
+        """
         super().__init__()
         self.peer_addresses = peers
         self.broadcast_address = broadcast
         self.own_index = own_index
         self.peer_indices = {address: index for index, address in enumerate(peers)}
         self.registrations: list[_Registration] = []
-        self.dropped_counts: dict[str, int] = {}  # by reason; a handful of them
+        self.dropped_counts: dict[str, int] = {}
         self.drop_logged_at = -math.inf
-        self.sent_bytes: dict[str, int] = {}  # by name of the kind
+        self.sent_bytes: dict[str, int] = {}
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(listen)
 
     def register(self, kind: DatagramKind, handler: DatagramHandler) -> DatagramSender:
-        """Has datagrams of a kind given to a handler, which must only post. Returns what sends them.
+        """Registers a kind of datagrams. Kinds are matched in the order of their registration.
+
+        Args:
+            kind: The kind.
+            handler: Called with each received datagram of the kind; it must do no more than post a call.
 
-        Kinds are tried in the order in which they are registered.
+        Returns:
+            A function that sends datagrams of the kind.
         """
         self.registrations.append(_Registration(kind, handler))
         send_limit = RateLimit(kind.max_bytes_per_s)
@@ -121,7 +151,7 @@
         return post_datagram
 
     def listen(self) -> None:
-        """Starts to receive; kinds that are registered later count from then on."""
+        """Starts to receive; a kind that is registered later is delivered from its registration on."""
         spawn(self._listen)
 
     def _send(self, kind: DatagramKind, limit: RateLimit, data: bytes, to: int | None) -> None:
@@ -129,12 +159,12 @@
             LOG.error("datagram too long", bytes=len(data))
             return
         if not limit.allows(len(data), clock()):
-            self._drop(f"{kind.name} over its pace")
+            self._drop(f"{kind.name} over its rate limit")
             return
         self.sent_bytes[kind.name] = self.sent_bytes.get(kind.name, 0) + len(data)
         try:
             self.sock.sendto(data, self.broadcast_address if to is None else self.peer_addresses[to])
-        except OSError as err:  # as good as lost, which datagrams may be
+        except OSError as err:  # like a lost datagram, which the protocols have to tolerate
             LOG.warning("datagram not sent", error=str(err))
 
     def _listen(self) -> None:
@@ -151,7 +181,7 @@
                 self._deliver(peer, data)
 
     def _deliver(self, peer: int, data: bytes) -> None:
-        for registration in self.registrations:  # load updates first: their first byte is anything
+        for registration in self.registrations:  # load updates come first, since they may begin with any byte
             kind = registration.kind
             if kind.matches(data):
                 limit = registration.receive_limits.get(peer)
@@ -160,7 +190,7 @@
                 if limit.allows(len(data), clock()):
                     registration.handler(peer, data)
                 else:
-                    self._drop(f"{kind.name} of a peer over its pace")
+                    self._drop(f"{kind.name} of a peer over its rate limit")
                 return
         self._drop(UNKNOWN_KIND)
 
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -1,8 +1,8 @@
-"""The actor of the decisions: it alone calls the scheduler and the requests' handles there.
+"""The dispatcher: the only actor that calls the scheduler and the scheduler's request handles.
 
-It holds what a request needs on its way: its client, its statement, the memory granted to it. It is the
-scheduler's port and does what the scheduler asks; it decides nothing, blocks nowhere, and gives a request one
-final answer.
+It keeps the state of each open request: its client, its statement, and the memory granted to it. It
+implements the scheduler's port and carries out its decisions. It makes no decisions, never blocks, and gives
+each request exactly one final answer.
 """
 
 from __future__ import annotations
@@ -17,14 +17,22 @@
 from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
-# Makes an engine's client, by the engine's name and address.
+# Creates an engine's client from the dispatcher and the engine's name and address.
 EngineClientFactory = Callable[["Dispatcher", str, SocketAddress], EnginePort]
 
 
 class Dispatcher(Actor):
-    """Joins the client sessions, the engine clients and the scheduler.
-
-    send_load_update: sends a datagram with an engine's load to the other routers.
+    """Connects the client sessions, the engine clients and the scheduler.
+
+    Attributes:
+        settings: Settings of the deployment.
+        make_engine_client: Creates the client of an engine.
+        send_load_update: Sends a datagram with an engine's load to the other routers.
+        open_requests: Open requests, keyed by the request ids that clients chose.
+        engine_clients: Clients of the listed engines, keyed by engine id.
+        shutdown_deadline: Unix time in seconds at which all requests are ended; None unless the router stops.
+        admission: Admission controller; None where every request goes directly to the scheduler.
+        scheduler: The scheduler.
     """
 
     def __init__(
@@ -37,30 +45,34 @@
         self.settings = settings
         self.make_engine_client = make_engine_client
         self.send_load_update = send_load_update
-        self.open_requests: dict[str, OpenRequest] = {}  # by the client's id for it
-        self.engine_clients: dict[int, EnginePort] = {}  # by engine id
-        self.shutdown_deadline: float | None = None  # Unix time; None while the router is to go on
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.engine_clients: dict[int, EnginePort] = {}
+        self.shutdown_deadline: float | None = None
         self.admission: RequestAdmission | None = None
         self.scheduler = Scheduler(self, seed, settings.request_classes, settings.rules, settings.fleet)
         super().__init__()
 
-    # What the others report.
+    # Events reported by other actors.
 
     def submit(
         self, ref: str, request: OpenRequest, group: int, key: str, declared: tuple[float, float], tenant: int
     ) -> None:
-        """Takes a new request: to the admission where there is one, else to the scheduler.
-
-        group: the table group of its statement, 0: none. key: requests of one key run in order, "": any.
-        declared: the work in seconds and the
-        memory in MB that its client expects it to take. tenant: an index.
+        """Passes a new request to the admission controller if there is one, else to the scheduler.
+
+        Args:
+            ref: Id of the request.
+            request: The request.
+            group: Table group of its statement; 0 for none.
+            key: Requests with the same key run in order; empty for no order.
+            declared: Work in seconds and memory in MB that its client expects it to take.
+            tenant: Index of its tenant.
         """
-        if request.client_gone:  # its leaving was read before this mail
-            _release(request)
+        if request.client_gone:  # the disconnect was read before this call was made
+            _release_reservation(request)
             return
-        if ref in self.open_requests:  # ids are new with every request, or engines would mix them up
-            request.client.post(request.client.fail, request.call_id, "the id is in use")
-            _release(request)
+        if ref in self.open_requests:  # engines could not tell two open requests with one id apart
+            request.client.post(request.client.fail, request.call_id, "the request id is already in use")
+            _release_reservation(request)
             return
         self.open_requests[ref] = request
         if self.admission is None:
@@ -71,7 +83,9 @@
         except Exception:
             is_undecided = self.open_requests.get(ref) is request and request.handle is None
             if is_undecided and not request.completed:
-                self._drop_failed(ref, request)  # a mistake in the admission costs this request alone
+                self._drop_failed(
+                    ref, request
+                )  # an exception in the admission controller fails only this request
             raise
 
     def admit(
@@ -84,9 +98,17 @@
         tenant: int,
         wait: float | None = None,
     ) -> None:
-        """Hands a request to the scheduler.
-
-        wait: the seconds after which it may be retried, where the admission has no room for it now.
+        """Passes a request to the scheduler.
+
+        Args:
+            ref: Id of the request.
+            request: The request.
+            group: Table group of its statement; 0 for none.
+            key: Requests with the same key run in order; empty for no order.
+            declared: Work in seconds and memory in MB that its client expects it to take.
+            tenant: Index of its tenant.
+            wait: Seconds after which the client may retry, if the admission controller has no room for the
+                request now; None if the request may run.
         """
         class_index = self.settings.class_index[request.class_name]
         deadline = request.deadline
@@ -100,15 +122,15 @@
                 ref, class_index, group, key, declared, tenant, request.received_at, time_left_s, wait
             )
         finally:
-            if request.handle is None:  # a mistake in the scheduler costs this request alone
+            if request.handle is None:  # an exception in the scheduler fails only this request
                 self._drop_failed(ref, request)
         self._forget_if_settled(ref)
 
     def on_client_disconnect(self, request: OpenRequest) -> None:
-        """Its client has closed or cancelled.
+        """Handles that a request's client disconnected or cancelled the call.
 
-        This comes before new requests, so the request itself may still be in the mailbox, and another of the
-        same id may be open.
+        This call has priority over new requests, so the request itself may still be in the mailbox, and
+        another request with the same id may be open.
         """
         request.client.post(request.client.forget, request)
         if self.open_requests.get(request.ref) is not request or request.completed:
@@ -116,14 +138,14 @@
         if self.admission is not None and self.admission.on_client_disconnect(request.ref):
             request.completed = True
             del self.open_requests[request.ref]
-            _release(request)
+            _release_reservation(request)
         elif request.handle is not None:
             request.completed = True
             request.handle.on_client_disconnect()
             self._forget_if_settled(request.ref)
 
     def on_answer(self, ref: str, attempt_no: int, result: AttemptResult) -> None:
-        """An attempt has brought a result: the first answers the request, others are discarded."""
+        """Handles an attempt's result: the first one answers the request, others are discarded."""
         request = self.open_requests[ref]
         if not request.completed:
             request.completed = True
@@ -140,16 +162,16 @@
     def on_attempt_end(
         self, ref: str, attempt_no: int, outcome: AttemptOutcome, load_report: LoadReport | None
     ) -> None:
-        """An attempt has ended without a result."""
+        """Handles an attempt that ended without a result."""
         request = self.open_requests[ref]
         if request.handle is not None:
             request.handle.on_attempt_end(attempt_no, outcome, request.completed, load_report)
         self._forget_if_settled(ref)
 
     def on_result_not_stored(self, ref: str, attempt_no: int, retry_after_s: float) -> None:
-        """An attempt ran and its result found no room.
+        """Handles an attempt that ran, but whose result could not be stored for lack of space.
 
-        That ends the request, since the result of another attempt would find none either.
+        That ends the request, since the result of another attempt could not be stored either.
         """
         request = self.open_requests[ref]
         if request.handle is not None:
@@ -159,19 +181,24 @@
         self._forget_if_settled(ref)
 
     def on_result_reading(self, ref: str, attempt_no: int) -> None:
-        """The pages of an attempt's result are being read."""
+        """Tells the scheduler that the pages of an attempt's result are being read."""
         request = self.open_requests.get(ref)
         if request is not None and request.handle is not None:
             request.handle.on_result_reading(attempt_no)
 
     def on_attempt_alive(self, ref: str, attempt_no: int) -> None:
-        """The engine has answered a poll: the attempt has not ended."""
+        """Tells the scheduler that an engine answered a poll and the attempt is still running."""
         request = self.open_requests.get(ref)
         if request is not None and request.handle is not None:
             request.handle.on_progress(attempt_no, None)
 
     def update_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
-        """The list of engines has changed; is_complete: engines that it does not name have gone."""
+        """Applies a change of the engine list.
+
+        Args:
+            listings: Engines that are new or changed, or all engines.
+            is_complete: Whether engines missing from `listings` have gone.
+        """
         self._retire_engines(listings, is_complete)
         for entry, address in listings:
             if entry.is_gone:
@@ -187,18 +214,22 @@
             self.admission.engines_changed()
 
     def on_descriptor_shortage(self, engine_client: EnginePort) -> None:
-        """An engine's client has no descriptor and can get none: every other is asked for one."""
+        """Asks all other engine clients for a descriptor, since this one has none and can get none."""
         for other in self.engine_clients.values():
             if other is not engine_client:
                 other.post(other.hand_over_descriptor, engine_client)
 
     def stop(self, deadline: float) -> None:
-        """Gives every request its final answer by the deadline, also those that are still to come."""
+        """Limits all requests, including new ones, to a deadline for their final answers.
+
+        Args:
+            deadline: Unix time in seconds.
+        """
         self.shutdown_deadline = deadline
         self.wake_at = min(self.wake_at or deadline, deadline)
 
     def on_timer(self) -> None:
-        """Lets the scheduler do what is due, or ends everything at the shutdown deadline."""
+        """Runs the scheduler's timer, or ends all requests at the shutdown deadline."""
         if self.shutdown_deadline is not None and clock() >= self.shutdown_deadline:
             if self.admission is not None:
                 self.admission.stop()
@@ -211,10 +242,10 @@
                 self.wake_at = min(self.wake_at or self.shutdown_deadline, self.shutdown_deadline)
 
     def _retire_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
-        """Parts from the clients of engines that have gone or moved; each lives on until its last attempt."""
+        """Retires the clients of engines that have gone or moved; each ends after its last attempt."""
         addresses = {entry.engine_id: address for entry, address in listings if not entry.is_gone}
-        named = {entry.engine_id for entry, _ in listings}
-        affected = named | (self.engine_clients.keys() if is_complete else set())
+        listed_ids = {entry.engine_id for entry, _ in listings}
+        affected = listed_ids | (self.engine_clients.keys() if is_complete else set())
         for engine_id in affected & self.engine_clients.keys():
             if addresses.get(engine_id) != self.engine_clients[engine_id].address:
                 engine_client = self.engine_clients.pop(engine_id)
@@ -223,24 +254,31 @@
     def _drop_failed(self, ref: str, request: OpenRequest) -> None:
         del self.open_requests[ref]
         request.client.post(request.client.fail, request.call_id, "failed")
-        _release(request)
+        _release_reservation(request)
 
     def _forget_if_settled(self, ref: str) -> None:
         request = self.open_requests.get(ref)
         if request is not None and request.handle is not None and request.handle.settled:
             del self.open_requests[ref]
-            _release(request)
+            _release_reservation(request)
             if self.admission is not None:
                 self.admission.on_final_answer(ref, False)
 
-    # What the scheduler asks: marbleworks.ports.SchedulerPort.
+    # Calls from the scheduler (implements marbleworks.ports.SchedulerPort).
 
     def now(self) -> float:
-        """The time that the scheduler goes by."""
+        """Returns the scheduler's clock: Unix time in seconds."""
         return clock()
 
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
-        """Starts the next attempt of a request, at an engine."""
+        """Starts the next attempt of a request on an engine.
+
+        Args:
+            ref: Id of the request.
+            engine_id: Id of the engine.
+            deadline: Unix time in seconds by which the attempt has to end.
+            begin_by: Unix time in seconds after which the attempt must not be sent any more.
+        """
         request = self.open_requests[ref]
         engine_client = self.engine_clients[engine_id]
         attempt = AttemptCall(
@@ -258,47 +296,56 @@
         engine_client.post(engine_client.start_attempt, attempt)
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
-        """Cancels an attempt."""
+        """Cancels an attempt of a request."""
         engine_client = self.open_requests[ref].attempt_engines[attempt_no]
         engine_client.post(engine_client.cancel_attempt, ref, attempt_no)
 
     def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
-        """Grants memory to the attempts to come; the protocol has no field for a priority."""
+        """Grants memory in MB to the attempts that start later; the protocol has no field for a priority."""
         self.open_requests[ref].memory_mb = round(memory_mb)
 
     def shed(self, ref: str, retry_after_s: float) -> None:
-        """Rejects a request; its client may retry after so many seconds, 0: none are named."""
+        """Rejects a request.
+
+        Args:
+            ref: Id of the request.
+            retry_after_s: Seconds after which the client may retry; 0 if the answer gives no time.
+        """
         request = self.open_requests[ref]
         request.completed = True
         request.client.post(request.client.shed, request.call_id, retry_after_s)
         if self.admission is not None:
             self.post(self.admission.on_final_answer, ref, True)
-        self.post(self._forget_if_settled, ref)  # the scheduler settles it after this call
+        self.post(
+            self._forget_if_settled, ref
+        )  # posted, since the scheduler settles the request after this call
 
     def fail(self, ref: str) -> None:
         """Answers a request with an error."""
         request = self.open_requests[ref]
         request.completed = True
         request.client.post(request.client.fail, request.call_id, "failed")
-        self.post(self._forget_if_settled, ref)  # as above
+        self.post(
+            self._forget_if_settled, ref
+        )  # posted, since the scheduler settles the request after this call
 
     def probe_load(self, engine_id: int) -> None:
-        """Does nothing: the protocol has no call that asks for an engine's load, which comes with results."""
+        """Does nothing, since the protocol has no call for an engine's load; responses report the load."""
 
     def broadcast(self, data: bytes) -> None:
         """Sends a load update to the other routers."""
         self.send_load_update(data)
 
     def schedule_wakeup(self, at: float) -> None:
-        """Has `on_timer` called at this time at the latest."""
+        """Has `on_timer` called no later than `at` (Unix time in seconds)."""
         self.wake_at = min(self.wake_at or at, at)
 
     def log(self, text: str) -> None:
-        """Logs a decision."""
+        """Logs a decision of the scheduler."""
         LOG.info("scheduler decision", what=text)
 
 
-def _release(request: OpenRequest) -> None:
-    """Gives back the room that was reserved for its result."""
+def _release_reservation(request: OpenRequest) -> None:
+    """Releases the space reserved for a request's result."""
     if request.reservation is not None:
         request.reservation.release()
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -1,7 +1,8 @@
-"""An actor for each engine, which carries the attempts at it from the first byte to their end.
+"""Engine client: an actor for each engine that executes the attempts sent to it.
 
-It does what the dispatcher asks and reports how each attempt ended, with what that proves. It chooses no
-engine, starts no request again that may have run, and reports "never ran" only where that is certain.
+It carries out the dispatcher's calls and reports how each attempt ended and what that proves. It does not
+choose engines, never starts a request again that may have run, and reports that an attempt never ran only if
+that is certain.
 """
 
 from __future__ import annotations
@@ -32,12 +33,20 @@
 if TYPE_CHECKING:
     from marbleworks.net.dispatcher import Dispatcher
 
-MAX_CONNECTION_TRIES = 6  # for one response, each on another connection, while spoilt ones come at once
-READING_NOTICE_INTERVAL_S = protocol.POLL_TIMEOUT_S  # between notices that a stored result is being read
+MAX_CONNECTION_TRIES = (
+    6  # connections tried for one response, so that immediate failures do not loop for ever
+)
+READING_NOTICE_INTERVAL_S = (
+    protocol.POLL_TIMEOUT_S
+)  # between reports that a result is being read for the store
 
 
 class AttemptCancelledError(Exception):
-    """Thrown into the greenlet of an attempt that is to stop."""
+    """Raised in the greenlet of an attempt to stop it.
+
+    Attributes:
+        reason: Why the attempt is stopped.
+    """
 
     def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason.value)
@@ -45,7 +54,11 @@
 
 
 class AttemptWithheldError(Exception):
-    """The first byte of an attempt must not be sent after all."""
+    """Raised when an attempt must not be sent because the conditions for it no longer hold.
+
+    Attributes:
+        outcome: Outcome of the attempt.
+    """
 
     def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__(outcome.value)
@@ -55,9 +68,11 @@
 def engine_client_factory(
     settings: Settings, descriptor_quota: DescriptorQuota
 ) -> Callable[[Dispatcher, str, SocketAddress], EngineClient]:
-    """Returns what makes the client of an engine, by its name and address.
+    """Returns a function that creates an engine's client from its name and address.
 
-    descriptor_quota: descriptors that the connections of all engines may hold together.
+    Args:
+        settings: Settings of the deployment.
+        descriptor_quota: Descriptors that the connections of all engines may hold together.
     """
     return lambda dispatcher, name, address: EngineClient(
         dispatcher, name, address, settings, descriptor_quota
@@ -65,7 +80,20 @@
 
 
 class EngineClient(Actor):
-    """The client of one engine process after another under one name and address."""
+    """The client of an engine, across restarts of its process under the same name and address.
+
+    Attributes:
+        dispatcher: Actor that starts the attempts and receives their results.
+        name: Name of the engine.
+        address: Address of the engine.
+        settings: Settings of the deployment.
+        pool: Connections to the engine.
+        requests: Encoder of HTTP requests to the engine.
+        is_up: Whether new attempts may be sent to the engine.
+        started_at: Unix time in seconds at which the engine's process started; 0 if it is long ago.
+        is_retired: Whether the engine has left the engine list; the actor ends after its last attempt.
+        attempts: Attempts that have not ended, keyed by request id and attempt number.
+    """
 
     def __init__(
         self,
@@ -83,26 +111,34 @@
         self.pool = ConnectionPool(self, name, address, settings, descriptor_quota)
         self.requests = protocol.RequestEncoder(address)
         self.is_up = True
-        self.started_at = 0.0  # Unix time of the engine's process, 0: long ago
-        self.is_retired = False  # gone from the list: ends with its last attempt
-        self.attempts: dict[tuple[str, int], AttemptCall] = {}  # by request and attempt number
+        self.started_at = 0.0
+        self.is_retired = False
+        self.attempts: dict[tuple[str, int], AttemptCall] = {}
 
-    # What the dispatcher asks.
+    # Calls from the dispatcher.
 
     def start_attempt(self, attempt: AttemptCall) -> None:
-        """Carries an attempt in a greenlet of its own; its end is posted to the dispatcher."""
+        """Runs an attempt in a greenlet of its own, which posts its outcome to the dispatcher."""
         self.attempts[attempt.ref, attempt.attempt_no] = attempt
         attempt.greenlet = spawn(self._run_attempt, attempt)
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
-        """Gives an attempt up, at its engine too if it has been sent."""
+        """Cancels an attempt, and also its request at the engine if that has been sent."""
         attempt = self.attempts.get((ref, attempt_no))
         if attempt is not None and not attempt.cancelled:
             attempt.cancelled = True
             spawn(self._cancel, attempt)
 
     def update_entry(self, is_up: bool, started_at: float) -> None:
-        """Follows the engine's process: nothing is sent once it drains, a new one has nothing of the old."""
+        """Applies a change of the engine's entry in the list.
+
+        Once the engine drains, attempts that have not been sent are stopped. After a restart, attempts sent
+        to the previous process are lost.
+
+        Args:
+            is_up: Whether new attempts may be sent to the engine.
+            started_at: Unix time in seconds at which the engine's process started.
+        """
         for attempt in list(self.attempts.values()):
             if is_up:
                 is_lost = attempt.sent_at is not None and attempt.sent_at < started_at
@@ -116,30 +152,30 @@
         self.started_at = started_at
 
     def retire(self) -> None:
-        """The engine has left the list; this ends with its last attempt."""
+        """Handles that the engine has left the list; this actor ends after its last attempt."""
         self.is_retired = True
         self.update_entry(False, self.started_at)
         self._finish_if_retired()
 
     def hand_over_descriptor(self, recipient: EnginePort) -> None:
-        """Gives a descriptor up to another engine's client, which has none."""
+        """Gives a descriptor to another engine's client, which has none."""
         self.pool.hand_over_descriptor(recipient)
 
     def serve_waiters(self) -> None:
-        """Descriptors may be free: whoever waits for one is served."""
+        """Gives free descriptors, if there are any, to the requests that wait for one."""
         self.pool.serve_waiters()
 
     def on_timer(self) -> None:
-        """Closes the connections that were idle for too long."""
+        """Closes connections that were idle for too long."""
         self.wake_at = self.pool.close_expired()
 
-    # What the pool asks.
+    # Calls from the connection pool.
 
     def on_descriptor_shortage(self) -> None:
-        """Asks the dispatcher for a descriptor of another engine."""
+        """Asks the dispatcher for a descriptor of another engine's client."""
         self.dispatcher.post(self.dispatcher.on_descriptor_shortage, self)
 
-    # The life of an attempt.
+    # Attempts.
 
     def _run_attempt(self, attempt: AttemptCall) -> None:
         end: AttemptEnd = AttemptFailure(AttemptOutcome.UNSENT)
@@ -181,7 +217,7 @@
             dispatcher.post(dispatcher.on_attempt_end, ref, attempt_no, outcome, end.load_report)
 
     def _perform(self, attempt: AttemptCall) -> AttemptResult | AttemptFailure:
-        """Starts the request at the engine, polls until it has ended, and reads its result."""
+        """Starts the request on the engine, polls until it has ended, and reads its result."""
         response = self._start_request(attempt)
         while response.status == HTTPStatus.ACCEPTED:
             self.dispatcher.post(self.dispatcher.on_attempt_alive, attempt.ref, attempt.attempt_no)
@@ -216,9 +252,10 @@
     def _store_result(
         self, attempt: AttemptCall, result: AttemptResult, pages: int, writer: ResultWriter
     ) -> AttemptResult | AttemptFailure:
-        """Reads a result of any size into the store, and frees the engine once its last page is read.
+        """Reads a result of any size into the store, and releases it at the engine after its last page.
 
-        Raises ResultNotStoredError.
+        Raises:
+            ResultNotStoredError: The result store could not take the result.
         """
         notified_at = 0.0
         try:
@@ -238,7 +275,7 @@
             spawn(self._cancel_at_engine, attempt)
             raise
         finally:
-            writer.discard()  # has no effect once it is finished
+            writer.discard()  # has no effect after a commit
         result.body = bytearray(first_page)
         return result
 
@@ -246,16 +283,16 @@
         self.dispatcher.post(self.dispatcher.on_result_reading, attempt.ref, attempt.attempt_no)
 
     def _cancel(self, attempt: AttemptCall) -> None:
-        """Cancels the request at the engine, then ends whatever still waits for a response to it."""
+        """Cancels the request at the engine, then stops the attempt if it is still waiting for a response."""
         if attempt.sent_at is not None:
             self._cancel_at_engine(attempt)
             attempt.greenlet.join(self.pool.connect_timeout_s)
-        self._stop(attempt, CloseReason.CALLED_OFF)
+        self._stop(attempt, CloseReason.ATTEMPT_CANCELLED)
 
     def _stop(self, attempt: AttemptCall, reason: CloseReason) -> None:
         if attempt.has_begun:
             attempt.greenlet.kill(AttemptCancelledError(reason), block=False)
-        else:  # killed before its first step, a greenlet would never report to the dispatcher
+        else:  # a greenlet that is killed before it runs would never report to the dispatcher
             attempt.stop_reason = reason
 
     def _finish_if_retired(self) -> None:
@@ -266,7 +303,10 @@
     # Requests and responses.
 
     def _start_request(self, attempt: AttemptCall) -> HttpResponse:
-        """Sends the request; on another connection where one ended before it was written whole."""
+        """Sends the request and returns the first response.
+
+        If a connection was lost before the request was fully written, the request is sent on another one.
+        """
         tries_left = MAX_CONNECTION_TRIES
         withheld: AttemptOutcome | None = None
         while True:
@@ -275,32 +315,36 @@
             )
             try:
                 with self._in_use(connection):
-                    withheld = self._reason_to_withhold(
-                        attempt
-                    )  # from here to the first byte nothing else runs
+                    # No other greenlet runs between this check and the first byte.
+                    withheld = self._reason_to_withhold(attempt)
                     if withheld is None:
                         connection.send_request(self._encode_start(attempt), attempt.deadline)
                         attempt.sent_at = clock()
-                        return self._read_sound(connection, 0, attempt.deadline, protocol.POLL_TIMEOUT_S)
+                        return self._read_valid_response(
+                            connection, 0, attempt.deadline, protocol.POLL_TIMEOUT_S
+                        )
             except StreamClosedError as err:
-                if attempt.sent_at is None and (err.reason is CloseReason.SILENT or tries_left <= 0):
+                if attempt.sent_at is None and (err.reason is CloseReason.TIMEOUT or tries_left <= 0):
                     raise
             if withheld is not None:
                 raise AttemptWithheldError(withheld)
-            if attempt.sent_at is not None:  # a request belongs to no connection: it is polled for on another
+            if attempt.sent_at is not None:  # a request is not tied to its connection: poll on another one
                 return self._fetch(attempt, 0)
-            tries_left -= 1  # else the connection had ended, and the request never arrived whole
+            tries_left -= 1  # the connection was lost, and the engine did not get the complete request
 
     def _reason_to_withhold(self, attempt: AttemptCall) -> AttemptOutcome | None:
-        """Right before the first byte: whether what allowed the attempt still holds. None: it does.
+        """Checks right before the first byte whether the attempt may still be sent.
+
+        Conditions may have changed while the attempt waited in a mailbox, or for its greenlet, a descriptor,
+        a connection or a retry.
 
-        Guards against what happened while it waited for mail, a greenlet, a descriptor, a connection or
-        another try.
+        Returns:
+            The outcome if the attempt must not be sent; None if it may be sent.
         """
         now = clock()
         is_late = now >= attempt.deadline - protocol.MIN_TIME_BUDGET_S
         if attempt.cancelled or not attempt.is_wanted() or is_late:
-            return AttemptOutcome.UNSENT  # nobody has a use for another attempt
+            return AttemptOutcome.UNSENT  # another attempt would be of no use either
         if not self.is_up or now >= attempt.begin_by:
             return AttemptOutcome.WITHHELD
         return None
@@ -311,62 +355,77 @@
         )
 
     def _fetch(self, attempt: AttemptCall, page: int) -> HttpResponse:
-        """Polls for the first page, or fetches another.
+        """Polls for the first page, or fetches another page.
 
-        Again on another connection where the response is spoilt, cut off or late, until the engine must have
-        ended the request since nobody polled for it. Raises StreamClosedError.
+        Repeats the call on another connection if the response is malformed, truncated or late, until the
+        engine must have ended the request because it was not polled for.
+
+        Raises:
+            StreamClosedError: No valid response arrived in time.
         """
         request = self.requests.fetch(attempt.ref, page)
         started_at = clock()
         tries_left = MAX_CONNECTION_TRIES
-        timeout_s = protocol.LATENESS_ALLOWANCE_S if page else protocol.POLL_TIMEOUT_S  # a page is there
+        timeout_s = (
+            protocol.LATENESS_ALLOWANCE_S if page else protocol.POLL_TIMEOUT_S
+        )  # later pages are ready
         while True:
             try:
                 connection = self.pool.acquire(attempt.ref, attempt.deadline)
                 with self._in_use(connection):
                     connection.send_request(request, attempt.deadline)
-                    return self._read_sound(connection, page, attempt.deadline, timeout_s)
+                    return self._read_valid_response(connection, page, attempt.deadline, timeout_s)
             except StreamClosedError as err:
-                if err.reason is CloseReason.SILENT:  # it comes late, perhaps
+                if err.reason is CloseReason.TIMEOUT:  # the response may just be late
                     timeout_s = min(2.0 * timeout_s, protocol.POLL_TIMEOUT_S)
                 else:
                     tries_left -= 1
-                is_over = clock() >= min(started_at + protocol.UNPOLLED_LIFETIME_S, attempt.deadline)
-                if is_over or tries_left <= 0 or err.reason is CloseReason.REFUSED:
+                has_expired = clock() >= min(started_at + protocol.UNPOLLED_LIFETIME_S, attempt.deadline)
+                if has_expired or tries_left <= 0 or err.reason is CloseReason.REFUSED:
                     raise
 
     def _cancel_at_engine(self, attempt: AttemptCall) -> None:
-        # Where the engine is silent or gone, nothing more can be done for the request there.
+        # If the engine does not respond or has gone, nothing more can be done to cancel the request there.
         with suppress(StreamClosedError):
             deadline = clock() + self.pool.connect_timeout_s
             connection = self.pool.acquire(attempt.ref, deadline)
             with self._in_use(connection):
                 connection.send_request(self.requests.cancel(attempt.ref), deadline)
-                self._read_sound(connection, None, deadline, protocol.POLL_TIMEOUT_S)
+                self._read_valid_response(connection, None, deadline, protocol.POLL_TIMEOUT_S)
 
-    def _read_sound(
+    def _read_valid_response(
         self, connection: EngineConnection, page: int | None, deadline: float, timeout_s: float
     ) -> HttpResponse:
-        """Reads a sound response for a page; None: any that is no repeat. Raises StreamClosedError."""
+        """Reads a response and checks that it is valid.
+
+        Args:
+            connection: The connection.
+            page: The requested page; None to accept any response that is not a duplicate.
+            deadline: Unix time in seconds by which the response has to arrive.
+            timeout_s: Maximum wait in seconds.
+
+        Raises:
+            StreamClosedError: No response arrived in time, or it is not valid.
+        """
         response = connection.read_response(min(deadline, clock() + timeout_s))
-        if connection.is_repeat() or (page is not None and not response.is_sound(page)):
+        if connection.is_duplicate() or (page is not None and not response.is_valid_for_page(page)):
             raise StreamClosedError(CloseReason.MALFORMED)
         return response
 
     @contextmanager
     def _in_use(self, connection: EngineConnection) -> Iterator[None]:
-        """Gives the connection back to the pool at the end, or closes it where that is an error."""
+        """Returns the connection to the pool at the end of the block, or closes it after an exception."""
         try:
             yield
         except BaseException as err:
             reason = (
                 err.reason
                 if isinstance(err, StreamClosedError | AttemptCancelledError)
-                else CloseReason.FAULT
+                else CloseReason.INTERNAL_ERROR
             )
             self.pool.discard(connection, reason)
             raise
-        self.pool.release(connection, may_keep=self.is_up or bool(self.attempts))
+        self.pool.release(connection, may_reuse=self.is_up or bool(self.attempts))
 
     def _load_report(self, response: HttpResponse) -> LoadReport | None:
         try:
@@ -384,11 +443,11 @@
 
 def _outcome_of_lost_connection(attempt: AttemptCall, reason: CloseReason) -> AttemptOutcome:
     if attempt.sent_at is not None:
-        return AttemptOutcome.TIMED_OUT if reason is CloseReason.SILENT else AttemptOutcome.CONNECTION_LOST
+        return AttemptOutcome.TIMED_OUT if reason is CloseReason.TIMEOUT else AttemptOutcome.CONNECTION_LOST
     now = clock()
     if now >= min(attempt.begin_by, attempt.deadline):
         return AttemptOutcome.WITHHELD if now < attempt.deadline else AttemptOutcome.UNSENT
-    if reason is CloseReason.NO_ROOM:
+    if reason is CloseReason.NO_DESCRIPTOR:
         return AttemptOutcome.UNSENT
     if reason is CloseReason.REFUSED:
         return AttemptOutcome.CONNECTION_REFUSED
--- a/marbleworks/net/engine_connection.py
+++ b/marbleworks/net/engine_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP connection to an engine: writes a request, reads its response, and judges whether that is sound.
+"""One HTTP connection to an engine: writes a request, reads the response, and checks that it is valid.
 
-Engines may send broken, repeated or excess bytes. A response that arrived whole is passed on with what is
-wrong with it; one that can't be read raises `StreamClosedError` with the reason to close the connection for.
+Engines may send malformed, duplicate or excess bytes. A complete response is returned even if it is not
+valid; one that cannot be parsed raises `StreamClosedError` with the reason for closing the connection.
 """
 
 from __future__ import annotations
@@ -17,33 +17,41 @@
 from marbleworks.net.stream import CloseReason, Stream, StreamClosedError
 
 _CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0b-\x1f\x7f]")
-_COLUMNS = 3  # of each row of a result, separated by tabs
-_STATUSES_OF_A_POLL = (HTTPStatus.ACCEPTED, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+_COLUMN_COUNT = 3  # in each row of a result; columns are separated by tabs
+_POLL_STATUSES = (HTTPStatus.ACCEPTED, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 class HttpResponse:
-    """One HTTP response."""
+    """One HTTP response.
+
+    Attributes:
+        status: Status code; 0 until the response is complete.
+        fields: Header fields, keyed by name in lower case.
+        body: Body received so far.
+        has_excess_bytes: Whether more bytes arrived than belong to the response. Its length may be wrong
+            instead; the two cases cannot be told apart.
+    """
 
     def __init__(self) -> None:
-        self.status = 0  # until it has arrived whole
-        self.fields = dict[str, str]()  # by name in lower case
+        self.status = 0
+        self.fields = dict[str, str]()
         self.body = bytearray()
-        self.has_surplus = False  # more came than was its own, or its length is wrong: which, can't be told
+        self.has_excess_bytes = False
 
-    def is_sound(self, page: int) -> bool:
-        """Whether it can be the response to a request for this page, where page 0 is also polled for."""
+    def is_valid_for_page(self, page: int) -> bool:
+        """Whether this is a valid response to a request for the page; a request for page 0 is also a poll."""
         if self.status != HTTPStatus.OK:
             return self.status == HTTPStatus.INTERNAL_SERVER_ERROR or (
-                page == 0 and self.status in _STATUSES_OF_A_POLL
+                page == 0 and self.status in _POLL_STATUSES
             )
         pages = protocol.page_count(self.fields)
         if page == 0:
-            is_this_page = pages is not None and pages <= protocol.MAX_RESULT_BYTES
+            matches_page = pages is not None and pages <= protocol.MAX_RESULT_BYTES
         else:
-            is_this_page = protocol.has_page_number(self.fields, page)
-        if not is_this_page or self.has_surplus or len(self.body) > protocol.MAX_PAGE_BYTES:
+            matches_page = protocol.has_page_number(self.fields, page)
+        if not matches_page or self.has_excess_bytes or len(self.body) > protocol.MAX_PAGE_BYTES:
             return False
-        may_be_empty = page == 0 and pages == 1  # a result may be empty, a page of several may not
+        may_be_empty = page == 0 and pages == 1  # a whole result may be empty, one of several pages may not
         return self._has_whole_rows(may_be_empty)
 
     def _has_whole_rows(self, may_be_empty: bool) -> bool:
@@ -56,11 +64,16 @@
         after_last_row = rows.pop()
         if after_last_row or not (rows or may_be_empty):
             return False
-        return all(row.count("\t") == _COLUMNS - 1 for row in rows)
+        return all(row.count("\t") == _COLUMN_COUNT - 1 for row in rows)
+
 
+class _ResultFingerprint(NamedTuple):
+    """Identifies the last result that was read, so that a duplicate of it is recognized.
 
-class _ResultMark(NamedTuple):
-    """Marks the last result that was read, so that a second copy of it is recognized."""
+    Attributes:
+        ref: Id of its request; empty if no result was read.
+        checksum: CRC-32 of its header fields and body.
+    """
 
     ref: str
     checksum: int
@@ -69,7 +82,16 @@
 class EngineConnection:
     """A connection to an engine, for one request and response at a time.
 
-    Its parser calls the `on_...` methods. The two refer to each other until `close`.
+    Its parser calls the `on_...` methods. The connection and its parser refer to each other until `close`.
+
+    Attributes:
+        stream: The TCP connection.
+        parser: Parser of HTTP responses; None once closed.
+        response: The response that is being read, or the last one.
+        is_response_complete: Whether the response to the last request is complete.
+        keep_alive: Whether the connection may be used for another request.
+        idle_since: Unix time in seconds at which it was last returned to the pool.
+        ref: Id of the request that the connection is used for.
     """
 
     def __init__(self, stream: Stream) -> None:
@@ -78,30 +100,30 @@
         self.response = HttpResponse()
         self.is_response_complete = True
         self.keep_alive = True
-        self.idle_since = 0.0  # set when it is released
-        self.ref = ""  # of the request that it is acquired for
-        self._last_result = _ResultMark("", 0)
+        self.idle_since = 0.0
+        self.ref = ""
+        self._last_result = _ResultFingerprint("", 0)
 
     def on_message_begin(self) -> None:
-        """A status line begins."""
+        """Called when a status line begins."""
         if self.is_response_complete:
-            self.response.has_surplus = True  # a second response, that nobody asked for
+            self.response.has_excess_bytes = True  # a second response, which was not requested
         else:
-            self.response = HttpResponse()  # what went before it was provisional
+            self.response = HttpResponse()  # any response before this one was provisional
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field is complete."""
+        """Called when a header field is complete."""
         if not self.is_response_complete:
-            # Space about a value is no part of it (RFC 9112, 5.1), and the parser leaves what is behind it.
+            # Whitespace around a value is not part of it (RFC 9112, 5.1), but the parser keeps it at the end.
             self.response.fields[name.decode("latin-1").lower()] = value.decode("latin-1").strip(" \t")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body has arrived."""
+        """Called when a part of the body has arrived."""
         if not self.is_response_complete:
             self.response.body += body
 
     def on_message_complete(self) -> None:
-        """A response is complete; those below 200 are provisional."""
+        """Called when a response is complete; responses with a status below 200 are provisional."""
         status = self.parser.get_status_code()
         if not self.is_response_complete and status >= HTTPStatus.OK:
             self.is_response_complete = True
@@ -109,13 +131,28 @@
             self.response.status = status
 
     def send_request(self, request: bytes, deadline: float) -> None:
-        """Writes a request. Raises StreamClosedError."""
+        """Writes a request.
+
+        Args:
+            request: The encoded request.
+            deadline: Unix time in seconds by which it has to be written.
+
+        Raises:
+            StreamClosedError: It could not be written.
+        """
         self.response = HttpResponse()
         self.is_response_complete = False
         self.stream.write(request, deadline)
 
     def read_response(self, deadline: float) -> HttpResponse:
-        """Reads the response to the last request; raises StreamClosedError, also where it is not sound."""
+        """Reads the response to the last request.
+
+        Args:
+            deadline: Unix time in seconds by which the response has to arrive.
+
+        Raises:
+            StreamClosedError: The response did not arrive, cannot be parsed, or is too long.
+        """
         bytes_read = 0
         while not self.is_response_complete:
             self.stream.fill(deadline)
@@ -126,30 +163,31 @@
                 except httptools.HttpParserError:
                     if not self.is_response_complete:
                         raise StreamClosedError(CloseReason.MALFORMED) from None
-                    self.response.has_surplus = True
+                    self.response.has_excess_bytes = True
                 self.stream.consume(len(view))
             body_bytes = min(len(self.response.body), protocol.MAX_PAGE_BYTES)
             if bytes_read > protocol.MAX_RESPONSE_BYTES + protocol.CHUNK_OVERHEAD_BYTES * body_bytes:
                 raise StreamClosedError(CloseReason.TOO_LONG)
-        self.response.has_surplus |= bool(self.stream.peek())
-        self.keep_alive &= not self.response.has_surplus
+        self.response.has_excess_bytes |= bool(self.stream.peek())
+        self.keep_alive &= not self.response.has_excess_bytes
         return self.response
 
-    def is_repeat(self) -> bool:
-        """Whether the response repeats the result of an earlier request.
+    def is_duplicate(self) -> bool:
+        """Whether the response is a duplicate of an earlier request's result.
 
-        To be called once for each response. Guards against a second copy of a good response that arrives
-        after the next request was sent, which nothing else tells from the response to that.
+        This has to be called once for each response. It guards against a second copy of a valid response that
+        arrives after the next request was sent. Nothing else tells that copy from the response to the next
+        request.
         """
         response = self.response
         if response.status != HTTPStatus.OK:
             return False
-        earlier = self._last_result
+        previous = self._last_result
         checksum = zlib.crc32(repr(response.fields).encode(), zlib.crc32(response.body))
-        self._last_result = _ResultMark(self.ref, checksum)
-        return earlier.ref not in ("", self.ref) and earlier.checksum == checksum
+        self._last_result = _ResultFingerprint(self.ref, checksum)
+        return previous.ref not in ("", self.ref) and previous.checksum == checksum
 
     def close(self, reason: CloseReason) -> None:
-        """Closes the connection, and gives its descriptor back."""
+        """Closes the connection and releases its descriptor."""
         self.stream.close(reason)
-        self.parser = None  # each refers to the other, and would stay until garbage is looked for
+        self.parser = None  # breaks the reference cycle, which would stay until the next garbage collection
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -1,7 +1,7 @@
-"""What the dispatcher, the engine clients and the client sessions hand each other.
+"""Types shared by the dispatcher, the engine clients and the client sessions.
 
-These are the shapes of an open request, of one attempt and of how it ended, and the ports that the dispatcher
-reaches its neighbours by. Nothing here imports a neighbour or does anything.
+These are an open request, an attempt and its outcome, and the interfaces through which the dispatcher calls
+client sessions and engine clients. This module imports none of those modules and has no behaviour of its own.
 
 Times are Unix seconds of `marbleworks.net.actor.clock`.
 """
@@ -23,55 +23,60 @@
 
 
 class ClientPort(Protocol):
-    """A client's connection, as the dispatcher answers it. Every call but `post` is posted."""
+    """A client's session as the dispatcher uses it. All methods except `post` are posted."""
 
     stream: Stream
 
     def post(self, what: Callable[..., None], *args: Any) -> None:
-        """Has the connection's actor make a call."""
+        """Queues a call that the session's actor makes."""
 
     def answer(self, call_id: int, result: bytes, metadata: dict[str, str]) -> None:
         """Answers a call with a result and its metadata."""
 
     def shed(self, call_id: int, retry_after_s: float) -> None:
-        """Rejects a call; its client may retry after that time, 0: none is named."""
+        """Rejects a call; its client may retry after that many seconds, where 0 gives no time."""
 
     def fail(self, call_id: int, reason: str) -> None:
         """Answers a call with an error."""
 
     def forget(self, request: OpenRequest) -> None:
-        """The dispatcher knows that the client gave the request up."""
+        """Tells the session that the dispatcher knows of the request's cancellation or disconnect."""
 
 
 class EnginePort(Protocol):
-    """An engine's client, as the dispatcher uses it. Every call but `post` is posted."""
+    """An engine's client as the dispatcher uses it. All methods except `post` are posted."""
 
     address: SocketAddress
 
     def post(self, what: Callable[..., None], *args: Any) -> None:
-        """Has the engine client's actor make a call."""
+        """Queues a call that the engine client's actor makes."""
 
     def start_attempt(self, attempt: AttemptCall) -> None:
-        """Carries an attempt; its end is posted to the dispatcher."""
+        """Runs an attempt; its outcome is posted to the dispatcher."""
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
-        """Gives an attempt up, at its engine too if it has been sent."""
+        """Cancels an attempt, and also its request at the engine if that has been sent."""
 
     def update_entry(self, is_up: bool, started_at: float) -> None:
-        """The list names the engine again: whether it takes requests, and when its process started."""
+        """Applies the engine's entry of a new list.
+
+        Args:
+            is_up: Whether the engine takes requests.
+            started_at: Unix time in seconds at which its process started.
+        """
 
     def retire(self) -> None:
-        """The engine has left the list; the client ends with its last attempt."""
+        """Handles that the engine has left the list; the client ends after its last attempt."""
 
     def hand_over_descriptor(self, recipient: EnginePort) -> None:
-        """Gives a descriptor up to another engine's client, now or as soon as one is free."""
+        """Gives a descriptor to another engine's client, now or as soon as one is free."""
 
     def serve_waiters(self) -> None:
-        """Descriptors may be free: whoever waits for one is served."""
+        """Gives free descriptors, if there are any, to the requests that wait for one."""
 
 
 class EngineListing(NamedTuple):
-    """One engine of a list, and where it is reached."""
+    """One engine of the engine list and its address."""
 
     entry: EngineEntry
     address: SocketAddress
@@ -79,30 +84,60 @@
 
 @dataclass(eq=False)
 class OpenRequest:
-    """A request on its way, from its arrival until its final answer and the end of its last attempt."""
+    """An in-flight request, from its arrival until its final answer and the end of its last attempt.
+
+    Attributes:
+        ref: Id of the request.
+        client: Session of its client.
+        call_id: The client's id of the call.
+        received_at: Unix time in seconds at which it arrived.
+        deadline: Unix time in seconds until which its client waits.
+        handle: The scheduler's handle; None until the request is submitted to the scheduler.
+        memory_mb: Megabytes granted to attempts that start later; 0 leaves the amount to the engine.
+        attempt_engines: Engine clients of its attempts, by attempt number.
+        completed: Whether it has its final answer or its client has disconnected or cancelled it.
+        client_gone: Whether its client has disconnected or cancelled it; set by the session alone, before the
+            dispatcher handles the call that reports it.
+        reservation: Space reserved for its result; None if the result is not stored.
+    """
 
     ref: str
     client: ClientPort
-    call_id: int  # the client's number for it
+    call_id: int
     class_name: str
     statement: bytes
     received_at: float
     deadline: float
-    handle: RequestState | None = None  # the scheduler's; None until it is submitted there
-    memory_mb: int = 0  # granted for attempts to come; 0 leaves it to the engine
-    attempt_engines: list[EnginePort] = field(default_factory=list)  # by attempt number
-    completed: bool = False  # it has its final answer, or its client has gone
-    client_gone: bool = False  # set by its client alone, before any mail about it is read
-    reservation: ResultReservation | None = None  # room for its result, where that is to be stored
+    handle: RequestState | None = None
+    memory_mb: int = 0
+    attempt_engines: list[EnginePort] = field(default_factory=list)
+    completed: bool = False
+    client_gone: bool = False
+    reservation: ResultReservation | None = None
 
     def is_wanted(self) -> bool:
-        """Whether anyone still waits for it, also where the end of the connection is not read yet."""
+        """Whether the client still waits, also considering a disconnect that has not been read yet."""
         return not (self.completed or self.client_gone or self.client.stream.is_gone())
 
 
 @dataclass(eq=False)
 class AttemptCall:
-    """One attempt of a request at one engine, and how far it is."""
+    """One attempt of a request on one engine, and its progress.
+
+    Attributes:
+        ref: Id of the request.
+        attempt_no: Number of the attempt, from 0.
+        memory_mb: Megabytes granted to the attempt; 0 leaves the amount to the engine.
+        deadline: Unix time in seconds by which the attempt has to end.
+        reservation: Space reserved for its result; None if the whole result is passed on in memory.
+        begin_by: Unix time in seconds after which the scheduler does not allow its first byte any more.
+        is_wanted: Whether the client still waits; called right before the first byte is sent.
+        sent_at: Unix time in seconds at which its request was fully written; None before that.
+        cancelled: Whether the dispatcher cancelled it.
+        has_begun: Whether its greenlet has started to run.
+        stop_reason: Why it was stopped before its greenlet started to run; None otherwise.
+        greenlet: The greenlet that runs it.
+    """
 
     ref: str
     attempt_no: int
@@ -110,29 +145,36 @@
     statement: bytes
     memory_mb: int
     deadline: float
-    reservation: ResultReservation | None = None  # None: its result is passed on whole
-    begin_by: float = math.inf  # the latest time for its first byte, by the scheduler
-    is_wanted: Callable[[], bool] = lambda: True  # asked right before that byte
-    sent_at: float | None = None  # when its request was written whole
+    reservation: ResultReservation | None = None
+    begin_by: float = math.inf
+    is_wanted: Callable[[], bool] = lambda: True
+    sent_at: float | None = None
     cancelled: bool = False
-    has_begun: bool = False  # its greenlet runs
-    stop_reason: CloseReason | None = None  # set where it is stopped before it has begun
+    has_begun: bool = False
+    stop_reason: CloseReason | None = None
     greenlet: gevent.Greenlet[..., None] = field(init=False)
 
 
 @dataclass
 class AttemptResult:
-    """A successful attempt: the whole result, or the first page of a stored one."""
+    """The outcome of a successful attempt.
+
+    Attributes:
+        body: The whole result, or the first page of a stored one.
+        usage: Work and memory that it took; None if the engine does not report them.
+        load_report: Load of the engine; None if the engine does not report it.
+        metadata: Fields for the client that describe a stored result.
+    """
 
     body: bytearray
-    usage: ResourceUsage | None  # what it took, where the engine says so
+    usage: ResourceUsage | None
     load_report: LoadReport | None
-    metadata: dict[str, str] = field(default_factory=dict)  # of a stored result, for its client
+    metadata: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """An attempt that ended without a result, and what its end proves."""
+    """An attempt that ended without a result; its outcome says what that proves."""
 
     outcome: AttemptOutcome
     load_report: LoadReport | None = None
@@ -140,9 +182,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultNotStored:
-    """An attempt that ran, and whose result found no room."""
+    """An attempt that ran, but whose result could not be stored for lack of space.
+
+    Attributes:
+        retry_after_s: Seconds after which the client may retry; infinite if that is not known.
+    """
 
-    retry_after_s: float  # infinite where no time can be named
+    retry_after_s: float
 
 
 AttemptEnd = AttemptResult | AttemptFailure | ResultNotStored
--- a/marbleworks/net/rpc.py
+++ b/marbleworks/net/rpc.py
@@ -1,8 +1,8 @@
 """MessagePack-RPC: framing and typed messages, without I/O.
 
-A `MessageDecoder` splits received bytes into messages; a `Response` encodes one answer. What the methods
-mean, and whether a call number is in use, is decided by the caller. Messages are not frozen: that would make
-them several times as costly to create, and there are two for each request of a client.
+A `MessageDecoder` splits received bytes into messages, and a `Response` encodes one answer. The caller
+interprets the methods and checks whether a call id is in use. Messages are not frozen dataclasses, since
+those cost several times as much to create, and a client's request needs two messages.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from marbleworks.net import protocol
 
-_RESPONSE = 1  # the type of a message; 0 is a request and 2 a notification
-_MAX_ELEMENTS = 64  # of an array or a map
-# Without these limits a short message could claim memory out of proportion to its size.
+_RESPONSE = 1  # message type of a response; 0 is a request and 2 a notification
+_MAX_ELEMENTS = 64  # maximum length of an array or a map
+# Without these limits, a short message could make the decoder allocate memory out of proportion to its size.
 _UNPACKER_LIMITS: dict[str, Any] = {
     "max_buffer_size": protocol.MAX_MESSAGE_BYTES,
     "max_str_len": protocol.MAX_MESSAGE_BYTES,
@@ -29,12 +29,19 @@
 
 
 class MalformedMessageError(Exception):
-    """The received bytes are not a MessagePack-RPC message that a client may send."""
+    """Raised if received bytes are not a MessagePack-RPC message that a client may send."""
 
 
 @dataclass(slots=True)
 class Request:
-    """A call; `params` of the wire are the fields followed by the body."""
+    """A call. On the wire, `params` holds the fields followed by the body.
+
+    Attributes:
+        call_id: The client's id of the call.
+        method: Name of the method.
+        fields: Named parameters.
+        body: Parameters after the fields.
+    """
 
     call_id: int
     method: str
@@ -44,28 +51,28 @@
 
 @dataclass(slots=True)
 class CancelNotification:
-    """The client no longer waits for the answer to a call."""
+    """A notification that the client no longer waits for the answer to a call."""
 
     call_id: int
 
 
 @dataclass(slots=True)
 class UnknownNotification:
-    """A notification of any other method; it needs no answer."""
+    """A notification with any other method; it needs no answer."""
 
     method: str
 
 
 @dataclass(slots=True)
 class Response:
-    """The answer to a call: an error or a result, the other is None."""
+    """The answer to a call: either an error or a result; the other one is None."""
 
     call_id: int
     error: protocol.CallError | None
     result: list[Any] | None
 
     def encode(self) -> bytes:
-        """Returns the message as it is sent."""
+        """Returns the encoded message."""
         error = None if self.error is None else [self.error.name.value, self.error.fields]
         data: bytes = msgpack.packb([_RESPONSE, self.call_id, error, self.result])
         return data
@@ -75,10 +82,10 @@
 
 
 class MessageDecoder:
-    """Iterates over the complete messages in `data`, which may end within one.
+    """Iterates over the complete messages in `data`, which may end with an incomplete one.
 
     Attributes:
-        consumed: Length in bytes of the messages yielded so far.
+        consumed: Total size in bytes of the messages yielded so far.
     """
 
     def __init__(self, data: memoryview) -> None:
@@ -90,7 +97,7 @@
         """Yields messages in order.
 
         Raises:
-            MalformedMessageError: The next bytes are no message; those before were yielded.
+            MalformedMessageError: The next bytes are not a message; the messages before them were yielded.
         """
         while True:
             try:
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -1,6 +1,6 @@
 """The router's process: logging, descriptor quotas, wiring of the actors, signals, and shutdown.
 
-It holds nothing that changes while the router serves, and sees no request.
+This module holds no state that changes while the router serves, and handles no requests.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 from marbleworks.settings import Settings, SettingsError
 from marbleworks.startup_signals import StartupSignals
 
-_OWN_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files opened in passing
-_MAX_SHUTDOWN_S = 3.0  # for requests in progress, if a client waits so long, and ...
-_SHUTDOWN_GRACE_S = 0.5  # ... so much more for their answers, well before anyone kills the process
+_RESERVED_DESCRIPTORS = 32  # for the log, the listener, datagrams, and files that are open for a short time
+_MAX_SHUTDOWN_S = 3.0  # maximum time for requests in progress; less if no client waits that long
+_SHUTDOWN_GRACE_S = 0.5  # additional time to send answers, short enough to end before the process is killed
 _SHUTDOWN_POLL_INTERVAL_S = 0.01
 _GC_THRESHOLDS = (50_000, 10, 10)
 
 
 class RouterSubsystems(Protocol):
-    """The subsystems of the operator's file.
+    """The subsystems that the operator's file configures.
 
     Attributes:
-        result_store: Where results are stored, if anywhere.
-        health_details: Answers a `health` call about a subsystem, by its name.
+        result_store: Store of query results; None where results are not stored.
+        health_details: Returns the details that answer a `health` call about a subsystem, by its name.
     """
 
     result_store: ResultStore | None
@@ -50,38 +50,43 @@
     def join(
         self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
     ) -> None:
-        """Attaches the subsystems to the router; called before it accepts clients."""
+        """Attaches the subsystems to the router; called before the router accepts clients."""
 
     def stopping(self) -> None:
-        """A planned stop has begun; requests in progress are still answered."""
+        """Called when a planned stop begins; requests in progress are still answered."""
 
     def reload(self) -> None:
         """Reads the operator's file again."""
 
     def close(self) -> None:
-        """The router has answered everything."""
+        """Called when the router has answered all requests."""
 
 
 @dataclass(frozen=True)
 class _DescriptorQuotas:
-    """File descriptors for connections, one acquired for each."""
+    """Quotas of file descriptors for connections; each connection acquires one.
+
+    Attributes:
+        clients: Quota for clients' connections.
+        engines: Quota for connections to all engines.
+    """
 
     clients: BoundedSemaphore
     engines: BoundedSemaphore
 
     @classmethod
     def divide(cls, max_sockets: int) -> _DescriptorQuotas:
-        # The usual clients hold a third at most; others may come besides.
-        third = max_sockets // 3
+        # The usual clients hold at most a third; some more descriptors are left for other clients.
+        client_share = max_sockets // 3
         return cls(
-            clients=BoundedSemaphore(third + _OWN_DESCRIPTORS // 2),
-            engines=BoundedSemaphore(max_sockets - third - 2 * _OWN_DESCRIPTORS),
+            clients=BoundedSemaphore(client_share + _RESERVED_DESCRIPTORS // 2),
+            engines=BoundedSemaphore(max_sockets - client_share - 2 * _RESERVED_DESCRIPTORS),
         )
 
 
 @dataclass(frozen=True)
-class _Core:
-    """The actors that every router has, without its listener."""
+class _CoreActors:
+    """The actors of every router, except its listener."""
 
     transport: DatagramTransport
     dispatcher: Dispatcher
@@ -94,13 +99,13 @@
     subsystems: RouterSubsystems | None = None,
     startup_signals: StartupSignals | None = None,
 ) -> None:
-    """Runs a router until SIGTERM, and until everything it accepted is answered.
+    """Runs a router until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
     Args:
         config: The router's configuration.
-        path: Where it was read from; it is read again at SIGHUP.
+        path: Path of the configuration file, which is read again on SIGHUP.
         subsystems: The operator's subsystems, if any.
-        startup_signals: Signals that came before this call.
+        startup_signals: Signals that arrived before this call.
     """
     _configure_logging()
     quotas = _DescriptorQuotas.divide(config.max_sockets)
@@ -139,7 +144,7 @@
     )
 
 
-def _start_core(config: RouterConfig, engine_descriptors: BoundedSemaphore) -> _Core:
+def _start_core(config: RouterConfig, engine_descriptors: BoundedSemaphore) -> _CoreActors:
     settings = config.settings
     transport = DatagramTransport(
         config.peer_listen, config.peers, config.peer_broadcast, settings.fleet.router_index
@@ -148,16 +153,16 @@
     def on_load_update(peer: int, data: bytes) -> None:
         dispatcher.post(dispatcher.scheduler.receive_load_update, peer, data)
 
-    tell_peers = transport.register(LOAD_UPDATE, on_load_update)
-    engine_clients = engine_client_factory(settings, engine_descriptors)
-    dispatcher = Dispatcher(settings, config.seed, engine_clients, tell_peers)
+    send_load_update = transport.register(LOAD_UPDATE, on_load_update)
+    make_engine_client = engine_client_factory(settings, engine_descriptors)
+    dispatcher = Dispatcher(settings, config.seed, make_engine_client, send_load_update)
     transport.listen()
     discovery = EngineDiscovery(dispatcher, settings, config.initial_engines, config.nameserver)
-    return _Core(transport, dispatcher, discovery)
+    return _CoreActors(transport, dispatcher, discovery)
 
 
 def _reload(path: str, discovery: EngineDiscovery, subsystems: RouterSubsystems | None) -> None:
-    """Handles SIGHUP; of the configuration only the name server's address changes while a router runs."""
+    """Handles SIGHUP; only the name server's address is applied while a router runs."""
     try:
         config = RouterConfig.read(path)
         discovery.post(discovery.set_nameserver, config.nameserver)
@@ -169,7 +174,10 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Exempts what exists by now from collections, and makes them rarer: little of the rest is cyclic."""
+    """Exempts existing objects from garbage collection and makes it rarer.
+
+    Few of the objects created later are in reference cycles.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
@@ -181,7 +189,7 @@
     listener: ClientListener,
     subsystems: RouterSubsystems | None,
 ) -> None:
-    """Answers everything, while clients that still come are served for a moment, and closes."""
+    """Answers all requests, including those of clients that connect within a short time, and closes."""
     began = clock()
     deadline = began + min(max(config.settings.client_timeouts_s), _MAX_SHUTDOWN_S)
     LOG.info("stopping", name=config.name)
--- a/marbleworks/net/statement_parser.py
+++ b/marbleworks/net/statement_parser.py
@@ -1,6 +1,6 @@
-"""Finds the table group of an SQL statement by its lexical structure alone.
+"""Finds the table group of an SQL statement from its lexical structure.
 
-It knows SQL's lexical rules and no grammar, accepts any text, and ignores strings and comments.
+It applies SQL's lexical rules but no grammar, accepts any text, and ignores strings and comments.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def table_group(text: str) -> int:
-    """Returns the number in the name of the first schema that has one; 0 where none does."""
+    """Returns the number at the end of the first schema name that has one; 0 if there is none."""
     position = 0
     while token := _TOKEN.search(text, position):
         position = token.end()
@@ -46,7 +46,7 @@
 
 
 def _comment_end(text: str, position: int) -> int:
-    """Returns the offset behind the comment that was opened before `position`; comments nest."""
+    """Returns the offset after the end of the comment that was opened before `position`; comments nest."""
     depth = 1
     while depth:
         mark = _COMMENT_MARK.search(text, position)
--- a/marbleworks/net/stream.py
+++ b/marbleworks/net/stream.py
@@ -1,7 +1,7 @@
 """One TCP connection: its receive buffer, its writes, and its close, which is logged with a reason.
 
-A stream belongs to its creator. Only one greenlet at a time may read it, and one write it; any may close it.
-It does not interpret the bytes and never reconnects.
+A stream belongs to its creator. Only one greenlet may read it at a time, and only one may write to it; any
+greenlet may close it. A stream does not interpret the bytes and never reconnects.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 from marbleworks.net.actor import LOG, clock
 
-_INITIAL_BUFFER_BYTES = 4096  # doubled as needed up to the stream's maximum
+_INITIAL_BUFFER_BYTES = 4096  # the buffer is doubled as needed, up to the stream's maximum
 
 
 class CloseReason(Enum):
-    """Why a connection ended; the values are in the log."""
+    """Why a connection ended; the values are written to the log."""
 
-    CLOSED = "closed"  # by the other side, with nothing in progress
-    BROKEN = "broken"  # by the other side, in the middle of something
+    CLOSED = "closed"  # the peer closed it with no message or call in progress
+    CLOSED_EARLY = "broken"  # the peer closed it during a message or a call
     RESET = "reset"
-    REFUSED = "refused"  # nothing listens there
-    UNREACHED = "unreached"  # it was not established in time
-    SILENT = "silent"  # nothing arrived complete, or nothing was accepted, in time
-    MALFORMED = "malformed"  # what arrived is not the protocol
-    TOO_LONG = "too-long"  # a message over the maximum
-    IDLE = "idle"  # closed by us as unused
-    NO_ROOM = "no-room"  # file descriptors are used up
-    CALLED_OFF = "called-off"  # the attempt on it is no longer wanted
-    REPLACED = "replaced"  # its engine restarted, moved or left
+    REFUSED = "refused"  # nothing listens at the address
+    CONNECT_TIMED_OUT = "unreached"  # the connection was not established, in time or at all
+    TIMEOUT = "silent"  # the peer did not send a complete message, or did not accept data, in time
+    MALFORMED = "malformed"  # the received bytes violate the protocol
+    TOO_LONG = "too-long"  # a message exceeds the maximum size
+    IDLE = "idle"  # closed by the router as unused
+    NO_DESCRIPTOR = "no-room"  # all file descriptors are in use
+    ATTEMPT_CANCELLED = "called-off"  # the attempt on the connection is no longer wanted
+    REPLACED = "replaced"  # the engine restarted, moved or left the list
     STOPPING = "stopping"  # the router stops
-    FAULT = "fault"  # a defect of this program
+    INTERNAL_ERROR = "fault"  # a defect in the router
 
 
 class StreamClosedError(Exception):
-    """The connection cannot be used any more.
+    """Raised if the connection can no longer be used.
 
     Attributes:
-        reason: Why.
+        reason: Why it can no longer be used.
     """
 
     def __init__(self, reason: CloseReason) -> None:
@@ -53,14 +53,15 @@
     """A connected socket with a receive buffer.
 
     Attributes:
-        role: "client" or "engine", for the log.
-        peer: The other side's address or name, for the log.
-        max_buffer_bytes: Bound on unread bytes.
+        role: Role of the peer for the log: "client" or "engine".
+        peer: The peer's address or name for the log.
+        max_buffer_bytes: Maximum number of unread bytes.
         release_descriptor: Called once, when the stream is closed.
         unread_start: Offset of the first unread byte in the buffer.
-        unread_end: Offset behind the last; 0 where nothing is unread.
-        opened_at: Unix time in seconds.
-        fill_count: How often bytes arrived.
+        unread_end: Offset after the last unread byte; 0 if there are no unread bytes.
+        opened_at: Unix time in seconds at which the stream was created.
+        closed: Whether the stream is closed.
+        fill_count: Number of times that bytes were received.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def unread(self) -> memoryview:
-        """Returns the unread bytes; the view has to be released before the next `fill`."""
+        """Returns a view of the unread bytes, which has to be released before the next `fill`."""
         return memoryview(self.buffer)[self.unread_start : self.unread_end]
 
     def consume(self, count: int) -> None:
@@ -95,26 +96,31 @@
             self.unread_start = self.unread_end = 0
 
     def fill(self, deadline: float | None) -> None:
-        """Waits for more bytes, at most until the deadline (Unix seconds; None: for ever).
+        """Waits for more bytes.
+
+        Args:
+            deadline: Unix time in seconds until which to wait; None for no limit.
 
         Raises:
-            StreamClosedError: None came in time, none will come, or the buffer is full.
+            StreamClosedError: No bytes arrived in time, the connection has ended, or the buffer is full.
         """
         if self.unread_end == len(self.buffer):
             self._make_room()
-        with memoryview(self.buffer) as whole, whole[self.unread_end :] as free:
+        with memoryview(self.buffer) as buffer_view, buffer_view[self.unread_end :] as free_space:
             try:
                 try:
                     self._set_timeout(deadline)
-                    count = self.sock.recv_into(free)
-                except TimeoutError:  # this process may be late itself: bytes that have arrived count
+                    count = self.sock.recv_into(free_space)
+                except (
+                    TimeoutError
+                ):  # this process may have been late, so bytes that have arrived are accepted
                     self.sock.settimeout(0.0)
-                    count = self.sock.recv_into(free)
+                    count = self.sock.recv_into(free_space)
             except OSError as err:
                 raise StreamClosedError(_close_reason(err)) from None
         if not count:
-            unfinished = self.unread_start < self.unread_end
-            raise StreamClosedError(CloseReason.BROKEN if unfinished else CloseReason.CLOSED)
+            has_unread = self.unread_start < self.unread_end
+            raise StreamClosedError(CloseReason.CLOSED_EARLY if has_unread else CloseReason.CLOSED)
         self.unread_end += count
         self.fill_count += 1
 
@@ -131,16 +137,19 @@
             raise StreamClosedError(CloseReason.TOO_LONG)
 
     def write(self, data: bytes, deadline: float | None) -> None:
-        """Sends all of the data by the deadline (Unix seconds; None: without one).
+        """Sends all of the data.
+
+        Args:
+            data: The bytes to send.
+            deadline: Unix time in seconds by which they have to be sent; None for no limit.
 
         Raises:
-            StreamClosedError: The other side did not accept it.
+            StreamClosedError: The peer did not accept all of the data in time.
         """
         try:
             self._set_timeout(deadline)
-            sent = self.sock.send(
-                data
-            )  # mostly all of it; sendall would first ask for the socket's buffer size
+            # This usually sends everything; sendall would first query the socket's buffer size.
+            sent = self.sock.send(data)
             if sent < len(data):
                 self.sock.sendall(memoryview(data)[sent:])
         except OSError as err:
@@ -153,12 +162,12 @@
         self.sock.settimeout(timeout_s)
 
     def peek(self) -> bytes | None:
-        """Looks for unread bytes in the socket without waiting.
+        """Checks for unread bytes in the socket without waiting.
 
         Returns:
-            One byte where there are any, None where there are none, b"" where the connection has ended.
+            One byte if there are any, None if there are none, and b"" if the connection has ended.
         """
-        timeout_s = self.sock.gettimeout()  # another greenlet may be waiting with it
+        timeout_s = self.sock.gettimeout()  # restored below, since another greenlet may be waiting with it
         try:
             self.sock.settimeout(0.0)
             return self.sock.recv(1, socket.MSG_PEEK)
@@ -170,21 +179,21 @@
             self.sock.settimeout(timeout_s)
 
     def is_gone(self) -> bool:
-        """Whether it is closed, or the other side closed it and everything before was read."""
+        """Whether the stream is closed, or the peer closed it and all bytes were received."""
         return self.closed or self.peek() == b""
 
     def shutdown_write(self) -> None:
-        """Ends the sending direction; what was written still arrives, and reading goes on."""
+        """Shuts down the sending direction; written data still arrives, and reading remains possible."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     @property
     def buffer_full(self) -> bool:
-        """Whether a `fill` would find no room."""
+        """Whether the buffer has no space for another `fill`."""
         return not self.unread_start and self.unread_end >= self.max_buffer_bytes
 
     def close(self, reason: CloseReason) -> None:
-        """Closes the socket; without effect where it is closed already."""
+        """Closes the socket; has no effect if it is already closed."""
         if self.closed:
             return
         self.closed = True
@@ -207,10 +216,21 @@
     timeout_s: float,
     release_descriptor: Callable[[], object],
 ) -> Stream:
-    """Opens a connection. The descriptor is released by the stream only, so not where this raises.
+    """Opens a connection.
+
+    The returned stream releases the descriptor when it is closed. If this function raises, the descriptor is
+    not released.
+
+    Args:
+        address: Address of the peer.
+        role: Role of the peer for the log.
+        peer: Name of the peer for the log.
+        max_buffer_bytes: Maximum number of unread bytes.
+        timeout_s: Maximum time in seconds to establish the connection.
+        release_descriptor: Called once, when the stream is closed.
 
     Raises:
-        StreamClosedError: Refused, or not established in time.
+        StreamClosedError: The connection was refused or not established in time.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -219,7 +239,7 @@
     except OSError as err:
         sock.close()
         refused = isinstance(err, ConnectionRefusedError)
-        raise StreamClosedError(CloseReason.REFUSED if refused else CloseReason.UNREACHED) from None
+        raise StreamClosedError(CloseReason.REFUSED if refused else CloseReason.CONNECT_TIMED_OUT) from None
     except BaseException:
         sock.close()
         raise
@@ -228,5 +248,5 @@
 
 def _close_reason(err: OSError) -> CloseReason:
     if isinstance(err, TimeoutError | BlockingIOError):
-        return CloseReason.SILENT
-    return CloseReason.CALLED_OFF if err.errno == errno.EBADF else CloseReason.RESET
+        return CloseReason.TIMEOUT
+    return CloseReason.ATTEMPT_CANCELLED if err.errno == errno.EBADF else CloseReason.RESET
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -563,7 +563,11 @@
     until(lambda: heard and heard[-1][2] == b"after")
     assert heard[0] == ("news", 1, b"\xddnews")  # five bytes are news, whatever they begin with
     assert heard[1:] == [("own", 1, own)] * 4 + [("news", 1, b"after")]
-    assert peers.dropped_counts == {"no peer's": 2, "not registered": 1, "own of a peer over its pace": 5}
+    assert peers.dropped_counts == {
+        "unknown sender": 2,
+        "unknown kind": 1,
+        "own of a peer over its rate limit": 5,
+    }
     tell(b"y" * 257)
     for _ in range(6):
         tell(own, 1)
--- a/tests/net/test_rpc.py
+++ b/tests/net/test_rpc.py
@@ -113,7 +113,7 @@
     [
         ({"id": "0123456789ABCDEF"}, "id is not 16 hex digits"),
         ({"id": 7}, "id is not 16 hex digits"),
-        ({"wait": "0"}, "wait is not above 0"),
+        ({"wait": "0"}, "wait is not greater than 0"),
         ({"wait": "-1"}, "wait is not a number in range"),
         ({"wait": 1500}, "wait is not a number in range"),
         ({"wait": "1e3"}, "wait is not a number in range"),
--- a/tests/net/test_wire_forms.py
+++ b/tests/net/test_wire_forms.py
@@ -91,7 +91,7 @@
     say(*(ask(call) for call in range(5, 37)))
     assert sorted(client.hear() for _ in range(32)) == [served(call) for call in range(5, 37)]
     say(ask(37, "text, not bin"), ask(38))
-    assert client.hear() == [1, 37, ["Invalid", {"why": "the body is not bin"}], None]
+    assert client.hear() == [1, 37, ["Invalid", {"why": "the body is not a single value of type bin"}], None]
     assert client.hear() == served(38)
     seen = [(fields["X-Hop-Id"], body) for call, fields, body in engine.calls if "POST" in call]
     assert pieces or all(
