--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -1,6 +1,7 @@
-"""Rare orders: what comes between two lines is made to come there every time, on real connections.
+"""Tests of rare event orders, on real connections.
 
-The table in docs/design/attempts.md names, for each wait in the life of a command, the test here.
+Each test forces an event between two steps of the code, where it would otherwise come only now and then. The
+table in docs/design/attempts.md lists the waits of a request and the test here for each of them.
 """
 
 from __future__ import annotations
@@ -29,263 +30,298 @@
 from marbleworks.net.engine_connection import EngineConnection
 from marbleworks.net.messages import AttemptCall
 from marbleworks.net.stream import CloseReason, StreamClosedError
-from tests.net.test_router import GOOD, Outcomes, Router, bounded, closed_port, command, row, until
-from tests.support.stand_ins import DEPLOYMENT, SETTINGS, Listener
+from tests.net.test_router import (
+    GOOD,
+    OutcomeRecorder,
+    Router,
+    closed_port,
+    row,
+    start_command,
+    time_limit,
+    until,
+)
+from tests.support.stand_ins import DEPLOYMENT, SETTINGS, EngineListRecorder
 
-__all__ = ["bounded"]
+__all__ = ["time_limit"]
 
 
-def good(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
+def reply_good(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
+    """Returns an engine's response to any call: a valid result, or the confirmation of a cancellation."""
     return answer(204) if "DELETE" in call else GOOD
 
 
-class Held:
-    """An engine that answers once it is let go, and a router with one descriptor for it."""
+class BlockedEngineSetup:
+    """An engine that does not answer until it is released, and a router with one descriptor for engines.
+
+    Attributes:
+        release_answers: Event that lets the engine answer.
+        sql: The engine.
+        router: The router.
+        dispatcher: The router's dispatcher.
+        engine: The router's client of the engine.
+    """
 
     def __init__(self, clients: int = 20) -> None:
-        self.go = Event()
-        self.sql = SqlEngine(lambda call, fields, body: self.go.wait() and good(call, fields, body))
+        self.release_answers = Event()
+        self.sql = SqlEngine(
+            lambda call, fields, body: self.release_answers.wait() and reply_good(call, fields, body)
+        )
         self.router = Router(self.sql.address, descriptors=1, clients=clients)
-        self.desk = self.router.desk
-        until(lambda: self.desk.engine_clients)
-        self.engine = self.desk.engine_clients[0]
-
-    def still(self) -> Event:
-        """The desk reads no mail until this is set."""
-        go = Event()
-        self.desk.post(go.wait)
+        self.dispatcher = self.router.dispatcher
+        until(lambda: self.dispatcher.engine_clients)
+        self.engine = self.dispatcher.engine_clients[0]
+
+    def pause_dispatcher(self) -> Event:
+        """Blocks the dispatcher until the returned event is set."""
+        resume = Event()
+        self.dispatcher.post(resume.wait)
         gevent.sleep(0)
-        return go
+        return resume
 
     def starts(self) -> list[str]:
+        """Returns the ids of the requests that were started at the engine."""
         return [fields["X-Hop-Id"] for call, fields, _ in self.sql.calls if call.startswith("POST")]
 
 
-@pytest.mark.parametrize("leaves", ["close", "cancel", "reset"])
-def test_a_client_that_left_while_its_command_was_in_the_mail_is_not_sent_on(leaves: str) -> None:
-    """Found by reading: its leaving stood behind the command in the desk's backlog."""
-    held, other = Held(), "b" * 16
-    held.go.set()
-    still, client = held.still(), held.router.client()
+@pytest.mark.parametrize("departure", ["close", "cancel", "reset"])
+def test_a_client_that_left_while_its_command_was_in_the_mail_is_not_sent_on(departure: str) -> None:
+    """Guards against sending a request whose client's disconnect was queued after it in the mailbox."""
+    setup, other_ref = BlockedEngineSetup(), "b" * 16
+    setup.release_answers.set()
+    resume, client = setup.pause_dispatcher(), setup.router.client()
     client.ask("look", ref="a" * 16)
-    until(lambda: any(c.calls for c in held.router.listener.sessions))
-    leave(client, leaves)
-    until(lambda: all(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
-    still.set()
-    last = held.router.client()
-    last.ask("load", ref=other)
-    assert last.hear()[3] and held.starts() == [other] and not held.desk.open_requests
-
-
-def leave(client: RpcClient, how: str) -> None:
-    if how == "cancel":
+    until(lambda: any(c.calls for c in setup.router.listener.sessions))
+    disconnect(client, departure)
+    until(lambda: all(a.abandoned for c in setup.router.listener.sessions for a in c.calls.values()))
+    resume.set()
+    last_client = setup.router.client()
+    last_client.ask("load", ref=other_ref)
+    assert last_client.hear()[3] and setup.starts() == [other_ref] and not setup.dispatcher.open_requests
+
+
+def disconnect(client: RpcClient, departure: str) -> None:
+    """Ends the client's last call by "cancel", or its connection by "close" or "reset"."""
+    if departure == "cancel":
         client.send(2, "cancel", [client.last])
         return
-    if how == "reset":
+    if departure == "reset":
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     client.sock.close()
 
 
-@pytest.mark.parametrize("leaves", ["close", "cancel", "reset"])
-def test_a_client_that_left_while_its_send_waited_is_not_sent_on(leaves: str) -> None:
-    """Found by reading: what had been decided began all the same once a connection was free."""
-    held = Held()
-    held.engine.pool.descriptor_quota.acquire()  # so the send waits for a descriptor
-    client = held.router.client()
+@pytest.mark.parametrize("departure", ["close", "cancel", "reset"])
+def test_a_client_that_left_while_its_send_waited_is_not_sent_on(departure: str) -> None:
+    """Guards against sending an attempt that waited for a connection while its client disconnected."""
+    setup = BlockedEngineSetup()
+    setup.engine.pool.descriptor_quota.acquire()  # makes the attempt wait for a descriptor
+    client = setup.router.client()
     client.ask("look")
-    until(lambda: held.engine.pool.waiters)
-    still = held.still()  # the desk does not hear that it left
-    leave(client, leaves)
-    until(lambda: all(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
-    held.engine.pool.descriptor_quota.release()
-    held.engine.serve_waiters()
-    until(lambda: not held.engine.attempts)
-    still.set()
-    until(lambda: not held.desk.open_requests)
-    assert not held.starts()
+    until(lambda: setup.engine.pool.waiters)
+    resume = setup.pause_dispatcher()  # the dispatcher does not learn of the disconnect
+    disconnect(client, departure)
+    until(lambda: all(a.abandoned for c in setup.router.listener.sessions for a in c.calls.values()))
+    setup.engine.pool.descriptor_quota.release()
+    setup.engine.serve_waiters()
+    until(lambda: not setup.engine.attempts)
+    resume.set()
+    until(lambda: not setup.dispatcher.open_requests)
+    assert not setup.starts()
 
 
 def test_what_a_client_asked_before_it_left_the_queue_of_the_machine_is_not_sent_on() -> None:
-    """Found by reading: it was read, and sent on before the end behind it was."""
-    held = Held()
-    held.go.set()
-    share = held.router.listener.descriptors
-    gevent.sleep(0)  # the one place that the listener has is taken by the first client
-    first = held.router.client()
-    first.ask("load", ref="a" * 16)
-    assert first.hear()[3]
-    taken = [share.acquire(blocking=False) for _ in range(share.counter)]
-    held.router.listener.sessions.clear()  # none of them may go for a new one
-    gone, last = held.router.client(), held.router.client()
-    gone.ask("look", ref="b" * 16)
-    gone.sock.close()
-    last.ask("look", ref="c" * 16)
+    """Guards against sending a request whose connection ended in the backlog, before its end was read."""
+    setup = BlockedEngineSetup()
+    setup.release_answers.set()
+    quota = setup.router.listener.descriptors
+    gevent.sleep(0)  # the listener blocks in accept, which the first client completes
+    first_client = setup.router.client()
+    first_client.ask("load", ref="a" * 16)
+    assert first_client.hear()[3]
+    taken = [quota.acquire(blocking=False) for _ in range(quota.counter)]
+    setup.router.listener.sessions.clear()  # so no session is closed for a new connection
+    closed_client, last_client = setup.router.client(), setup.router.client()
+    closed_client.ask("look", ref="b" * 16)
+    closed_client.sock.close()
+    last_client.ask("look", ref="c" * 16)
     for _ in taken:
-        share.release()
-    assert last.hear()[3] and held.starts() == ["a" * 16, "c" * 16]
+        quota.release()
+    assert last_client.hear()[3] and setup.starts() == ["a" * 16, "c" * 16]
 
 
 def test_a_cancel_of_a_call_under_an_open_id_leaves_the_first_alone() -> None:
-    """Found by reading: the desk took the one that has the id for the one that was cancelled."""
-    held = Held()
-    client = held.router.client()
+    """Guards against cancelling the open request that has the same id as the cancelled call."""
+    setup = BlockedEngineSetup()
+    client = setup.router.client()
     client.ask("load", ref="a" * 16)
-    until(held.starts)
-    still = held.still()
-    second = client.ask("load", ref="a" * 16)
-    client.send(2, "cancel", [second])
-    until(lambda: any(a.abandoned for c in held.router.listener.sessions for a in c.calls.values()))
-    still.set()
-    held.go.set()
+    until(setup.starts)
+    resume = setup.pause_dispatcher()
+    second_call = client.ask("load", ref="a" * 16)
+    client.send(2, "cancel", [second_call])
+    until(lambda: any(a.abandoned for c in setup.router.listener.sessions for a in c.calls.values()))
+    resume.set()
+    setup.release_answers.set()
     assert client.hear()[:2] == [1, 1]
 
 
 def test_a_client_that_is_held_back_is_heard_to_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by reading: the reader waited for its errors to be written, and for nothing else."""
-    held, wrote = Held(), Event()
-    monkeypatch.setattr(ClientSession, "_write", lambda self, message, until: wrote.wait())
-    client = held.router.client()
+    """Guards against missing a disconnect while reading is paused until error answers are written."""
+    setup, written = BlockedEngineSetup(), Event()
+    monkeypatch.setattr(ClientSession, "_write", lambda self, message, until: written.wait())
+    client = setup.router.client()
     client.ask("look", wait="8000")
-    until(held.starts)
+    until(setup.starts)
     for _ in range(40):
         client.ask("no-such-profile")
-    until(lambda: any(c.mailbox.qsize() > 32 for c in held.router.listener.sessions))
+    until(lambda: any(c.mailbox.qsize() > 32 for c in setup.router.listener.sessions))
     client.sock.shutdown(socket.SHUT_WR)
-    until(lambda: not held.desk.open_requests)
-    wrote.set()
+    until(lambda: not setup.dispatcher.open_requests)
+    written.set()
 
 
 def test_a_connection_that_comes_to_rest_makes_room_for_one_that_waits() -> None:
-    """Found by reading: the listener looked for one once, and then waited for any to end by itself."""
-    held = Held(clients=2)
-    clients = [held.router.client() for _ in range(3)]
+    """Guards against a listener that looks for an unused session once, and then waits for one to close."""
+    setup = BlockedEngineSetup(clients=2)
+    clients = [setup.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
         client.ask("load", ref=f"{n:016x}")
-    until(lambda: held.router.listener.descriptors.locked() and held.starts())
-    held.go.set()
+    until(lambda: setup.router.listener.descriptors.locked() and setup.starts())
+    setup.release_answers.set()
     assert all(client.hear()[3] for client in clients)
 
 
-class Crossing:
-    """One send whose connection comes up just after something else has happened."""
+class ConnectRace:
+    """An attempt whose connection is established right after an interfering event.
+
+    Attributes:
+        sql: The engine.
+        recorder: Recorder of the attempt's outcome.
+        engine: Client of the engine.
+        attempt: The attempt.
+    """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, meanwhile: Callable[[Crossing], None]) -> None:
-        self.sql, self.outcomes, connect = SqlEngine(good), Outcomes(), connection_pool.connect
-        self.engine = EngineClient(self.outcomes, "s-0", self.sql.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
-        self.send = AttemptCall("0" * 16, 0, "load", b"", 0, clock() + 3)
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, interfere: Callable[[ConnectRace], None]) -> None:
+        self.sql, self.recorder, connect = SqlEngine(reply_good), OutcomeRecorder(), connection_pool.connect
+        self.engine = EngineClient(self.recorder, "s-0", self.sql.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
+        self.attempt = AttemptCall("0" * 16, 0, "load", b"", 0, clock() + 3)
 
-        def late(*args: Any) -> Any:
+        def connect_and_interfere(*args: Any) -> Any:
             stream = connect(*args)
-            meanwhile(self)
+            interfere(self)
             return stream
 
-        monkeypatch.setattr(connection_pool, "connect", late)
-        self.engine.post(self.engine.start_attempt, self.send)
-        until(lambda: self.outcomes.ends)
+        monkeypatch.setattr(connection_pool, "connect", connect_and_interfere)
+        self.engine.post(self.engine.start_attempt, self.attempt)
+        until(lambda: self.recorder.outcomes)
 
 
 @pytest.mark.parametrize(
-    ("meanwhile", "end"),
+    ("interfere", "outcome"),
     [
-        (lambda at: at.engine.update_entry(False, 0.0), AttemptOutcome.WITHHELD),  # it drains
-        (lambda at: at.engine.retire(), AttemptOutcome.WITHHELD),  # its address may be another's by now
-        (lambda at: setattr(at.send, "begin_by", 0.0), AttemptOutcome.WITHHELD),  # what allowed it is over
-        (lambda at: setattr(at.send, "deadline", clock()), AttemptOutcome.UNSENT),
-        (lambda at: setattr(at.send, "is_wanted", lambda: False), AttemptOutcome.UNSENT),
-        (lambda at: at.engine.cancel_attempt(at.send.ref, 0), AttemptOutcome.UNSENT),
+        (lambda race: race.engine.update_entry(False, 0.0), AttemptOutcome.WITHHELD),  # the engine drains
+        (lambda race: race.engine.retire(), AttemptOutcome.WITHHELD),  # another engine may have its address
+        # The scheduler's time limit has passed.
+        (lambda race: setattr(race.attempt, "begin_by", 0.0), AttemptOutcome.WITHHELD),
+        (lambda race: setattr(race.attempt, "deadline", clock()), AttemptOutcome.UNSENT),
+        (lambda race: setattr(race.attempt, "is_wanted", lambda: False), AttemptOutcome.UNSENT),
+        (lambda race: race.engine.cancel_attempt(race.attempt.ref, 0), AttemptOutcome.UNSENT),
     ],
 )
 def test_what_happens_while_a_connection_comes_up_keeps_the_send_back(
-    meanwhile: Callable[[Crossing], None], end: AttemptOutcome, monkeypatch: pytest.MonkeyPatch
+    interfere: Callable[[ConnectRace], None], outcome: AttemptOutcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    at = Crossing(monkeypatch, meanwhile)
-    assert at.outcomes.ends == [end] and end.never_ran and not at.sql.calls
+    race = ConnectRace(monkeypatch, interfere)
+    assert race.recorder.outcomes == [outcome] and outcome.never_ran and not race.sql.calls
 
 
 def test_a_try_on_a_second_connection_is_asked_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    def breaks(line: EngineConnection, request: bytes, until: float) -> None:
-        sends[0].begin_by = 0.0
+    def fail_to_send(connection: EngineConnection, request: bytes, deadline: float) -> None:
+        sent_attempts[0].begin_by = 0.0
         raise StreamClosedError(CloseReason.RESET)
 
-    monkeypatch.setattr(EngineConnection, "send_request", breaks)
-    sends = list[AttemptCall]()
-    at = Crossing(monkeypatch, lambda at: sends.append(at.send))
-    assert at.outcomes.ends == [AttemptOutcome.WITHHELD] and not at.sql.calls
+    monkeypatch.setattr(EngineConnection, "send_request", fail_to_send)
+    sent_attempts = list[AttemptCall]()
+    race = ConnectRace(monkeypatch, lambda race: sent_attempts.append(race.attempt))
+    assert race.recorder.outcomes == [AttemptOutcome.WITHHELD] and not race.sql.calls
 
 
 def test_a_second_answer_that_comes_after_the_next_call_is_not_its_result() -> None:
-    """Found by reading: between a connection's idle check and its next answer a late copy could come."""
-    results, of = {b"one": row("1"), b"two": row("2")}, dict[str, bytes]()
+    """Guards against a duplicate response that arrives after a connection was checked for unread bytes."""
+    results, statements = {b"one": row("1"), b"two": row("2")}, dict[str, bytes]()
 
-    class Twice(SqlEngine):
+    class SocketRecordingEngine(SqlEngine):
         def _talk(self, sock: Any) -> None:
             self.last = sock
             super()._talk(sock)
 
     def reply(call: str, fields: dict[str, str], body: bytes) -> bytes:
         ref = fields.get("X-Hop-Id") or call[7:23]
-        said = answer(200, results[of.setdefault(ref, body)], X_Sheets=1, X_Toil=len(of))
-        if body == b"two":  # the call is here, and so the connection was found idle
-            sql.last.sendall(answer(200, results[b"one"], X_Sheets=1, X_Toil=1))
-        return said
+        response = answer(200, results[statements.setdefault(ref, body)], X_Sheets=1, X_Toil=len(statements))
+        if body == b"two":  # the call has arrived, so the connection was already checked
+            sql_engine.last.sendall(answer(200, results[b"one"], X_Sheets=1, X_Toil=1))
+        return response
 
-    sql = Twice(reply)
-    client = Router(sql.address).client()
+    sql_engine = SocketRecordingEngine(reply)
+    client = Router(sql_engine.address).client()
     for text, result in results.items():
         client.ask("load", text.decode())
         assert client.hear()[3] == [result, {}]
-    assert len(sql.asked("POST")) == 2 and sql.connections == 2
+    assert len(sql_engine.asked("POST")) == 2 and sql_engine.connections == 2
 
 
 def name_server() -> socket.socket:
+    """Returns the socket of a name server, which the test answers for."""
     sock = socket.socket(type=socket.SOCK_DGRAM)
     sock.bind((HOST, 0))
     return sock
 
 
-KNOWN = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
+INITIAL_ENGINES = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
 
 
 def test_an_answer_of_the_directory_counts_however_many_were_asked_after_it() -> None:
-    """Found by reading: one that took over a second matched none of the last four questions, for ever."""
-    server, desk = name_server(), Listener()
-    directory = EngineDiscovery(desk, DEPLOYMENT, KNOWN, server.getsockname())  # type: ignore[arg-type]
-    asked = [server.recvfrom(4096) for _ in range(7)]
-    question, sender = asked[0]
+    """Guards against ignoring every response of a name server that takes over 1 s to answer.
+
+    Responses were compared with the last four queries only, so that a slow one never matched.
+    """
+    server, dispatcher = name_server(), EngineListRecorder()
+    discovery = EngineDiscovery(dispatcher, DEPLOYMENT, INITIAL_ENGINES, server.getsockname())  # type: ignore[arg-type]
+    queries = [server.recvfrom(4096) for _ in range(7)]
+    question, sender = queries[0]
     server.sendto(dns_answer(question, 2, {"s-b": (HOST, 2000)}), sender)
-    until(lambda: len(desk.lists) == 2)
-    server.sendto(dns_answer(asked[1][0], 1, {}), sender)  # and one that is old tells nothing
-    server.sendto(dns_answer(asked[2][0], 3, {}), sender)
-    until(lambda: len(desk.lists) == 3)
-    assert [len(engines) for engines, _ in desk.lists] == [1, 1, 0]
-    directory.greenlet.kill()
+    until(lambda: len(dispatcher.lists) == 2)
+    server.sendto(dns_answer(queries[1][0], 1, {}), sender)  # an outdated response is ignored
+    server.sendto(dns_answer(queries[2][0], 3, {}), sender)
+    until(lambda: len(dispatcher.lists) == 3)
+    assert [len(engines) for engines, _ in dispatcher.lists] == [1, 1, 0]
+    discovery.greenlet.kill()
 
 
 def test_another_name_server_needs_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by reading: with none left, the move left a router with no list for good."""
-    old, new, desk = name_server(), name_server(), Listener()
-    directory = EngineDiscovery(desk, DEPLOYMENT, KNOWN, old.getsockname())  # type: ignore[arg-type]
-    question, sender = old.recvfrom(4096)
+    """Guards against losing the engine list for good if the name server changes and no descriptor is free."""
+    old_server, new_server, dispatcher = name_server(), name_server(), EngineListRecorder()
+    discovery = EngineDiscovery(dispatcher, DEPLOYMENT, INITIAL_ENGINES, old_server.getsockname())  # type: ignore[arg-type]
+    question, sender = old_server.recvfrom(4096)
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", lambda *args, **kwargs: exec("raise OSError(24, 'no descriptor')"))
-        directory.post(directory.set_nameserver, new.getsockname())
-        old.sendto(dns_answer(question, 9, {}), sender)
-        question, sender = new.recvfrom(4096)
-    old.sendto(dns_answer(question, 9, {}), sender)
-    new.sendto(dns_answer(question, 2, {"s-b": (HOST, 2000)}), sender)
-    until(lambda: len(desk.lists) == 2)
-    assert [entry.name for entry, _ in desk.lists[1][0]] == ["s-b"]
-    directory.greenlet.kill()
+        discovery.post(discovery.set_nameserver, new_server.getsockname())
+        old_server.sendto(dns_answer(question, 9, {}), sender)
+        question, sender = new_server.recvfrom(4096)
+    old_server.sendto(dns_answer(question, 9, {}), sender)
+    new_server.sendto(dns_answer(question, 2, {"s-b": (HOST, 2000)}), sender)
+    until(lambda: len(dispatcher.lists) == 2)
+    assert [entry.name for entry, _ in dispatcher.lists[1][0]] == ["s-b"]
+    discovery.greenlet.kill()
 
 
 def test_what_comes_with_the_close_is_not_sent_on_and_destroys_no_answer() -> None:
-    """Found by reading: a request that met the close reset the connection and what was on its way."""
-    big = b"".join(row(f"{n:05}" * 20) for n in range(19))
-    pages = [answer(200, big, X_Sheets=8), *(answer(200, big, X_Sheet=n) for n in range(1, 8))]
-    sql = SqlEngine(lambda call, fields, body: pages[0] if "POST" in call else pages[int(call[-1])])
-    router = Router(sql.address)
+    """Guards against a request that arrives during the close resetting the connection and its last answer."""
+    page = b"".join(row(f"{n:05}" * 20) for n in range(19))
+    pages = [answer(200, page, X_Sheets=8), *(answer(200, page, X_Sheet=n) for n in range(1, 8))]
+    sql_engine = SqlEngine(lambda call, fields, body: pages[0] if "POST" in call else pages[int(call[-1])])
+    router = Router(sql_engine.address)
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)  # most of it waits at the router's end
+    # Most of the answer stays in the router's send buffer.
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     sock.connect(router.listener.sock.getsockname())
     client = RpcClient.__new__(RpcClient)
     client.sock, client.unpacker, client.last = sock, msgpack.Unpacker(), 0
@@ -294,17 +330,17 @@
     assert not router.listener.close_idle_sessions()
     client.ask("load", ref="b" * 16)
     until(lambda: not router.listener.sessions)
-    assert client.hear()[3] == [big * 8, {}] and client.hear() is None
-    assert len(sql.asked("POST")) == 1
+    assert client.hear()[3] == [page * 8, {}] and client.hear() is None
+    assert len(sql_engine.asked("POST")) == 1
 
 
 def test_what_the_machine_has_accepted_before_the_listener_ends_is_answered() -> None:
-    held = Held()
-    held.go.set()
-    listener, address = held.router.listener, held.router.listener.sock.getsockname()
+    setup = BlockedEngineSetup()
+    setup.release_answers.set()
+    listener, address = setup.router.listener, setup.router.listener.sock.getsockname()
     gevent.sleep(0)
     listener.accept_greenlet.kill()
-    clients = [held.router.client() for _ in range(3)]
+    clients = [setup.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
         client.ask("load", ref=f"{n:016x}")
     listener.stop_accepting(clock() + 1.0)
@@ -313,8 +349,8 @@
         RpcClient(address)
 
 
-def reader_of(pipe: Any) -> int:
-    """The pipe's other end, once somebody reads it."""
+def open_for_writing(pipe: Any) -> int:
+    """Opens a pipe for writing, once another process has opened it for reading."""
     with gevent.Timeout(10):
         while True:
             try:
@@ -323,24 +359,24 @@
                 gevent.sleep(0.005)
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_before_anybody_can_act_on_it_is_kept(number: int, tmp_path: Any) -> None:
-    """The configuration is a pipe, so that the router stands still before it is wired."""
-    (_, listen), (_, peer), moved = closed_port(), closed_port(), name_server()
-    pipe, after = tmp_path / "config.json", tmp_path / "after.json"
-    text = configuration(listen, peer, closed_port(), {}, SETTINGS)
-    after.write_text(configuration(listen, peer, moved.getsockname(), {}, SETTINGS))
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
+def test_a_signal_before_anybody_can_act_on_it_is_kept(signal_number: int, tmp_path: Any) -> None:
+    """The configuration is a pipe, so that the router blocks before its actors are connected."""
+    (_, listen), (_, peer), new_name_server = closed_port(), closed_port(), name_server()
+    pipe, changed_config = tmp_path / "config.json", tmp_path / "after.json"
+    config_text = configuration(listen, peer, closed_port(), {}, SETTINGS)
+    changed_config.write_text(configuration(listen, peer, new_name_server.getsockname(), {}, SETTINGS))
     os.mkfifo(pipe)
-    router = command("serve", config=str(pipe))
+    router = start_command("serve", config=str(pipe))
     try:
-        with open(reader_of(pipe), "w") as config:
-            os.replace(after, pipe)
-            router.send_signal(number)
-            config.write(text)
-        if number == signal.SIGTERM:
+        with open(open_for_writing(pipe), "w") as config:
+            os.replace(changed_config, pipe)
+            router.send_signal(signal_number)
+            config.write(config_text)
+        if signal_number == signal.SIGTERM:
             assert router.wait(10) == 0 and "serving" not in router.stdout.read()
         else:
-            assert moved.recv(4096)
+            assert new_name_server.recv(4096)
             router.send_signal(signal.SIGTERM)
             assert router.wait(10) == 0
     finally:
@@ -349,28 +385,28 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_leave_list_engines_and_log_theirs(tmp_path: Any) -> None:
-    """The name server says nothing until they have come, and the only engine is one that it tells of then."""
+    """The name server answers only after they have connected, and its response lists the only engine."""
     (_, listen), (_, peer), server = closed_port(), closed_port(), name_server()
-    sql, path, sockets = SqlEngine(good), tmp_path / "config.json", 112
+    sql_engine, path, sockets = SqlEngine(reply_good), tmp_path / "config.json", 112
     path.write_text(configuration(listen, peer, server.getsockname(), {}, SETTINGS, sockets=sockets))
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
-    router = command("serve", config=str(path), before=limit)
+    router = start_command("serve", config=str(path), preexec=limit_descriptors)
     try:
         until(lambda: socket.socket().connect_ex((HOST, listen)) == 0, 10)
-        idle = [socket.create_connection((HOST, listen)) for _ in range(2 * sockets)]
-        held = f"/proc/{router.pid}/fd"
-        until(lambda: len(os.listdir(held)) > sockets // 3 + 16)
+        idle_clients = [socket.create_connection((HOST, listen)) for _ in range(2 * sockets)]
+        fd_folder = f"/proc/{router.pid}/fd"
+        until(lambda: len(os.listdir(fd_folder)) > sockets // 3 + 16)
         assert server.recvfrom(4096)
-        for _ in range(4):  # what was asked before they came is still there to be read
+        for _ in range(4):  # earlier queries are still in the socket's buffer
             question, sender = server.recvfrom(4096)
-            server.sendto(dns_answer(question, 2, {"s-a": sql.address}, started=0), sender)
+            server.sendto(dns_answer(question, 2, {"s-a": sql_engine.address}, started=0), sender)
         client = RpcClient((HOST, listen))
         client.ask("load")
-        assert client.hear()[3] and sql.asked("POST")
-        assert len(os.listdir(held)) < sockets and len(idle) == 2 * sockets
+        assert client.hear()[3] and sql_engine.asked("POST")
+        assert len(os.listdir(fd_folder)) < sockets and len(idle_clients) == 2 * sockets
         router.send_signal(signal.SIGTERM)
         assert router.wait(10) == 0 and '"stopped"' in router.stdout.read()
     finally:
--- a/tests/net/test_rpc.py
+++ b/tests/net/test_rpc.py
@@ -1,4 +1,4 @@
-"""Framing and types of MessagePack-RPC, and the decoding of calls, without sockets."""
+"""Tests of MessagePack-RPC framing and of the decoding of calls, without sockets."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
 
 
 def decoded(data: bytes) -> tuple[list[Message], int]:
+    """Returns the complete messages in the data and their total size in bytes."""
     decoder = MessageDecoder(memoryview(data))
     return list(decoder), decoder.consumed
 
@@ -68,7 +69,7 @@
         msgpack.packb(msgpack.ExtType(1, b"x")),
     ],
 )
-def test_what_is_no_message_ends_the_decoding_behind_those_before_it(message: bytes) -> None:
+def test_invalid_bytes_end_the_decoding_after_the_messages_before_them(message: bytes) -> None:
     good = msgpack.packb(SENT[0])
     decoder = MessageDecoder(memoryview(good + message))
     messages = iter(decoder)
@@ -88,7 +89,7 @@
         (Response(7, protocol.invalid_error("no"), None), [1, 7, ["Invalid", {"why": "no"}], None]),
     ],
 )
-def test_each_answer_has_its_bytes(response: Response, message: list[Any]) -> None:
+def test_responses_are_encoded(response: Response, message: list[Any]) -> None:
     assert response.encode() == msgpack.packb(message)
 
 
@@ -121,7 +122,7 @@
         ({"need_mb": None}, "need_mb is not a number in range"),
     ],
 )
-def test_a_query_with_an_unfit_field_names_it(fields: dict[str, Any], reason: str) -> None:
+def test_an_error_for_a_query_names_its_invalid_field(fields: dict[str, Any], reason: str) -> None:
     with pytest.raises(protocol.InvalidCallError) as err:
         protocol.decode_query("look", {**QUERY, **fields}, [b"select 1"], DEPLOYMENT)
     assert str(err.value) == reason
@@ -132,7 +133,7 @@
     fields = {"spool": "t" * 64, "page": "12", "tenant": "acme"}
     assert protocol.decode_page_call(fields, DEPLOYMENT) == protocol.PageCall("t" * 64, tenant, 12)
     assert protocol.decode_release_call(fields, DEPLOYMENT) == protocol.ReleaseCall("t" * 64, tenant)
-    for unfit in (
+    for invalid_fields in (
         {"spool": ""},
         {"spool": "t" * 65},
         {"spool": 1},
@@ -141,4 +142,4 @@
         {"page": 1},
     ):
         with pytest.raises(protocol.InvalidCallError):
-            protocol.decode_page_call(fields | unfit, DEPLOYMENT)
+            protocol.decode_page_call(fields | invalid_fields, DEPLOYMENT)
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that several tests share."""
+"""Test doubles shared by several test packages."""
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -1,5 +1,8 @@
-"""A disk in memory that fails, cuts and forgets as disks do, and chores and threads that run in step with a
-test."""
+"""An in-memory disk that injects faults, and replacements for the task runner and threads.
+
+The disk can fail a write, lose power, and lose writes that were not synced. The replacements run tasks and
+calls synchronously, so that a test controls their order.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,26 @@
 
 @dataclass
 class File:
-    data: bytearray = field(default_factory=bytearray)  # as a reader sees it
+    """A file of the disk.
+
+    Attributes:
+        data: Content as a reader sees it.
+        synced: Content at the last sync.
+        unsynced: Offset and bytes of each write since the last sync.
+    """
+
+    data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
-    unsynced: list[tuple[int, bytes]] = field(default_factory=list)  # offset and bytes, since the last sync
+    unsynced: list[tuple[int, bytes]] = field(default_factory=list)
 
-    def survivor(self, chance: random.Random) -> File:
-        """What a machine that lost its power may find: any of the writes, in any order, each perhaps in
-        part."""
+    def survivor(self, rng: random.Random) -> File:
+        """Returns a possible state after a power failure.
+
+        Any of the writes since the last sync may be there, in any order, and each may be incomplete.
+        """
         data = bytearray(self.synced)
-        for offset, written in chance.sample(self.unsynced, len(self.unsynced)):
-            part = written[: chance.choice((0, len(written), chance.randrange(len(written) + 1)))]
+        for offset, written in rng.sample(self.unsynced, len(self.unsynced)):
+            part = written[: rng.choice((0, len(written), rng.randrange(len(written) + 1)))]
             if part:
                 data.extend(bytes(max(offset + len(part) - len(data), 0)))
                 data[offset : offset + len(part)] = part
@@ -32,34 +45,47 @@
 
 
 class FaultyDisk(Disk):
-    """Counts its changes; one of them may fail, and after `cut` no more happen."""
+    """A disk in memory that counts changes, can fail one of them, and can lose power.
+
+    Attributes:
+        files: Files as a reader sees them, keyed by name.
+        synced_names: Files by the names that the last sync of the folder made durable.
+        open: Open files, keyed by file descriptor.
+        changes: Number of changes tried so far.
+        fail_at: Number of the change that fails; -1 for none.
+        error: Error number of the failure.
+        cut_at: Number of the first change that fails because the power is lost; -1 for none.
+        before_sync: Called before each sync; None for nothing.
+    """
 
     def __init__(self, fail_at: int = -1, error: int = errno.EIO, cut_at: int = -1) -> None:
         super().__init__("nowhere")
-        self.files, self.lasting = dict[str, File](), dict[str, File]()  # lasting: names that a sync has kept
+        self.files, self.synced_names = dict[str, File](), dict[str, File]()
         self.open: dict[int, File] = {}
         self.changes, self.fail_at, self.error, self.cut_at = 0, fail_at, error, cut_at
-        self.stalled: Callable[[], object] | None = None  # called before each sync
+        self.before_sync: Callable[[], object] | None = None
 
     @property
     def cut(self) -> bool:
+        """Whether the power is lost."""
         return 0 <= self.cut_at <= self.changes
 
     def _change(self) -> None:
         self.changes += 1
         if self.cut:
-            raise OSError(errno.EIO, "the power is gone")
+            raise OSError(errno.EIO, "simulated power failure")
         if self.changes == self.fail_at:
-            raise OSError(self.error, "as told")
+            raise OSError(self.error, "injected fault")
 
-    def survivor(self, chance: random.Random) -> FaultyDisk:
-        left = FaultyDisk()
-        names = dict(self.lasting)
-        if chance.random() < 0.5:  # the folder was written by itself, whole
+    def survivor(self, rng: random.Random) -> FaultyDisk:
+        """Returns a possible state of the disk after a power failure."""
+        survivor_disk = FaultyDisk()
+        names = dict(self.synced_names)
+        if rng.random() < 0.5:  # the host wrote the whole folder without a sync
             names = dict(self.files)
-        left.files = {name: file.survivor(chance) for name, file in names.items()}
-        left.lasting = dict(left.files)
-        return left
+        survivor_disk.files = {name: file.survivor(rng) for name, file in names.items()}
+        survivor_disk.synced_names = dict(survivor_disk.files)
+        return survivor_disk
 
     def prepare(self) -> None: ...
 
@@ -82,7 +108,7 @@
         try:
             self._change()
         except OSError:
-            part = data[: len(data) // 2]  # a part of it may have come to lie there
+            part = data[: len(data) // 2]  # a failed write may have written a part
             file.unsynced.append((len(file.data), part))
             file.data += part
             raise
@@ -90,15 +116,14 @@
         file.data += data
 
     def sync(self, fd: int) -> None:
-        if self.stalled is not None:
-            self.stalled()
+        if self.before_sync is not None:
+            self.before_sync()
         file = self.open[fd]
         try:
             self._change()
         except OSError:
-            file.unsynced = file.unsynced[
-                : len(file.unsynced) // 2
-            ]  # the rest is forgotten, though it reads well
+            # A failed sync may lose writes that can still be read.
+            file.unsynced = file.unsynced[: len(file.unsynced) // 2]
             raise
         file.synced, file.unsynced = bytes(file.data), []
 
@@ -106,7 +131,7 @@
 
     def sync_folder(self) -> None:
         self._change()
-        self.lasting = dict(self.files)
+        self.synced_names = dict(self.files)
 
     def read(self, name: str, offset: int, count: int) -> bytes:
         if name not in self.files:
@@ -123,7 +148,7 @@
 
 
 class InStep:
-    """In place of threads: the call is made at once."""
+    """Replacement for the thread pool: makes each call at once in the caller's greenlet."""
 
     def __init__(self, size: int) -> None: ...
 
@@ -132,7 +157,11 @@
 
 
 class ByHand:
-    """In place of the scheduler: a chore runs from start to end when the test says so."""
+    """Replacement for the runner of background tasks: a task runs to its end when the test calls `run`.
+
+    Attributes:
+        steps: Functions that start the registered tasks, keyed by name.
+    """
 
     def __init__(self) -> None:
         self.steps: dict[str, Callable[[], TaskSteps]] = {}
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -1,6 +1,6 @@
-"""Stand-ins: a port that records, a small deployment to decide for, and what a router talks to on sockets.
+"""Test doubles: a recording scheduler port, settings of small deployments, and a recorder of engine lists.
 
-Those on sockets are the lab's.
+Test doubles for clients, engines and name servers on sockets are in `marbleworks.lab.standins`.
 """
 
 from __future__ import annotations
@@ -73,10 +73,16 @@
 
 @dataclass
 class Recorder:
-    """A port that writes down what is asked of it."""
+    """A scheduler port that records the scheduler's calls.
+
+    Attributes:
+        clock: Current time in seconds.
+        due: Earliest requested wake-up; infinite for none.
+        asked: Recorded calls: a word for the method, then its arguments.
+    """
 
     clock: float = 100.0
-    due: float = math.inf  # the one wish that is kept: the earliest
+    due: float = math.inf
     asked: list[tuple[Any, ...]] = field(default_factory=list)
 
     def now(self) -> float:
@@ -111,22 +117,38 @@
         self.asked.append(("log", text))
 
     def sent(self, ref: str | None = None) -> list[int]:
+        """Returns the engine ids of the started attempts, of one request or of all."""
         return [a[2] for a in self.asked if a[0] == "send" and (ref is None or a[1] == ref)]
 
     def finals(self, ref: str) -> list[str]:
+        """Returns the final answers, "shed" or "fail", that a request got."""
         return [a[0] for a in self.asked if a[0] in ("shed", "fail") and a[1] == ref]
 
 
 def engine(
     be: int, listed: EngineStatus = EngineStatus.UP, started: float = 0.0, kind: int = 0
 ) -> EngineEntry:
+    """Returns an entry of the engine list.
+
+    Args:
+        be: Id of the engine.
+        listed: Status of the engine.
+        started: Time in seconds at which its process started.
+        kind: Index of its machine kind.
+    """
     return EngineEntry(
         be, f"engine-{be}", zone=0, machine_kind=kind, cell=0, status=listed, started_at=started
     )
 
 
 class Stage:
-    """One gateway with its recorder."""
+    """A scheduler with a recording port.
+
+    Attributes:
+        port: The recording port.
+        gateway: The scheduler.
+        taken: Number of submitted requests.
+    """
 
     def __init__(self, engines: int = 4, rules: DeploymentRules = RULES, fleet: FleetInfo = FLEET) -> None:
         self.port = Recorder()
@@ -143,6 +165,16 @@
         group: int = 1,
         waited: float = 0.0,
     ) -> RequestState:
+        """Submits a request and returns its handle.
+
+        Args:
+            profile: Its request class.
+            work: Declared work in seconds.
+            left: Seconds until its deadline.
+            key: Requests with the same key run in order; empty for no order.
+            group: Table group.
+            waited: Seconds since it was received.
+        """
         self.taken += 1
         return self.gateway.submit(
             f"c{self.taken}",
@@ -156,7 +188,7 @@
         )
 
     def pass_time(self, seconds: float) -> None:
-        """Lets time run, waking the gateway as it asked."""
+        """Advances the clock and calls the scheduler's timer at the times that it requested."""
         end = self.port.clock + seconds
         while self.port.due <= end:
             self.port.clock, self.port.due = max(self.port.due, self.port.clock), math.inf
@@ -164,7 +196,7 @@
         self.port.clock = end
 
 
-# On sockets.
+# Settings of a deployment for tests on sockets.
 
 CLASS = {"credit": 1.0, "deadline_ms": 4000.0, "slo_ms": 750.0, "aim_stretch": 2.0, "repeat": "read_like"}
 SETTINGS: dict[str, Any] = {
@@ -209,16 +241,23 @@
 DEPLOYMENT = Settings(SETTINGS)
 
 
-class Listener:
-    """In place of the desk where only the list matters."""
+class EngineListRecorder:
+    """Replacement for the dispatcher that records engine lists.
+
+    Attributes:
+        lists: Received lists, each with the flag whether it is complete.
+        updated: Set once a list was received.
+    """
 
     def __init__(self) -> None:
         self.lists: list[tuple[list[Any], bool]] = []
-        self.told = Event()
+        self.updated = Event()
 
-    def post(self, what: Callable[..., None], *args: Any) -> None:
-        what(*args)
+    def post(self, action: Callable[..., None], *args: Any) -> None:
+        """Makes the call at once."""
+        action(*args)
 
-    def update_engines(self, engines: list[Any], whole: bool) -> None:
-        self.lists.append((engines, whole))
-        self.told.set()
+    def update_engines(self, engines: list[Any], is_complete: bool) -> None:
+        """Records an engine list."""
+        self.lists.append((engines, is_complete))
+        self.updated.set()
