--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -108,7 +108,7 @@
             declared: Work in seconds and memory in MB that its client expects it to take.
             tenant: Index of its tenant.
             wait: Seconds after which the client may retry, if the admission controller has no room for the
-                request now; None if the request may run.
+                request now; None otherwise.
         """
         class_index = self.settings.class_index[request.class_name]
         deadline = request.deadline
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -76,6 +76,7 @@
 
     @classmethod
     def divide(cls, max_sockets: int) -> _DescriptorQuotas:
+        """Divides the descriptors of a router between clients and engines."""
         # The usual clients hold at most a third; some more descriptors are left for other clients.
         client_share = max_sockets // 3
         return cls(
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -235,12 +235,12 @@
 
 def test_a_try_on_a_second_connection_is_asked_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail_to_send(connection: EngineConnection, request: bytes, deadline: float) -> None:
-        sent_attempts[0].begin_by = 0.0
+        recorded_attempts[0].begin_by = 0.0
         raise StreamClosedError(CloseReason.RESET)
 
     monkeypatch.setattr(EngineConnection, "send_request", fail_to_send)
-    sent_attempts = list[AttemptCall]()
-    race = ConnectRace(monkeypatch, lambda race: sent_attempts.append(race.attempt))
+    recorded_attempts = list[AttemptCall]()
+    race = ConnectRace(monkeypatch, lambda race: recorded_attempts.append(race.attempt))
     assert race.recorder.outcomes == [AttemptOutcome.WITHHELD] and not race.sql.calls
 
 
