--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -366,9 +366,8 @@
         request = self.requests.fetch(attempt.ref, page)
         started_at = clock()
         tries_left = MAX_CONNECTION_TRIES
-        timeout_s = (
-            protocol.LATENESS_ALLOWANCE_S if page else protocol.POLL_TIMEOUT_S
-        )  # later pages are ready
+        # Pages after the first are ready at the engine.
+        timeout_s = protocol.LATENESS_ALLOWANCE_S if page else protocol.POLL_TIMEOUT_S
         while True:
             try:
                 connection = self.pool.acquire(attempt.ref, attempt.deadline)
