--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -83,9 +83,8 @@
         except Exception:
             is_undecided = self.open_requests.get(ref) is request and request.handle is None
             if is_undecided and not request.completed:
-                self._drop_failed(
-                    ref, request
-                )  # an exception in the admission controller fails only this request
+                # An exception in the admission controller fails only this request.
+                self._drop_failed(ref, request)
             raise
 
     def admit(
@@ -316,18 +315,16 @@
         request.client.post(request.client.shed, request.call_id, retry_after_s)
         if self.admission is not None:
             self.post(self.admission.on_final_answer, ref, True)
-        self.post(
-            self._forget_if_settled, ref
-        )  # posted, since the scheduler settles the request after this call
+        # Posted, since the scheduler settles the request after this call.
+        self.post(self._forget_if_settled, ref)
 
     def fail(self, ref: str) -> None:
         """Answers a request with an error."""
         request = self.open_requests[ref]
         request.completed = True
         request.client.post(request.client.fail, request.call_id, "failed")
-        self.post(
-            self._forget_if_settled, ref
-        )  # posted, since the scheduler settles the request after this call
+        # Posted, since the scheduler settles the request after this call.
+        self.post(self._forget_if_settled, ref)
 
     def probe_load(self, engine_id: int) -> None:
         """Does nothing, since the protocol has no call for an engine's load; responses report the load."""
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -36,9 +36,8 @@
 MAX_CONNECTION_TRIES = (
     6  # connections tried for one response, so that immediate failures do not loop for ever
 )
-READING_NOTICE_INTERVAL_S = (
-    protocol.POLL_TIMEOUT_S
-)  # between reports that a result is being read for the store
+# Interval between reports to the dispatcher that a result is being read into the store.
+READING_NOTICE_INTERVAL_S = protocol.POLL_TIMEOUT_S
 
 
 class AttemptCancelledError(Exception):
