--- a/marbleworks/cli/fair_queue.py
+++ b/marbleworks/cli/fair_queue.py
@@ -20,11 +20,11 @@
     ref: str = typer.Option("", "--ref", help="Print only the request with this id."),
 ) -> None:
     """Print which requests were queued, given a retry promise or shed, and why."""
-    from marbleworks.fair_queue.trace_report import explained
+    from marbleworks.fair_queue.trace_report import explain_decisions
 
     try:
         with open(log, encoding="utf-8", errors="replace") as lines:
-            for line in explained(lines, ref):
+            for line in explain_decisions(lines, ref):
                 typer.echo(line)
     except OSError as error:
         raise failure(f"{log}: {error.strerror}") from None
--- a/marbleworks/fair_queue/admission.py
+++ b/marbleworks/fair_queue/admission.py
@@ -54,17 +54,18 @@
 class AdmissionPort(Protocol):
     """What admission control asks of its surroundings."""
 
-    def let_in(self, ref: str) -> None:
+    def admit(self, ref: str) -> None:
         """Hands an admitted request on to the dispatcher."""
+        ...
 
-    def turn_away(self, ref: str, retry_after_s: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         """Sheds a request; retry_after_s is infinite where no retry was promised."""
-        ...
 
-    def tell_peers(self, data: bytes) -> None:
+    def send_to_peers(self, data: bytes) -> None:
         """Sends a summary to all peers."""
+        ...
 
-    def trace(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
+    def trace_decision(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
         """Logs a decision.
 
         Args:
@@ -76,13 +77,12 @@
         """
         ...
 
-    def broke(self, ref: str, tenant: str, cause: str) -> None:
+    def on_promise_broken(self, ref: str, tenant: str, cause: str) -> None:
         """Reports that a request that claimed its retry promise was not served."""
-        ...
 
 
 @dataclass(slots=True)
-class Arrival:
+class IncomingRequest:
     """A new request.
 
     Attributes:
@@ -111,19 +111,19 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class AdmissionBounds:
     """Bounds and switches of admission control.
 
     Attributes:
         max_waiting: Requests that may wait.
-        size: Bytes of memory that waiting requests may take.
+        max_waiting_bytes: Bytes of memory that waiting requests may take.
         max_promises: Retry promises that may be open at a time.
         shares_usage: Whether summaries are sent to peers and taken from them.
         traces: Whether each decision is logged.
     """
 
     max_waiting: int
-    size: float
+    max_waiting_bytes: float
     max_promises: int
     shares_usage: bool
     traces: bool
@@ -162,9 +162,9 @@
 
     Attributes:
         waiting: Ticket, tenant and arrival time of the waiting requests, by ref.
-        standing: The flow of each tenant that has waiting requests.
+        flow_by_tenant: The flow of each tenant that has waiting requests.
         waiting_counts: Number of waiting requests by tenant.
-        inside: Admitted requests that have not ended, by ref.
+        admitted: Admitted requests that have not ended, by ref.
         admitted_work: Their work by flow.
         estimate_bias: Moving average of actual over estimated work by flow; at most one entry per
             queue.
@@ -182,17 +182,17 @@
         self,
         port: AdmissionPort,
         classifier: FlowClassifier,
-        bounds: Bounds,
+        bounds: AdmissionBounds,
         cores: float,
         max_retry_after_s: float,
     ) -> None:
         self.port, self.classifier, self.bounds = port, classifier, bounds
-        self.fair, self.concurrency_limit = StartTimeFairQueue(), ConcurrencyLimit(cores)
-        self.promises, self.shares = RetryPromises(max_retry_after_s, bounds.max_promises), PeerUsage()
+        self.queue, self.concurrency_limit = StartTimeFairQueue(), ConcurrencyLimit(cores)
+        self.promises, self.peer_usage = RetryPromises(max_retry_after_s, bounds.max_promises), PeerUsage()
         self.waiting: dict[str, tuple[Ticket, str, float]] = {}
-        self.standing: dict[str, int] = {}
+        self.flow_by_tenant: dict[str, int] = {}
         self.waiting_counts: dict[str, int] = {}
-        self.inside: dict[str, AdmittedRequest] = {}
+        self.admitted: dict[str, AdmittedRequest] = {}
         self.admitted_work: dict[int, float] = {}
         self.estimate_bias: dict[int, float] = {}
         self.deadlines: list[tuple[float, int, Ticket]] = []
@@ -207,70 +207,71 @@
         self.engines_lost_at = -math.inf
         self.peak_waiting_bytes = 0
 
-    # Arrivals.
+    # New requests.
 
-    def arrive(self, arrival: Arrival, now: float) -> None:
+    def submit(self, request: IncomingRequest, now: float) -> None:
         """Admits, queues or sheds a new request before it returns, with a bounded amount of computation."""
         self.promises.expire(now)
-        tenant, weight = self.classifier.classify(arrival.tenant_name, arrival.address)
+        tenant, weight = self.classifier.classify(request.tenant_name, request.address)
         flow = self._flow_for(tenant)
-        arrival.work *= self.estimate_bias.get(flow, 1.0)
-        promise = self.promises.find(flow, arrival.fingerprint)
+        request.work *= self.estimate_bias.get(flow, 1.0)
+        promise = self.promises.find(flow, request.fingerprint)
         if promise is not None and now < promise.due_at - MAX_EARLY_S:
-            if self.fair.count or not self.concurrency_limit.has_room(arrival.threads):
-                self._shed(arrival.ref, tenant, promise.due_at - now, AdmissionReason.EARLY)
+            if self.queue.count or not self.concurrency_limit.has_room(request.threads):
+                self._shed(request.ref, tenant, promise.due_at - now, AdmissionReason.EARLY)
                 return
             # There is room now: the promise is claimed as if in time, which frees its place.
-            self.promises.claim(promise, arrival.work, promise.due_at)
-        elif promise is not None and self.promises.claim(promise, arrival.work, now):
-            self.fair.correct(flow, arrival.work)  # charged to its own flow, though ahead of its turn
-            self._enqueue(arrival, tenant, flow, weight, now, AdmissionReason.PROMISE_KEPT)
+            self.promises.claim(promise, request.work, promise.due_at)
+        elif promise is not None and self.promises.claim(promise, request.work, now):
+            self.queue.correct(flow, request.work)  # charged to its own flow, though ahead of its turn
+            self._enqueue(request, tenant, flow, weight, now, AdmissionReason.PROMISE_KEPT)
             return
-        if not self.fair.count and self.concurrency_limit.has_room(arrival.threads):
+        if not self.queue.count and self.concurrency_limit.has_room(request.threads):
             self._admit(
-                arrival.ref,
-                AdmittedRequest(flow, tenant, arrival.work, arrival.threads, now),
+                request.ref,
+                AdmittedRequest(flow, tenant, request.work, request.threads, now),
                 AdmissionReason.ADMITTED_AT_ONCE,
                 0.0,
             )
             return
         if (
-            self.fair.count
-            and self.concurrency_limit.has_room(arrival.threads, HEADROOM)
-            and self.fair.has_credit(flow)
+            self.queue.count
+            and self.concurrency_limit.has_room(request.threads, HEADROOM)
+            and self.queue.has_credit(flow)
         ):
             # Its flow would be served next, so it need not wait for another request to end.
-            self.fair.charge_admitted(flow, weight, arrival.work)
-            self.bypassed.append((now, arrival.work))
-            self.bypassed_work += arrival.work
+            self.queue.charge_admitted(flow, weight, request.work)
+            self.bypassed.append((now, request.work))
+            self.bypassed_work += request.work
             self._admit(
-                arrival.ref,
-                AdmittedRequest(flow, tenant, arrival.work, arrival.threads, now),
+                request.ref,
+                AdmittedRequest(flow, tenant, request.work, request.threads, now),
                 AdmissionReason.ADMITTED_AT_ONCE,
                 0.0,
             )
             return
-        if self._expected_wait(flow, weight, arrival.work, now) > arrival.max_wait_s:
-            self._shed_with_promise(arrival, tenant, flow, weight, now, AdmissionReason.TOO_LATE)
+        if self._expected_wait(flow, weight, request.work, now) > request.max_wait_s:
+            self._shed_with_promise(request, tenant, flow, weight, now, AdmissionReason.TOO_LATE)
             return
         while (
-            self.fair.count >= self.bounds.max_waiting
-            or self.fair.size + arrival.size_bytes + WAITING_OVERHEAD_BYTES > self.bounds.size
+            self.queue.count >= self.bounds.max_waiting
+            or self.queue.size_bytes + request.size_bytes + WAITING_OVERHEAD_BYTES
+            > self.bounds.max_waiting_bytes
         ):
-            heaviest = self.fair.heaviest()
+            heaviest = self.queue.heaviest()
             if (
                 heaviest is None
                 or heaviest.key == flow
                 or self._is_no_heavier(heaviest.work, heaviest.weight, flow, weight)
             ):
-                self._shed_with_promise(arrival, tenant, flow, weight, now, AdmissionReason.FULL)
+                self._shed_with_promise(request, tenant, flow, weight, now, AdmissionReason.FULL)
                 return
-            self._evict(self.fair.last_of(heaviest), now)
-        self._enqueue(arrival, tenant, flow, weight, now, AdmissionReason.QUEUED)
+            self._evict(self.queue.last_of(heaviest), now)
+        self._enqueue(request, tenant, flow, weight, now, AdmissionReason.QUEUED)
 
     def _is_no_heavier(self, work: float, weight: float, flow: int, own_weight: float) -> bool:
         """Returns whether work over weight is at most that of the flow's waiting work."""
-        own_flow = self.fair.flows.get(flow)
+        own_flow = self.queue.flows.get(flow)
         return work / weight <= (own_flow.work if own_flow is not None else 0.0) / own_weight
 
     def _flow_for(self, tenant: str) -> int:
@@ -278,31 +279,31 @@
 
         A tenant with waiting requests keeps its flow, so that its requests keep their order.
         """
-        flow = self.standing.get(tenant)
+        flow = self.flow_by_tenant.get(tenant)
         if flow is not None:
             return flow
         return (
             self.classifier.least_loaded_queue(tenant, self._backlog_of)
-            if self.fair.count
+            if self.queue.count
             else self.classifier.hand(tenant)[0]
         )
 
     def _backlog_of(self, key: int) -> float:
-        flow = self.fair.flows.get(key)
+        flow = self.queue.flows.get(key)
         return flow.work if flow is not None else 0.0
 
     def _expected_wait(self, key: int, weight: float, work: float, now: float) -> float:
         """Estimates how long a request would wait, in seconds, from the shares and the rate."""
-        flow = self.fair.flows.get(key)
+        flow = self.queue.flows.get(key)
         own_work = flow.work if flow is not None and flow.count else 0.0
         peer_rate = flow.current_peer_rate(now) if flow is not None and self.pace else 0.0
         if flow is not None and peer_rate > MIN_PEER_RATE_RATIO * self.rate():
             # The flow gets here what peers leave of its share.
-            return (own_work + self.fair.debt(flow)) / max(
+            return (own_work + self.queue.debt(flow)) / max(
                 weight * self.pace - peer_rate, MIN_PEER_RATE_RATIO * self.rate()
             )
-        total_weight = self.fair.weight + (0.0 if own_work else weight)
-        work_ahead = min((own_work + work) * total_weight / weight, self.fair.work + work)
+        total_weight = self.queue.weight + (0.0 if own_work else weight)
+        work_ahead = min((own_work + work) * total_weight / weight, self.queue.work + work)
         return max(work_ahead - work, 0.0) / self.rate()
 
     def rate(self) -> float:
@@ -324,54 +325,66 @@
         return max(self.rate() - self.bypassed_work / RATE_WINDOW_S, 0.2 * self.rate())
 
     def _enqueue(
-        self, arrival: Arrival, tenant: str, flow: int, weight: float, now: float, reason: AdmissionReason
+        self,
+        request: IncomingRequest,
+        tenant: str,
+        flow: int,
+        weight: float,
+        now: float,
+        reason: AdmissionReason,
     ) -> None:
-        admit_by = now + max(arrival.time_left_s, 0.0)
+        admit_by = now + max(request.time_left_s, 0.0)
         ticket = Ticket(
-            arrival.ref,
+            request.ref,
             flow,
-            arrival.order_key,
-            arrival.work,
-            arrival.size_bytes + WAITING_OVERHEAD_BYTES,
+            request.order_key,
+            request.work,
+            request.size_bytes + WAITING_OVERHEAD_BYTES,
             admit_by,
-            arrival.threads,
+            request.threads,
         )
         if reason is AdmissionReason.PROMISE_KEPT:
-            self.fair.push_priority(ticket)
-            self.promised_refs.add(arrival.ref)
+            self.queue.push_priority(ticket)
+            self.promised_refs.add(request.ref)
         else:
-            self.fair.push(ticket, weight, self.admitted_work.get(flow, 0.0))
-        self.peak_waiting_bytes = max(self.peak_waiting_bytes, self.fair.size)
-        self.waiting[arrival.ref] = ticket, tenant, now
+            self.queue.push(ticket, weight, self.admitted_work.get(flow, 0.0))
+        self.peak_waiting_bytes = max(self.peak_waiting_bytes, self.queue.size_bytes)
+        self.waiting[request.ref] = ticket, tenant, now
         self.ticket_count += 1
         heapq.heappush(self.deadlines, (admit_by, self.ticket_count, ticket))
-        self.standing[tenant] = flow
+        self.flow_by_tenant[tenant] = flow
         self.waiting_counts[tenant] = self.waiting_counts.get(tenant, 0) + 1
-        self._trace(arrival.ref, tenant, reason, 0.0)
+        self._trace(request.ref, tenant, reason, 0.0)
         self.admit_waiting(now)
 
     def _shed_with_promise(
-        self, arrival: Arrival, tenant: str, flow: int, weight: float, now: float, reason: AdmissionReason
+        self,
+        request: IncomingRequest,
+        tenant: str,
+        flow: int,
+        weight: float,
+        now: float,
+        reason: AdmissionReason,
     ) -> None:
-        own_flow = self.fair.flows.get(flow)
-        other_weight = self.fair.weight - (
+        own_flow = self.queue.flows.get(flow)
+        other_weight = self.queue.weight - (
             own_flow.weight if own_flow is not None and own_flow.count else 0.0
         )
         max_share = min(max(weight / (other_weight + weight), MIN_PROMISE_SHARE), MAX_PROMISE_SHARE)
         retry_after_s = self.promises.make(
             flow,
-            arrival.fingerprint,
-            arrival.work,
+            request.fingerprint,
+            request.work,
             now,
             self._promisable_rate(now),
-            self.fair.work,
+            self.queue.work,
             max_share,
         )
-        self._shed(arrival.ref, tenant, retry_after_s, reason)
+        self._shed(request.ref, tenant, retry_after_s, reason)
 
     def _shed(self, ref: str, tenant: str, retry_after_s: float, reason: AdmissionReason) -> None:
         self._trace(ref, tenant, reason, retry_after_s)
-        self.port.turn_away(ref, retry_after_s)
+        self.port.shed(ref, retry_after_s)
 
     def _evict(self, ticket: Ticket, now: float) -> None:
         """Sheds a waiting request to make room for one of a lighter flow."""
@@ -381,7 +394,7 @@
 
     def _remove(self, ticket: Ticket) -> str:
         """Removes a waiting request from the queues and returns its tenant."""
-        self.fair.remove(ticket)
+        self.queue.remove(ticket)
         return self._forget(ticket)
 
     def _forget(self, ticket: Ticket) -> str:
@@ -391,36 +404,36 @@
         self.waiting_counts[tenant] -= 1
         if not self.waiting_counts[tenant]:
             del self.waiting_counts[tenant]
-            self.standing.pop(tenant, None)
+            self.flow_by_tenant.pop(tenant, None)
         return tenant
 
     # Admission.
 
     def admit_waiting(self, now: float) -> None:
         """Admits waiting requests in their order while the concurrency limit has room."""
-        while (ticket := self.fair.first()) is not None and self.concurrency_limit.has_room(ticket.threads):
+        while (ticket := self.queue.first()) is not None and self.concurrency_limit.has_room(ticket.threads):
             if ticket.admit_by <= now:
                 self._time_out(ticket, now)
                 continue
-            self.fair.pop()
+            self.queue.pop()
             _, _, arrived_at = self.waiting[ticket.ref]
             was_promised, tenant = ticket.ref in self.promised_refs, self._forget(ticket)
             admitted = AdmittedRequest(ticket.flow, tenant, ticket.work, ticket.threads, now, was_promised)
             self._admit(ticket.ref, admitted, AdmissionReason.ADMITTED_IN_TURN, now - arrived_at)
 
     def _admit(self, ref: str, admitted: AdmittedRequest, reason: AdmissionReason, waited_s: float) -> None:
-        self.inside[ref] = admitted
+        self.admitted[ref] = admitted
         self.concurrency_limit.in_flight += admitted.threads
         self.admitted_work[admitted.flow] = self.admitted_work.get(admitted.flow, 0.0) + admitted.work
         if self.bounds.shares_usage:
-            self.shares.add(name_hash(admitted.tenant), admitted.work)
+            self.peer_usage.add(name_hash(admitted.tenant), admitted.work)
         if self.bounds.traces:
-            self.port.trace(ref, admitted.tenant, reason, waited_s)
-        self.port.let_in(ref)
+            self.port.trace_decision(ref, admitted.tenant, reason, waited_s)
+        self.port.admit(ref)
 
     # Ends of requests.
 
-    def answered(self, ref: str, work: float | None, idle_engine_s: float, now: float) -> None:
+    def on_answer(self, ref: str, work: float | None, idle_engine_s: float, now: float) -> None:
         """An engine answered an admitted request.
 
         Args:
@@ -429,11 +442,11 @@
             idle_engine_s: Seconds that it takes on an idle engine.
             now: Seconds on a monotonic clock.
         """
-        admitted = self.inside.get(ref)
+        admitted = self.admitted.get(ref)
         if admitted is None:
             return
         if work is not None:
-            self.fair.correct(admitted.flow, work - admitted.work)
+            self.queue.correct(admitted.flow, work - admitted.work)
             bias = work / max(admitted.work, 1e-3) * self.estimate_bias.get(admitted.flow, 1.0)
             bias = BIAS_SMOOTHING * min(max(bias, 1 / MAX_BIAS), MAX_BIAS) + (
                 1 - BIAS_SMOOTHING
@@ -445,10 +458,10 @@
         self.concurrency_limit.record_answer((now - admitted.admitted_at) / (idle_engine_s + 0.02), now)
         self._release(ref, now)
 
-    def over(self, ref: str, shed: bool, now: float) -> None:
+    def on_end_without_answer(self, ref: str, shed: bool, now: float) -> None:
         """An admitted request ended without an answer; shed: because the scheduler shed it."""
-        if ref in self.inside:
-            admitted = self.inside[ref]
+        if ref in self.admitted:
+            admitted = self.admitted[ref]
             if shed:
                 self.concurrency_limit.record_shed(now)
             if shed and admitted.was_promised:
@@ -457,7 +470,7 @@
 
     def _release(self, ref: str, now: float) -> None:
         """Frees the place of an admitted request that ended, and admits others."""
-        admitted = self.inside.pop(ref)
+        admitted = self.admitted.pop(ref)
         self.concurrency_limit.in_flight -= admitted.threads
         remaining = self.admitted_work[admitted.flow] - admitted.work
         if remaining > 1e-9:
@@ -468,7 +481,7 @@
             self.completed_work -= self.completed.popleft()[1]
         self.admit_waiting(now)
 
-    def left(self, ref: str) -> bool:
+    def on_client_disconnect(self, ref: str) -> bool:
         """Drops a waiting request whose client disconnected or cancelled it; False if it does not wait."""
         if ref not in self.waiting:
             return False
@@ -494,31 +507,31 @@
             _, _, ticket = heapq.heappop(self.deadlines)
             if self._is_waiting(ticket):
                 self._time_out(ticket, now)
-        if len(self.deadlines) > 2 * self.fair.count + 64:
+        if len(self.deadlines) > 2 * self.queue.count + 64:
             self.deadlines = [entry for entry in self.deadlines if self._is_waiting(entry[2])]
             heapq.heapify(self.deadlines)
         self.admit_waiting(now)
         if self.bounds.shares_usage and now >= self.summary_sent_at + SUMMARY_INTERVAL_S:
             self.summary_sent_at = now
             self.pace = self._measure_pace(now)
-            self.concurrency_limit.balance(self.shares.pace_ratio(self.pace, now) if self.pace else 1.0)
-            summary = self.shares.summary(self.pace)
+            self.concurrency_limit.balance(self.peer_usage.pace_ratio(self.pace, now) if self.pace else 1.0)
+            summary = self.peer_usage.encode_summary(self.pace)
             if summary is not None:
-                self.port.tell_peers(summary)
+                self.port.send_to_peers(summary)
         return (
             now + SUMMARY_INTERVAL_S / 2
-            if self.fair.count or (self.bounds.shares_usage and self.shares.unreported_work)
+            if self.queue.count or (self.bounds.shares_usage and self.peer_usage.unreported_work)
             else None
         )
 
     def _measure_pace(self, now: float) -> float:
         """Returns the pace of the waiting flows, with the work that peers gave them; 0 where none waits."""
-        if not self.fair.count:
+        if not self.queue.count:
             self.pace_samples.clear()
             return 0.0
-        self.pace_samples.append((now, self.fair.order.virtual_time))
+        self.pace_samples.append((now, self.queue.order.virtual_time))
         since, virtual_time = self.pace_samples[0]
-        return (self.fair.order.virtual_time - virtual_time) / (now - since) if now > since else 0.0
+        return (self.queue.order.virtual_time - virtual_time) / (now - since) if now > since else 0.0
 
     def _time_out(self, ticket: Ticket, now: float) -> None:
         """Sheds a waiting request that would be too late if it were admitted now."""
@@ -531,27 +544,27 @@
         """Records a broken promise; those made before engines were lost may not hold, whatever the cause."""
         self.promises.record_broken()
         is_recent_loss = now < self.engines_lost_at + ENGINE_LOSS_WINDOW_S
-        self.port.broke(ref, tenant, "engines were lost" if is_recent_loss else cause)
+        self.port.on_promise_broken(ref, tenant, "engines were lost" if is_recent_loss else cause)
 
     def _is_waiting(self, ticket: Ticket) -> bool:
         return ticket.ref in self.waiting and self.waiting[ticket.ref][0] is ticket
 
-    def heard(self, peer: int, data: bytes, now: float) -> None:
+    def on_peer_summary(self, peer: int, data: bytes, now: float) -> None:
         """Takes a peer's summary: the work that it admitted is charged to the flows that wait here."""
         if not self.bounds.shares_usage:
             return
-        work_by_tenant = self.shares.heard(peer, data, self.rate(), now)
+        work_by_tenant = self.peer_usage.decode_summary(peer, data, self.rate(), now)
         if work_by_tenant:
-            for tenant, flow in self.standing.items():
+            for tenant, flow in self.flow_by_tenant.items():
                 work = work_by_tenant.get(name_hash(tenant))
                 if work:
-                    self.fair.charge_peer_work(flow, work, now)
+                    self.queue.charge_peer_work(flow, work, now)
 
     def stop(self, now: float) -> None:
         """The router stops: sheds all that waits."""
-        for ticket in list(self.fair.tickets()):
+        for ticket in list(self.queue.tickets()):
             self._shed(ticket.ref, self._remove(ticket), math.inf, AdmissionReason.STOPPING)
 
     def _trace(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
         if self.bounds.traces:
-            self.port.trace(ref, tenant, reason, duration_s)
+            self.port.trace_decision(ref, tenant, reason, duration_s)
--- a/marbleworks/fair_queue/peer_usage.py
+++ b/marbleworks/fair_queue/peer_usage.py
@@ -35,8 +35,8 @@
 
     Attributes:
         unreported_work: Work admitted since the last summary, by hash of the tenant's name.
-        number: Sequence number of the last summary sent.
-        last: Sequence number of the last summary received and the time of it, by peer.
+        sequence_number: Sequence number of the last summary sent.
+        last_received: Sequence number of the last summary received and the time of it, by peer.
         paces: Pace and the time when it was received, by peer where requests wait.
         rejected_count: Summaries that were dropped because of their length or because the sender is no live
             peer, and those that were scaled down.
@@ -45,21 +45,23 @@
 
     def __init__(self) -> None:
         self.unreported_work: dict[int, float] = {}
-        self.number = 0
-        self.last: dict[int, tuple[int, float]] = {}
+        self.sequence_number = 0
+        self.last_received: dict[int, tuple[int, float]] = {}
         self.paces: dict[int, tuple[float, float]] = {}
         self.rejected_count = 0
         self.generations: dict[int, int] | None = None
 
-    def viewed(self, generations: dict[int, int]) -> None:
+    def update_generations(self, generations: dict[int, int]) -> None:
         """Takes over the live peers and their generations.
 
         Summaries of peers that are not live are dropped from now on. A restarted peer numbers its summaries
         from the start, so its last number is forgotten.
         """
         old = self.generations or {}
-        self.last = {
-            peer: last for peer, last in self.last.items() if generations.get(peer, -1) == old.get(peer)
+        self.last_received = {
+            peer: last
+            for peer, last in self.last_received.items()
+            if generations.get(peer, -1) == old.get(peer)
         }
         self.generations = generations
 
@@ -74,7 +76,7 @@
         total_pace = pace + sum(peer_pace for peer_pace, _ in self.paces.values())
         return pace * (1 + len(self.paces)) / total_pace if self.paces and total_pace else 1.0
 
-    def summary(self, pace: float = 0.0) -> bytes | None:
+    def encode_summary(self, pace: float = 0.0) -> bytes | None:
         """Encodes the heaviest tenants of the work admitted since the last summary.
 
         Args:
@@ -93,11 +95,13 @@
             del self.unreported_work[name]
         if len(self.unreported_work) >= MAX_TENANTS // 2:
             self.unreported_work.clear()  # many light tenants: none of them is worth reporting
-        self.number = (self.number + 1) & 0xFFFF
-        header = HEADER.pack(MAGIC, len(entries), self.number, min(round(pace / WORK_UNIT_S), 0xFFFF))
+        self.sequence_number = (self.sequence_number + 1) & 0xFFFF
+        header = HEADER.pack(
+            MAGIC, len(entries), self.sequence_number, min(round(pace / WORK_UNIT_S), 0xFFFF)
+        )
         return header + b"".join(ENTRY.pack(*entry) for entry in entries)
 
-    def heard(self, peer: int, data: bytes, rate: float, now: float) -> dict[int, float]:
+    def decode_summary(self, peer: int, data: bytes, rate: float, now: float) -> dict[int, float]:
         """Decodes a peer's summary.
 
         Args:
@@ -119,7 +123,7 @@
         if len(data) != HEADER.size + count * ENTRY.size:
             self.rejected_count += 1
             return {}
-        last, received_at = self.last.get(peer, (number - 1, now - SUMMARY_INTERVAL_S))
+        last, received_at = self.last_received.get(peer, (number - 1, now - SUMMARY_INTERVAL_S))
         ahead = (number - last) & 0xFFFF
         if ahead == 0 or ahead > 0xFFFF - REORDER_WINDOW:
             return {}  # a duplicate, or older than the last one
@@ -127,7 +131,7 @@
         for i in range(count):
             name, units = ENTRY.unpack_from(data, HEADER.size + i * ENTRY.size)
             work_by_tenant[name] = work_by_tenant.get(name, 0.0) + units * WORK_UNIT_S
-        self.last[peer] = number, now
+        self.last_received[peer] = number, now
         if pace:
             self.paces[peer] = pace * WORK_UNIT_S, now
         else:
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -14,7 +14,12 @@
 import xxhash
 from gevent.event import Event
 
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.fair_queue.peer_usage import MAGIC, MAX_DATAGRAM_BYTES, SUMMARY_INTERVAL_S
 from marbleworks.net.actor import LOG, clock, spawn
@@ -58,15 +63,15 @@
             settings,
         )
         self.tenant_names = list(settings.tenant_index)
-        self.send_to_peers: Callable[[bytes], None] = lambda data: None
+        self.peer_sender: Callable[[bytes], None] = lambda data: None
         self.held_requests: dict[str, HeldRequest] = {}
         self.idle_engine_s: dict[str, float] = {}
         rules = settings.rules
-        self.door = AdmissionController(
+        self.controller = AdmissionController(
             self, self._make_classifier(), self._make_bounds(), self._cores(), rules.max_retry_after_s
         )
         if peers is not None:
-            self.send_to_peers = peers.register(
+            self.peer_sender = peers.register(
                 DatagramKind("door", MAGIC, 2.0 * MAX_DATAGRAM_BYTES / SUMMARY_INTERVAL_S),
                 lambda peer, data: dispatcher.post(self.heard, peer, data),
             )
@@ -79,12 +84,12 @@
             section["queues"], self.scheduler.seed & 0xFFFFFFFF, section["weight"], section["network"]
         )
 
-    def _make_bounds(self) -> Bounds:
+    def _make_bounds(self) -> AdmissionBounds:
         section, shares_usage = (
             self.section,
             self.section["peers"] and self.settings.rules.allows_peer_messages,
         )
-        return Bounds(
+        return AdmissionBounds(
             section["waiting"], section["memory"], section["bookings"], shares_usage, section["trace"]
         )
 
@@ -92,24 +97,30 @@
         """Returns this router's part of the engines' cores."""
         return self.scheduler.cores / self.scheduler.routers
 
-    def change(self, section: dict[str, Any]) -> None:
+    def reload(self, section: dict[str, Any]) -> None:
         """Applies reloaded settings; those that the section does not name stay."""
         self.section = {**self.section, **section}
-        self.door.classifier, self.door.bounds = self._make_classifier(), self._make_bounds()
-        self.door.promises.max_open = self.section["bookings"]
+        self.controller.classifier, self.controller.bounds = self._make_classifier(), self._make_bounds()
+        self.controller.promises.max_open = self.section["bookings"]
 
     # Called by the dispatcher.
 
     def enqueue(
-        self, ref: str, request: OpenRequest, group: int, key: str, estimate: tuple[float, float], tenant: int
+        self,
+        ref: str,
+        request: OpenRequest,
+        table_group: int,
+        ordering_key: str,
+        estimate: tuple[float, float],
+        tenant: int,
     ) -> None:
         """Takes a new request, which is admitted, queued or shed.
 
         Args:
             ref: Reference of the request.
             request: The request.
-            group: Index of its table group.
-            key: Idempotency key, empty if it has none.
+            table_group: Index of its table group.
+            ordering_key: Idempotency key, empty if it has none.
             estimate: Work (seconds) and memory (MB) that the client declares.
             tenant: Index of its tenant, negative if it has none.
         """
@@ -123,7 +134,7 @@
             now - request.received_at,
             request.deadline - now,
         )
-        self.held_requests[ref] = request, group, key, estimate, tenant
+        self.held_requests[ref] = request, table_group, ordering_key, estimate, tenant
         self.idle_engine_s[ref] = idle_engine_s
         tenant_name = self.tenant_names[tenant] if tenant >= 0 else ""
         address = request.client.stream.peer.rpartition(":")[0]
@@ -134,12 +145,13 @@
         )
         # The scheduler sheds requests that reach it later than this.
         max_useful_wait_s = CLOSE_CALL_RATIO * answer_target_s - waited_s
-        self.door.arrive(
-            Arrival(
+        self.controller.submit(
+            IncomingRequest(
                 ref=ref,
                 tenant_name=tenant_name,
                 address=address,
-                order_key=key or request.client,  # requests with one idempotency key keep their order
+                order_key=ordering_key
+                or request.client,  # requests with one idempotency key keep their order
                 work=work,
                 threads=profile.threads,
                 size_bytes=len(request.statement),
@@ -153,12 +165,12 @@
             ),
             now,
         )
-        if self.door.fair.count or self.door.shares.unreported_work:
+        if self.controller.queue.count or self.controller.peer_usage.unreported_work:
             self.tick_needed.set()
 
     def on_client_disconnect(self, ref: str) -> bool:
         """Drops a waiting request; False if it does not wait."""
-        if not self.door.left(ref):
+        if not self.controller.on_client_disconnect(ref):
             return False
         self._forget(ref)
         return True
@@ -166,7 +178,7 @@
     def on_answer(self, ref: str, usage: tuple[float, float] | None) -> None:
         """An engine answered an admitted request; usage: its work (s) and memory (MB), where reported."""
         if ref in self.idle_engine_s:
-            self.door.answered(
+            self.controller.on_answer(
                 ref, usage[0] if usage is not None else None, self.idle_engine_s.pop(ref), clock()
             )
 
@@ -174,42 +186,44 @@
         """An admitted request is settled; shed: without having been answered for want of capacity."""
         if ref in self.idle_engine_s and ref not in self.held_requests:
             del self.idle_engine_s[ref]
-            self.door.over(ref, shed, clock())
+            self.controller.on_end_without_answer(ref, shed, clock())
 
     def engines_changed(self) -> None:
         """The list of engines changed."""
-        self.door.resize(self._cores(), clock())
+        self.controller.resize(self._cores(), clock())
 
     def heard(self, peer: int, data: bytes) -> None:
         """Takes a peer's summary."""
-        self.door.heard(peer, data, clock())
+        self.controller.on_peer_summary(peer, data, clock())
 
     def stop(self) -> None:
         """Sheds all that waits: the router stops."""
-        self.door.stop(clock())
+        self.controller.stop(clock())
 
     # Called by admission control.
 
-    def let_in(self, ref: str) -> None:
+    def admit(self, ref: str) -> None:
         """Hands an admitted request on to the scheduler."""
         self.dispatcher.admit(ref, *self.held_requests.pop(ref))
 
-    def turn_away(self, ref: str, retry_after_s: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         """Hands a shed request on to the scheduler, which rejects it."""
         held_request = self.held_requests.pop(ref)
         self.idle_engine_s.pop(ref, None)
         self.dispatcher.admit(ref, *held_request, wait=retry_after_s)
 
-    def tell_peers(self, data: bytes) -> None:
+    def send_to_peers(self, data: bytes) -> None:
         """Sends a summary to all peers."""
-        self.send_to_peers(data)
+        self.peer_sender(data)
 
-    def trace(self, ref: str, tenant_or_network: str, reason: AdmissionReason, duration_s: float) -> None:
+    def trace_decision(
+        self, ref: str, tenant_or_network: str, reason: AdmissionReason, duration_s: float
+    ) -> None:
         """Logs a decision."""
         rounded_s = None if math.isinf(duration_s) else round(duration_s, 3)
         LOG.info("door", ref=ref, member=tenant_or_network, why=reason.value, seconds=rounded_s)
 
-    def broke(self, ref: str, tenant_or_network: str, cause: str) -> None:
+    def on_promise_broken(self, ref: str, tenant_or_network: str, cause: str) -> None:
         """Logs a broken retry promise."""
         LOG.warning("promise broken", member=tenant_or_network, cause=cause)
 
@@ -228,9 +242,9 @@
     def _apply_budget_limit(self) -> None:
         """Makes the shared budgets' limit bind at admission, where the order of requests is fair."""
         if self.scheduler.shared_budgets is not None:
-            self.door.concurrency_limit.budget_limit = self.scheduler.shared_budgets.max_in_flight()
+            self.controller.concurrency_limit.budget_limit = self.scheduler.shared_budgets.max_in_flight()
 
     def _tick(self) -> None:
         self._apply_budget_limit()
-        if self.door.tick(clock()) is not None:
+        if self.controller.tick(clock()) is not None:
             self.tick_needed.set()
--- a/marbleworks/fair_queue/start_time_fair_queue.py
+++ b/marbleworks/fair_queue/start_time_fair_queue.py
@@ -158,7 +158,7 @@
         flows: By key.
         priority_tickets: Requests that go ahead of all flows, since they claimed a retry promise.
         count: Requests that wait.
-        size: Bytes of memory that they take.
+        size_bytes: Bytes of memory that they take.
         work: Work that waits.
         weight: Sum of the weights of the backlogged flows.
     """
@@ -167,7 +167,7 @@
         self.order: StartTagOrder[Flow] = StartTagOrder()
         self.flows: dict[int, Flow] = {}
         self.priority_tickets: deque[Ticket] = deque()
-        self.count, self.size, self.work, self.weight = 0, 0, 0.0, 0.0
+        self.count, self.size_bytes, self.work, self.weight = 0, 0, 0.0, 0.0
 
     def flow(self, key: int, weight: float) -> Flow:
         """Returns the flow of a key, which is made if unknown; its weight changes only while it is idle."""
@@ -217,7 +217,7 @@
         self._add_to_totals(ticket, 1)
 
     def _add_to_totals(self, ticket: Ticket, sign: int) -> None:
-        self.count, self.size = self.count + sign, self.size + sign * ticket.size_bytes
+        self.count, self.size_bytes = self.count + sign, self.size_bytes + sign * ticket.size_bytes
         self.work = self.work + sign * ticket.work if self.count else 0.0
 
     def first(self) -> Ticket | None:
--- a/marbleworks/fair_queue/trace_report.py
+++ b/marbleworks/fair_queue/trace_report.py
@@ -10,7 +10,7 @@
 REASONS = ("passed", "queued", "let in", "kept", "early", "too late", "full", "left", "timed out", "stopping")
 
 
-def explained(lines: Iterable[str], ref: str = "") -> Iterator[str]:
+def explain_decisions(lines: Iterable[str], ref: str = "") -> Iterator[str]:
     """Summarizes the decisions by tenant, or lists those on one request.
 
     Args:
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -143,8 +143,10 @@
         self.fair_queue = FairQueueService(self.config["door"], dispatcher, settings, transport)
         dispatcher.admission = self.fair_queue
         if self.membership is not None:
-            usage = self.fair_queue.door.shares
-            self.membership.view_listeners.append(lambda view: dispatcher.post(usage.viewed, view))
+            usage = self.fair_queue.controller.peer_usage
+            self.membership.view_listeners.append(
+                lambda view: dispatcher.post(usage.update_generations, view)
+            )
 
     def _start_spool(self, dispatcher: Dispatcher, settings: Settings) -> None:
         from marbleworks.background.task_runner import BACKLOG_THRESHOLD, TaskRunner
@@ -179,7 +181,7 @@
         if "spool" in live and self.spool is not None:
             self.spool.change(live["spool"])
         if "door" in live and self.fair_queue is not None:
-            self.fair_queue.change(live["door"])
+            self.fair_queue.reload(live["door"])
         for name, values in live.items():
             self.config.sections[name].update(values)
         if "budgets" in live and self.reload_catalog is not None:
--- a/tests/fair_queue/test_admission.py
+++ b/tests/fair_queue/test_admission.py
@@ -12,7 +12,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.concurrency_limit import MAX_THREADS_PER_CORE as MAX_LIMIT_PER_CORE
 from marbleworks.fair_queue.concurrency_limit import (
     MIN_THREADS_PER_CORE,
@@ -32,7 +37,9 @@
 from marbleworks.fair_queue.start_time_fair_queue import StartTimeFairQueue, Ticket
 from marbleworks.lab.door import Yard, arrival
 
-BOUNDS = Bounds(max_waiting=200, size=1e6, max_promises=1000, shares_usage=False, traces=True)
+BOUNDS = AdmissionBounds(
+    max_waiting=200, max_waiting_bytes=1e6, max_promises=1000, shares_usage=False, traces=True
+)
 
 
 def ticket(n: int, flow: int = 0, order_key: object = 0, work: float = 1.0) -> Ticket:
@@ -74,7 +81,7 @@
                 assert difference <= largest[a] / weights[a] + largest[b] / weights[b] + 1e-6
     while (one := fair.pop()) is not None:
         popped.append(one)
-    assert len(popped) == len(requests) and fair.count == fair.size == 0 and fair.work == 0
+    assert len(popped) == len(requests) and fair.count == fair.size_bytes == 0 and fair.work == 0
     for (flow, order_key), refs in pushed_refs.items():
         # Requests with one order key keep their order.
         assert [t.ref for t in popped if (t.flow, t.order_key) == (flow, order_key)] == refs
@@ -171,7 +178,7 @@
             fair.remove(expected.pop(list(expected)[index % len(expected)]))
         else:
             fair.correct(index % 3, work - 1.0)
-        assert fair.count == len(expected) and fair.size == 10 * len(expected)
+        assert fair.count == len(expected) and fair.size_bytes == 10 * len(expected)
         assert fair.work == pytest.approx(sum(t.work for t in expected.values()))
         assert set(fair.tickets()) == set(expected.values())
         weights = {f.key: f.weight for f in fair.flows.values() if f.count}
@@ -316,16 +323,17 @@
     receiver, sender = PeerUsage(), PeerUsage()
     for n in range(500):
         sender.add(name_hash(f"m{n}"), 0.02 + n / 100)
-    first = sender.summary()
+    first = sender.encode_summary()
     assert first is not None and len(first) <= MAX_DATAGRAM_BYTES and first[1] == MAX_ENTRIES
-    work_by_tenant = receiver.heard(2, first, 1e9, 10.0)
+    work_by_tenant = receiver.decode_summary(2, first, 1e9, 10.0)
     assert len(work_by_tenant) == MAX_ENTRIES and work_by_tenant[name_hash("m499")] == pytest.approx(
         5.01, abs=0.01
     )
-    assert receiver.heard(2, first, 1e9, 10.1) == {}  # a duplicate
-    later = [sender.summary() for _ in range(3)]
+    assert receiver.decode_summary(2, first, 1e9, 10.1) == {}  # a duplicate
+    later = [sender.encode_summary() for _ in range(3)]
     assert (
-        receiver.heard(2, later[2] or b"", 1e9, 10.2) and receiver.heard(2, later[0] or b"", 1e9, 10.3) == {}
+        receiver.decode_summary(2, later[2] or b"", 1e9, 10.2)
+        and receiver.decode_summary(2, later[0] or b"", 1e9, 10.3) == {}
     )  # the second one arrives late
     for malformed in (
         b"",
@@ -336,10 +344,10 @@
         b"\xd1" + first[1:],
         b"\xd0" * 256,
     ):
-        assert receiver.heard(3, malformed, 1e9, 10.0) == {}
+        assert receiver.decode_summary(3, malformed, 1e9, 10.0) == {}
     liar = PeerUsage()
     liar.add(1, 600.0)
-    accepted = receiver.heard(4, liar.summary() or b"", 10.0, 20.0)
+    accepted = receiver.decode_summary(4, liar.encode_summary() or b"", 10.0, 20.0)
     assert sum(accepted.values()) <= 1.5 * 10.0 * 0.1 + 1e-6
     for n in range(100_000):
         receiver.add(n, 0.001)
@@ -359,7 +367,11 @@
     """
 
     def __init__(
-        self, cores: float = 8.0, max_retry_after_s: float = 5.0, bounds: Bounds = BOUNDS, **weights: float
+        self,
+        cores: float = 8.0,
+        max_retry_after_s: float = 5.0,
+        bounds: AdmissionBounds = BOUNDS,
+        **weights: float,
     ) -> None:
         self.now, self.cores = 100.0, cores
         self.controller = AdmissionController(
@@ -373,22 +385,22 @@
         self.numbers = itertools.count()
         self.ended, self.causes = set[str](), list[str]()
 
-    def let_in(self, ref: str) -> None:
+    def admit(self, ref: str) -> None:
         assert ref not in self.ended
         self.admitted_refs.append(ref)
         self.running.append([ref, self.works[ref][1], self.now])
 
-    def turn_away(self, ref: str, retry_after_s: float) -> None:
+    def shed(self, ref: str, retry_after_s: float) -> None:
         assert ref not in self.ended and ref not in self.admitted_refs
         self.ended.add(ref)
         self.shed_requests.append((ref, self.now, retry_after_s))
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def send_to_peers(self, data: bytes) -> None: ...
 
-    def trace(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
+    def trace_decision(self, ref: str, tenant: str, reason: AdmissionReason, duration_s: float) -> None:
         self.reasons[ref].append(reason)
 
-    def broke(self, ref: str, tenant: str, cause: str) -> None:
+    def on_promise_broken(self, ref: str, tenant: str, cause: str) -> None:
         self.causes.append(cause)
 
     def submit(
@@ -406,7 +418,7 @@
         number = next(self.numbers)
         ref = f"{tenant_name}/{number}"
         self.works[ref] = declared_work if declared_work is not None else work, work
-        new = Arrival(
+        new = IncomingRequest(
             ref,
             tenant_name,
             "",
@@ -418,7 +430,7 @@
             time_left_s,
             number if fingerprint is None else fingerprint,
         )
-        self.controller.arrive(new, self.now)
+        self.controller.submit(new, self.now)
         return ref
 
     def advance(self, seconds: float, step: float = 0.02) -> None:
@@ -434,7 +446,7 @@
                     ref = str(one[0])
                     self.ended.add(ref)
                     self.work_done[ref.partition("/")[0]] += self.works[ref][1]
-                    self.controller.answered(ref, self.works[ref][1], self.works[ref][1], self.now)
+                    self.controller.on_answer(ref, self.works[ref][1], self.works[ref][1], self.now)
             self.controller.tick(self.now)
 
 
@@ -478,7 +490,9 @@
 
 
 def test_backlogged_tenants_share_by_weight_whatever_work_they_declare() -> None:
-    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=2000, size=1e7), big=10.0, small=0.1)
+    engines = SimulatedEngines(
+        bounds=replace(BOUNDS, max_waiting=2000, max_waiting_bytes=1e7), big=10.0, small=0.1
+    )
     for _ in range(300):
         engines.submit("big", 0.2, time_left_s=100, max_wait_s=1e9)
         engines.submit("plain", 0.2, time_left_s=100, max_wait_s=1e9)
@@ -495,7 +509,7 @@
 def test_a_retry_is_admitted_at_its_promised_time_and_not_at_other_times(
     offset: float, is_admitted: bool
 ) -> None:
-    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=400, size=1e7))
+    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=400, max_waiting_bytes=1e7))
     for n in range(60):
         engines.submit(("told" if n % 10 == 9 else f"m{n % 20}"), 0.5, time_left_s=30, max_wait_s=30)
     engines.advance(2.0)
@@ -527,7 +541,7 @@
 
 def test_a_broken_promise_is_counted_with_its_cause() -> None:
     for loses_engines, cause in ((False, "shed by the decisions"), (True, "engines were lost")):
-        engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=400, size=1e7))
+        engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=400, max_waiting_bytes=1e7))
         for n in range(60):
             engines.submit(("told" if n % 10 == 9 else f"m{n % 20}"), 0.5, time_left_s=30, max_wait_s=30)
         engines.advance(2.0)
@@ -539,7 +553,7 @@
         while ref not in engines.admitted_refs:
             engines.advance(0.1)
         engines.running = deque(one for one in engines.running if one[0] != ref)
-        engines.controller.over(ref, True, engines.now)
+        engines.controller.on_end_without_answer(ref, True, engines.now)
         assert engines.causes == [cause] and (
             engines.controller.promises.broken_count,
             engines.controller.promises.kept_count,
@@ -555,46 +569,50 @@
     assert engines.controller.concurrency_limit.limit == pytest.approx(limit / 4)
     run_flood(engines, 2.0)
     engines.advance(8.0)
-    assert engines.work_done["quiet0"] > 0 and not engines.controller.inside  # all admitted requests ended
+    assert engines.work_done["quiet0"] > 0 and not engines.controller.admitted  # all admitted requests ended
 
 
 def test_memory_stays_within_its_bound_and_the_heaviest_tenant_is_evicted() -> None:
-    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=10_000, size=3e5))
+    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=10_000, max_waiting_bytes=3e5))
     for _ in range(500):
         engines.submit("flood", 0.1, time_left_s=1e3, max_wait_s=1e3, size_bytes=1000)
     for n in range(50):
         engines.submit(f"quiet{n}", 0.1, time_left_s=1e3, max_wait_s=1e3, size_bytes=1000)
-    assert engines.controller.fair.size <= 300_000 and engines.controller.peak_waiting_bytes <= 300_000
+    assert engines.controller.queue.size_bytes <= 300_000 and engines.controller.peak_waiting_bytes <= 300_000
     assert not [ref for ref, _, _ in engines.shed_requests if ref.startswith("quiet")]
 
 
 def test_the_memory_that_is_counted_is_no_less_than_what_is_taken() -> None:
-    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=10_000, size=1e8, traces=False))
+    engines = SimulatedEngines(
+        bounds=replace(BOUNDS, max_waiting=10_000, max_waiting_bytes=1e8, traces=False)
+    )
     # The most expensive case: each request is of another tenant and another connection.
-    arrivals = [Arrival(f"{n:016x}", f"m{n}", "", object(), 0.1, 1, 0, 1e3, 1e3, n) for n in range(3000)]
-    for new in arrivals:
+    requests = [
+        IncomingRequest(f"{n:016x}", f"m{n}", "", object(), 0.1, 1, 0, 1e3, 1e3, n) for n in range(3000)
+    ]
+    for new in requests:
         engines.works[new.ref] = 0.1, 0.1
     tracemalloc.start()
-    for new in arrivals:
-        engines.controller.arrive(new, engines.now)
+    for new in requests:
+        engines.controller.submit(new, engines.now)
     taken, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(engines.controller.waiting) > 2900 and taken < engines.controller.fair.size
+    assert len(engines.controller.waiting) > 2900 and taken < engines.controller.queue.size_bytes
 
 
 def test_five_thousand_tenants_at_once_stay_bounded_and_each_request_ends_once() -> None:
-    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=1000, size=1e7))
+    engines = SimulatedEngines(bounds=replace(BOUNDS, max_waiting=1000, max_waiting_bytes=1e7))
     refs = [engines.submit(f"m{n}", 0.01, time_left_s=2.0) for n in range(5000)]
     assert (
-        engines.controller.fair.count <= 1000
-        and len(engines.controller.fair.flows) <= 513
+        engines.controller.queue.count <= 1000
+        and len(engines.controller.queue.flows) <= 513
         and len(engines.controller.waiting_counts) <= 1000
     )
     engines.advance(4.0)
     assert (
         engines.ended >= set(refs)
         and not engines.controller.waiting
-        and not engines.controller.inside
+        and not engines.controller.admitted
         and not engines.controller.admitted_work
     )
 
@@ -605,9 +623,9 @@
         engines.submit("a", 1.0, time_left_s=100, max_wait_s=100)
     waiting = list(engines.controller.waiting)
     assert (
-        engines.controller.left(waiting[0])
-        and not engines.controller.left(waiting[0])
-        and not engines.controller.left("none")
+        engines.controller.on_client_disconnect(waiting[0])
+        and not engines.controller.on_client_disconnect(waiting[0])
+        and not engines.controller.on_client_disconnect("none")
     )
     short = engines.submit("b", 1.0, time_left_s=0.3, max_wait_s=100)
     engines.advance(0.4)
@@ -616,7 +634,7 @@
     assert (
         not engines.controller.waiting
         and not engines.controller.waiting_counts
-        and not engines.controller.standing
+        and not engines.controller.flow_by_tenant
     )
 
 
@@ -637,7 +655,7 @@
     operations: list[tuple[str, int, float]],
 ) -> None:
     engines, refs, left = (
-        SimulatedEngines(cores=2.0, bounds=Bounds(12, 15_000.0, 8, True, True)),
+        SimulatedEngines(cores=2.0, bounds=AdmissionBounds(12, 15_000.0, 8, True, True)),
         list[str](),
         set[str](),
     )
@@ -659,57 +677,63 @@
             engines.advance(amount, 0.05)
         elif operation == "leave" and controller.waiting:
             ref = list(controller.waiting)[index % len(controller.waiting)]
-            assert controller.left(ref)
+            assert controller.on_client_disconnect(ref)
             left.add(ref)
         elif operation == "shed" and engines.running:
             one = engines.running.popleft()
             engines.ended.add(str(one[0]))
-            controller.over(str(one[0]), True, engines.now)
+            controller.on_end_without_answer(str(one[0]), True, engines.now)
         elif operation == "resize":
             engines.cores = 1.0 + index
             controller.resize(engines.cores, engines.now)
         elif operation == "jump":
             engines.now += 10 * amount
             controller.tick(engines.now)
-        assert controller.fair.count == len(controller.waiting) <= 12 and controller.fair.size <= 15_000
-        assert controller.concurrency_limit.in_flight == len(controller.inside) == len(engines.running)
+        assert (
+            controller.queue.count == len(controller.waiting) <= 12 and controller.queue.size_bytes <= 15_000
+        )
+        assert controller.concurrency_limit.in_flight == len(controller.admitted) == len(engines.running)
         assert sum(controller.admitted_work.values()) == pytest.approx(
-            sum(admitted.work for admitted in controller.inside.values())
+            sum(admitted.work for admitted in controller.admitted.values())
         )
         assert (
             sum(controller.waiting_counts.values()) == len(controller.waiting)
             and len(controller.promises.open) <= 8
         )
-        assert set(controller.standing) <= set(controller.waiting_counts)
+        assert set(controller.flow_by_tenant) <= set(controller.waiting_counts)
     engines.advance(40.0, 0.1)
     assert engines.ended | left == set(refs) and not engines.controller.waiting
 
 
 def test_summaries_of_a_restarted_peer_count_at_once_and_those_of_a_departed_one_do_not() -> None:
     receiver, sender, restarted = PeerUsage(), PeerUsage(), PeerUsage()
-    receiver.viewed({0: 1, 1: 1})
+    receiver.update_generations({0: 1, 1: 1})
     for n in range(20):
         sender.add(7, 1.0)
-        summary = sender.summary()
-        assert summary is not None and receiver.heard(1, summary, 100.0, n * 0.1) == {7: 1.0}
+        summary = sender.encode_summary()
+        assert summary is not None and receiver.decode_summary(1, summary, 100.0, n * 0.1) == {7: 1.0}
     restarted.add(7, 1.0)
-    first = restarted.summary()
-    assert first is not None and receiver.heard(1, first, 100.0, 2.0) == {}  # its number looks old
-    receiver.viewed({0: 1, 1: 2})
-    assert receiver.heard(1, first, 100.0, 2.1) == {7: 1.0}
-    receiver.viewed({0: 1})
+    first = restarted.encode_summary()
+    assert first is not None and receiver.decode_summary(1, first, 100.0, 2.0) == {}  # its number looks old
+    receiver.update_generations({0: 1, 1: 2})
+    assert receiver.decode_summary(1, first, 100.0, 2.1) == {7: 1.0}
+    receiver.update_generations({0: 1})
     restarted.add(7, 1.0)
-    second = restarted.summary()
-    assert second is not None and receiver.heard(1, second, 100.0, 2.2) == {} and receiver.rejected_count == 1
+    second = restarted.encode_summary()
+    assert (
+        second is not None
+        and receiver.decode_summary(1, second, 100.0, 2.2) == {}
+        and receiver.rejected_count == 1
+    )
 
 
 def test_an_expired_ticket_is_not_admitted_when_its_turn_comes() -> None:
     yard = Yard(1.0, replace(BOUNDS, max_waiting=50))
     for n in range(6):
         yard.gates[0].come(replace(arrival(n), work=0.4, max_wait_s=30.0, time_left_s=0.3))
-    assert len(yard.running) == 1 and yard.door.fair.count == 5
+    assert len(yard.running) == 1 and yard.door.queue.count == 5
     yard.now = 0.45
-    yard.door.answered("0", 0.4, 0.4, yard.now)  # before any tick
+    yard.door.on_answer("0", 0.4, 0.4, yard.now)  # before any tick
     assert yard.away == 5 and not yard.door.waiting
 
 
@@ -717,7 +741,7 @@
 def test_a_tenant_at_two_of_three_routers_gets_as_much_as_one_at_all_three(seed: int) -> None:
     """Also when the concurrency limits of the routers have drifted apart."""
     yard, rng, work_done = (
-        Yard(12.0, Bounds(4000, 16e6, 1000, True, False), 3),
+        Yard(12.0, AdmissionBounds(4000, 16e6, 1000, True, False), 3),
         random.Random(seed),
         [0.0, 0.0],
     )
@@ -745,7 +769,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.yard = Yard(3.0, Bounds(30, 1e5, 40, True, False), 3)
+        self.yard = Yard(3.0, AdmissionBounds(30, 1e5, 40, True, False), 3)
         self.yard.passes = lambda sender, receiver: (sender, receiver) not in self.cut_links
         self.cut_links: set[tuple[int, int]] = set()
         self.router_by_ref: dict[str, int] = {}  # router of each request, unless it was killed
@@ -774,7 +798,7 @@
         self.generations[router] += 1
         self.router_by_ref = {ref: number for ref, number in self.router_by_ref.items() if number != router}
         for gate in self.yard.gates:
-            gate.door.shares.viewed(dict(enumerate(self.generations)))
+            gate.door.peer_usage.update_generations(dict(enumerate(self.generations)))
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2), is_connected=st.booleans())
     def set_link(self, sender: int, receiver: int, is_connected: bool) -> None:
@@ -786,11 +810,11 @@
         for gate in yard.gates:
             controller = gate.door
             assert controller.concurrency_limit.in_flight == sum(
-                admitted.threads for admitted in controller.inside.values()
+                admitted.threads for admitted in controller.admitted.values()
             )
-            assert controller.fair.count == len(controller.waiting) <= controller.bounds.max_waiting
-            assert all(flow.peer_rate >= 0.0 for flow in controller.fair.flows.values())
-            assert len(controller.shares.last) <= 2 and len(controller.shares.paces) <= 2
+            assert controller.queue.count == len(controller.waiting) <= controller.bounds.max_waiting
+            assert all(flow.peer_rate >= 0.0 for flow in controller.queue.flows.values())
+            assert len(controller.peer_usage.last_received) <= 2 and len(controller.peer_usage.paces) <= 2
             assert (
                 MIN_THREADS_PER_CORE * controller.concurrency_limit.cores - 1e-9
                 <= controller.concurrency_limit.limit
@@ -798,7 +822,7 @@
             )
         for ref, router in self.router_by_ref.items():
             controller = yard.gates[router].door
-            places = (ref in controller.waiting) + (ref in controller.inside) + yard.ended.get(ref, 0)
+            places = (ref in controller.waiting) + (ref in controller.admitted) + yard.ended.get(ref, 0)
             assert places == 1, ref
 
     def teardown(self) -> None:
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -14,7 +14,7 @@
 from marbleworks.cli import app
 from marbleworks.fair_queue.peer_usage import PeerUsage, name_hash
 from marbleworks.fair_queue.service import FairQueueService
-from marbleworks.fair_queue.trace_report import explained
+from marbleworks.fair_queue.trace_report import explain_decisions
 from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
@@ -71,10 +71,10 @@
         return RpcClient(self.listener.sock.getsockname())
 
     def is_idle(self) -> bool:
-        controller = self.admission.door
+        controller = self.admission.controller
         is_empty = not (
             controller.waiting
-            or controller.inside
+            or controller.admitted
             or controller.admitted_work
             or controller.waiting_counts
             or self.admission.held_requests
@@ -103,7 +103,7 @@
         send_request(client, n)
         assert client.hear()[3]
     wait_until(router.is_idle)
-    assert router.admission.door.peak_waiting_bytes == 0  # nothing ever waited
+    assert router.admission.controller.peak_waiting_bytes == 0  # nothing ever waited
 
 
 def test_a_flood_waits_or_is_shed_with_a_retry_after_and_a_quiet_tenant_is_served() -> None:
@@ -144,7 +144,7 @@
         retry_after_s = int(err[1]["after"]) / 1000
     gevent.sleep(retry_after_s)
     client.ask("look", f"select {n} from t", ref="f" * 16, tenant="big", cost="100", wait="3000")
-    assert client.hear()[3] and router.admission.door.promises.kept_count == 1
+    assert client.hear()[3] and router.admission.controller.promises.kept_count == 1
     wait_until(router.is_idle, 8.0)
 
 
@@ -157,7 +157,7 @@
     short_id = client.ask("look", "select 9 from t", ref="e" * 16, cost="1", wait="250")
     for n in range(3):
         send_request(leaving, n, cost="100", wait="4000")
-    wait_until(lambda: len(router.admission.door.waiting) >= 8)
+    wait_until(lambda: len(router.admission.controller.waiting) >= 8)
     started_at = clock()
     client.send(2, "cancel", [call_ids[1]])
     leaving.sock.close()
@@ -184,14 +184,14 @@
 
 def test_an_exception_in_admission_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
     router = Router(0.0)
-    client, arrive = router.client(), router.admission.door.arrive
+    client, submit = router.client(), router.admission.controller.submit
 
-    def failing_arrive(arrival: Any, now: float) -> None:
-        if arrival.work > 1.0:
+    def failing_submit(request: Any, now: float) -> None:
+        if request.work > 1.0:
             raise RuntimeError("on purpose")
-        arrive(arrival, now)
+        submit(request, now)
 
-    monkeypatch.setattr(router.admission.door, "arrive", failing_arrive)
+    monkeypatch.setattr(router.admission.controller, "submit", failing_submit)
     send_request(client, 1, cost="2000")
     assert client.hear()[2] == ["Failed", {"why": "failed"}]
     send_request(client, 2)
@@ -219,14 +219,14 @@
     for n in range(12):
         send_request(client, n, tenant="big", cost="50", wait="4000")
         send_request(client, 100 + n, tenant="acme", cost="50", wait="4000")
-    wait_until(lambda: len(router.admission.door.waiting) > 3)
-    controller, peer = router.admission.door, PeerUsage()
+    wait_until(lambda: len(router.admission.controller.waiting) > 3)
+    controller, peer = router.admission.controller, PeerUsage()
     peer.add(name_hash("big"), 3.0)
-    before = {key: flow.finish_tag for key, flow in controller.fair.flows.items()}
-    router.dispatcher.post(router.admission.heard, 1, peer.summary())
+    before = {key: flow.finish_tag for key, flow in controller.queue.flows.items()}
+    router.dispatcher.post(router.admission.heard, 1, peer.encode_summary())
     gevent.sleep(0.05)
-    flow_key = controller.standing["big"]
-    assert controller.fair.flows[flow_key].finish_tag > before[flow_key]
+    flow_key = controller.flow_by_tenant["big"]
+    assert controller.queue.flows[flow_key].finish_tag > before[flow_key]
     for _ in range(24):
         client.hear()
     wait_until(router.is_idle, 8.0)
@@ -234,26 +234,27 @@
 
 def test_no_request_waits_so_long_that_the_scheduler_would_shed_it() -> None:
     router = Router(0.02)
-    controller, arrivals = router.admission.door, list[Any]()
-    arrive = controller.arrive
-    controller.arrive = lambda arrival, now: (  # type: ignore[method-assign]
-        arrivals.append(arrival),
-        arrive(arrival, now),
+    controller, requests = router.admission.controller, list[Any]()
+    submit = controller.submit
+    controller.submit = lambda request, now: (  # type: ignore[method-assign]
+        requests.append(request),
+        submit(request, now),
     )[1]
     client = router.client()
     send_request(client, 1, cost="20", wait="4000")
     assert client.hear()[2] is None
     profile = SMALL_DEPLOYMENT.request_classes[0]
     max_useful_wait_s = CLOSE_CALL_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
-    assert arrivals[0].max_wait_s <= max_useful_wait_s and arrivals[0].time_left_s <= max_useful_wait_s < 4.0
+    assert requests[0].max_wait_s <= max_useful_wait_s and requests[0].time_left_s <= max_useful_wait_s < 4.0
 
 
 def test_a_reload_changes_bounds_and_weights(monkeypatch: pytest.MonkeyPatch) -> None:
     router = Router(0.0)
-    router.admission.change({"waiting": 3, "weight": {"acme": 5.0}})
-    assert router.admission.door.bounds.max_waiting == 3 and router.admission.door.classifier.classify(
-        "acme", ""
-    ) == ("acme", 5.0)
+    router.admission.reload({"waiting": 3, "weight": {"acme": 5.0}})
+    assert (
+        router.admission.controller.bounds.max_waiting == 3
+        and router.admission.controller.classifier.classify("acme", "") == ("acme", 5.0)
+    )
 
 
 def test_decisions_are_explained_from_a_log(tmp_path: Path) -> None:
@@ -265,11 +266,11 @@
         {"event": "ended"},
     ]
     text = [*map(json.dumps, lines), "no json", "[1]"]
-    assert list(explained(text)) == [
+    assert list(explain_decisions(text)) == [
         "m1: 1 queued, 1 let in, longest wait 0.400 s",
         "m2: 1 too late, 1 full, longest wait 0.000 s, 1 promised, 1.5 to 1.5 s",
     ]
-    assert [line.split(": ")[1] for line in explained(text, "b")] == [
+    assert [line.split(": ")[1] for line in explain_decisions(text, "b")] == [
         "would have missed its latency target behind the waiting requests; retry promised after 1.5 s"
     ]
     (tmp_path / "log").write_text("\n".join(text))
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -5,7 +5,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.model import AttemptOutcome, EngineStatus, Idempotency
 from marbleworks.scheduling.request_state import RequestState
@@ -246,7 +251,7 @@
         self.admission = AdmissionController(
             self,
             FlowClassifier(16, 3, {}, {}),
-            Bounds(20, 1e5, 50, False, False),
+            AdmissionBounds(20, 1e5, 50, False, False),
             2.0,
             RULES.max_retry_after_s,
         )
@@ -265,7 +270,7 @@
         }
         self.waiting_arrivals[ref] = class_index, key, work, now + time_left_s
         work_estimate = work or self.scheduler.mean_work(class_index)
-        arrival = Arrival(
+        request = IncomingRequest(
             ref,
             f"m{key % 3}",
             "",
@@ -277,10 +282,10 @@
             time_left_s - 0.05,
             len(submissions),
         )
-        self.admission.arrive(arrival, now)
+        self.admission.submit(request, now)
         self.remove_completed()
 
-    def admit(self, ref: str, retry_after_s: float | None) -> None:
+    def submit_to_scheduler(self, ref: str, retry_after_s: float | None) -> None:
         class_index, key, work, deadline = self.waiting_arrivals.pop(ref)
         submission, scheduler = self.model.submissions[ref], self.scheduler
         class_work = [
@@ -308,29 +313,31 @@
             retry_after_s,
         )
 
-    def let_in(self, ref: str) -> None:
-        self.admit(ref, None)
+    def admit(self, ref: str) -> None:
+        self.submit_to_scheduler(ref, None)
 
-    def turn_away(self, ref: str, after: float) -> None:
-        self.admit(ref, after)
+    def shed(self, ref: str, after: float) -> None:
+        self.submit_to_scheduler(ref, after)
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def send_to_peers(self, data: bytes) -> None: ...
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
+    def trace_decision(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
-    def broke(self, ref: str, member: str, cause: str) -> None: ...
+    def on_promise_broken(self, ref: str, member: str, cause: str) -> None: ...
 
     def remove_completed(self) -> None:
         """Removes completed requests from the admission controller."""
-        while completed := [ref for ref in self.admission.inside if self.model.submissions[ref]["completed"]]:
+        while completed := [
+            ref for ref in self.admission.admitted if self.model.submissions[ref]["completed"]
+        ]:
             for ref in completed:
-                self.admission.over(ref, True, self.model.clock)
+                self.admission.on_end_without_answer(ref, True, self.model.clock)
 
     def disconnect_client(self, index: int) -> None:
         waiting = list(self.admission.waiting)
         if waiting and index % 2:
             ref = waiting[index % len(waiting)]
-            assert self.admission.left(ref)
+            assert self.admission.on_client_disconnect(ref)
             self.model.submissions[ref]["completed"] = True
             del self.waiting_arrivals[ref]
         else:
@@ -340,7 +347,7 @@
     def end_attempt(self, attempt: dict[str, Any], outcome: AttemptOutcome | None) -> None:
         super().end_attempt(attempt, outcome)
         if outcome is None:
-            self.admission.answered(attempt["ref"], 0.5, 0.5, self.model.clock)
+            self.admission.on_answer(attempt["ref"], 0.5, 0.5, self.model.clock)
         self.remove_completed()
 
     def advance(self, seconds: float) -> None:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -213,8 +213,8 @@
     usage = PeerUsage()
     for name, work in (("acme", 1.25), ("globex", 7.5), ("", 0.005), ("initech", 1e6)):
         usage.add(name_hash(name), work)
-    usage.number = 0x0101
-    return usage.summary(3.21) or b""
+    usage.sequence_number = 0x0101
+    return usage.encode_summary(3.21) or b""
 
 
 def load_update(report: LoadReport) -> bytes:
@@ -346,13 +346,13 @@
 
 def test_golden_usage_summary_is_decoded() -> None:
     usage = PeerUsage()
-    usage_by_tenant = usage.heard(2, golden_bytes("usage summary"), 1e9, 10.0)
+    usage_by_tenant = usage.decode_summary(2, golden_bytes("usage summary"), 1e9, 10.0)
     assert usage_by_tenant == {
         ACME: pytest.approx(1.25),
         GLOBEX: pytest.approx(7.5),
         INITECH: pytest.approx(655.35),
     }
-    assert usage.last[2] == (0x0102, 10.0) and usage.paces[2] == (pytest.approx(3.21), 10.0)
+    assert usage.last_received[2] == (0x0102, 10.0) and usage.paces[2] == (pytest.approx(3.21), 10.0)
 
 
 def test_golden_load_update_is_decoded() -> None:
