--- a/marbleworks/budgets/enforcement.py
+++ b/marbleworks/budgets/enforcement.py
@@ -18,7 +18,7 @@
 from marbleworks.budgets.local_budget_state import MAX_TRACKED_WAITERS, LocalBudget
 from marbleworks.net.actor import LOG, clock
 from marbleworks.net.dispatcher import Dispatcher
-from marbleworks.scheduling.slow_start import SLOW_START_TRUST
+from marbleworks.scheduling.slow_start import SLOW_START_FLOOR_USAGE
 
 GRANT_ROUND_TRIP_S = 0.4  # a lease that is requested usually arrives within this time
 MAX_RETRY_AFTER_S = 60.0
@@ -140,7 +140,7 @@
         """Work of one unit of an engine's slow-start budget."""
         rules = self.scheduler.rules
         work = rules.slow_start_floor * cores * rules.overload_multiple * rules.overload_window_s
-        return SLOW_START_TRUST * work / SLOW_START_UNITS
+        return SLOW_START_FLOOR_USAGE * work / SLOW_START_UNITS
 
     def budgets(self) -> list[Budget]:
         """All budgets by this router's own configuration."""
@@ -252,21 +252,21 @@
     def _slow_start_units(self, class_index: int, work_per_unit: float) -> int:
         return max(math.ceil(self.scheduler.mean_work(class_index) / work_per_unit), 1)
 
-    def retry_allowance(self, spare: float, earned: float) -> float:
+    def retry_allowance(self, budget_factor: float, earned_retries: float) -> float:
         """Number of retries that are allowed now.
 
         Args:
-            spare: Units of the retry budget that have to be free.
-            earned: Retries that this router earned by itself.
+            budget_factor: Units of the retry budget that have to be free.
+            earned_retries: Retries that this router earned by itself.
 
         Returns:
-            `earned` without a fleet-wide retry budget; otherwise infinity if that budget has room, and a
-            negative number if it has none.
+            `earned_retries` without a fleet-wide retry budget; otherwise infinity if that budget has room,
+            and a negative number if it has none.
         """
         if self.catalog.retry_budget is None:
-            return earned
+            return earned_retries
         local = self.local_budgets.budgets[self.catalog.retry_budget.budget_id]
-        if local.has_room(clock(), math.ceil(spare)):
+        if local.has_room(clock(), math.ceil(budget_factor)):
             return math.inf
         if len(local.waiting) < MAX_TRACKED_WAITERS:
             local.waiting.add(str(len(local.waiting)))
@@ -352,7 +352,7 @@
             incarnation: Incarnation of this process.
         """
         self._cancel_overdue()
-        engine_count = max(len(self.scheduler.up), 1)
+        engine_count = max(len(self.scheduler.available_engines), 1)
         for engine in self.engine_budgets.values():
             if engine.in_flight is not None:
                 engine.in_flight.arrivals += self.arrivals / engine_count
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -26,7 +26,7 @@
 from marbleworks.net.datagrams import DatagramKind, DatagramTransport
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.messages import OpenRequest
-from marbleworks.scheduling.request_state import CLOSE_CALL_RATIO
+from marbleworks.scheduling.request_state import NEAR_TARGET_RATIO
 from marbleworks.settings import Settings
 
 TICK_INTERVAL_S = 0.05  # time between checks of the waiting requests
@@ -95,7 +95,7 @@
 
     def _cores(self) -> float:
         """Returns this router's part of the engines' cores."""
-        return self.scheduler.cores / self.scheduler.routers
+        return self.scheduler.cores / self.scheduler.capacity_divisor
 
     def reload(self, section: dict[str, Any]) -> None:
         """Applies reloaded settings; those that the section does not name stay."""
@@ -126,9 +126,9 @@
         """
         request_class_index = self.settings.class_index[request.class_name]
         profile, now = self.settings.request_classes[request_class_index], clock()
-        work = estimate[0] * self.scheduler.estimate_bias[request_class_index][0] or self.scheduler.mean_work(
-            request_class_index
-        )
+        work = estimate[0] * self.scheduler.estimate_correction[request_class_index][
+            0
+        ] or self.scheduler.mean_work(request_class_index)
         idle_engine_s, waited_s, time_left_s = (
             work / profile.threads,
             now - request.received_at,
@@ -144,7 +144,7 @@
             request.deadline - request.received_at,
         )
         # The scheduler sheds requests that reach it later than this.
-        max_useful_wait_s = CLOSE_CALL_RATIO * answer_target_s - waited_s
+        max_useful_wait_s = NEAR_TARGET_RATIO * answer_target_s - waited_s
         self.controller.submit(
             IncomingRequest(
                 ref=ref,
--- a/marbleworks/model.py
+++ b/marbleworks/model.py
@@ -36,7 +36,7 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class AttemptOutcome(Enum):
@@ -215,9 +215,9 @@
         return self.status is EngineStatus.UP
 
     @property
-    def is_gone(self) -> bool:
+    def is_removed(self) -> bool:
         """Whether the engine has left the fleet."""
-        return self.status is EngineStatus.GONE
+        return self.status is EngineStatus.REMOVED
 
 
 class ResourceUsage(NamedTuple):
--- a/marbleworks/net/discovery.py
+++ b/marbleworks/net/discovery.py
@@ -170,7 +170,7 @@
             is_complete: Whether engines missing from the list have gone; else the list holds only changes.
         """
         listings = [self._listing(engine) for engine in engines]
-        is_present = {entry.name: not entry.is_gone for entry, _ in listings}
+        is_present = {entry.name: not entry.is_removed for entry, _ in listings}
         self.engine_ids = {
             name: engine_id
             for name, engine_id in self.engine_ids.items()
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -200,7 +200,7 @@
         """
         self._retire_engines(listings, is_complete)
         for entry, address in listings:
-            if entry.is_gone:
+            if entry.is_removed:
                 continue
             if entry.engine_id not in self.engine_clients:
                 self.engine_clients[entry.engine_id] = self.make_engine_client(self, entry.name, address)
@@ -242,7 +242,7 @@
 
     def _retire_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
         """Retires the clients of engines that have gone or moved; each ends after its last attempt."""
-        addresses = {entry.engine_id: address for entry, address in listings if not entry.is_gone}
+        addresses = {entry.engine_id: address for entry, address in listings if not entry.is_removed}
         listed_ids = {entry.engine_id for entry, _ in listings}
         affected = listed_ids | (self.engine_clients.keys() if is_complete else set())
         for engine_id in affected & self.engine_clients.keys():
--- a/marbleworks/net/engine_protocol.py
+++ b/marbleworks/net/engine_protocol.py
@@ -55,7 +55,7 @@
 _ENGINE_STATUS_BY_PHASE = {
     "Ready": EngineStatus.UP,
     "Terminating": EngineStatus.DRAINING,
-    "Gone": EngineStatus.GONE,
+    "Gone": EngineStatus.REMOVED,
 }
 
 
--- a/marbleworks/ports.py
+++ b/marbleworks/ports.py
@@ -107,7 +107,7 @@
 
     page_timeout_s: float
 
-    def reserve(self, tenant: str, profile: str, statement: bytes) -> ResultReservation:
+    def reserve(self, tenant: str, class_name: str, statement: bytes) -> ResultReservation:
         """Reserves space for the result of a statement, if there is any."""
 
     def read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
@@ -131,19 +131,25 @@
     """
 
     def enqueue(
-        self, ref: str, new: Any, group: int, key: str, estimate: tuple[float, float], tenant: int
+        self,
+        ref: str,
+        request: Any,
+        table_group: int,
+        ordering_key: str,
+        estimate: tuple[float, float],
+        tenant: int,
     ) -> None:
         """Takes a new request with the arguments of `Dispatcher.admit`."""
 
     def on_client_disconnect(self, ref: str) -> bool:
         """Removes a waiting request; returns False if it was admitted before or is unknown."""
 
-    def on_answer(self, ref: str, need: tuple[float, float] | None) -> None:
+    def on_answer(self, ref: str, usage: tuple[float, float] | None) -> None:
         """Records that an engine answered an admitted request.
 
         Args:
             ref: the request.
-            need: its work (s) and memory (MB); None if the engine does not report them.
+            usage: its work (s) and memory (MB); None if the engine does not report them.
         """
 
     def on_final_answer(self, ref: str, shed: bool) -> None:
@@ -194,12 +200,12 @@
     def max_in_flight(self) -> float:
         """Returns the maximum of requests in flight at all engines; infinite without engine budgets."""
 
-    def retry_allowance(self, spare: float, earned: float) -> float:
+    def retry_allowance(self, budget_factor: float, earned_retries: float) -> float:
         """Returns how many retries may be made, in place of those that this router earned itself.
 
         Args:
-            spare: multiple of the retries, including the new one, that the budget has to cover.
-            earned: the retries that this router earned itself.
+            budget_factor: multiple of the retries, including the new one, that the budget has to cover.
+            earned_retries: the retries that this router earned itself.
         """
 
     def slow_start_share(self, engine_id: int) -> float | None:
--- a/marbleworks/scheduling/engine_state.py
+++ b/marbleworks/scheduling/engine_state.py
@@ -76,7 +76,7 @@
         self._cores_by_kind = cores_by_kind
         self.engines: dict[int, EngineState] = {}
         self.by_wire_id: dict[bytes, EngineState] = {}
-        self.up: list[EngineState] = []  # engines that take requests, ordered by name
+        self.available_engines: list[EngineState] = []  # engines that take requests, ordered by name
         self.in_flight: list[Attempt] = []
         self.cores = 0  # total of the engines that are up
         # Class index -> cores that the class may use, for classes that may run on some engines only.
@@ -98,15 +98,17 @@
         removed_ids = [
             engine_id
             for engine_id, engine in self.engines.items()
-            if engine.entry.is_gone or (complete and engine_id not in listed_ids)
+            if engine.entry.is_removed or (complete and engine_id not in listed_ids)
         ]
         for engine_id in removed_ids:
             self.engines.pop(engine_id).is_draining = True
         self.by_wire_id = {engine.wire_id: engine for engine in self.engines.values()}
-        self.up = sorted((e for e in self.engines.values() if not e.is_draining), key=lambda e: e.entry.name)
-        self.cores = sum(e.cores for e in self.up)
+        self.available_engines = sorted(
+            (e for e in self.engines.values() if not e.is_draining), key=lambda e: e.entry.name
+        )
+        self.cores = sum(e.cores for e in self.available_engines)
         allowed_cores = [
-            sum(e.cores for e in self.up if e.allowed_classes[index])
+            sum(e.cores for e in self.available_engines if e.allowed_classes[index])
             for index in range(len(self._request_classes))
         ]
         self.cores_by_restricted_class = {
--- a/marbleworks/scheduling/latency.py
+++ b/marbleworks/scheduling/latency.py
@@ -15,7 +15,7 @@
     from marbleworks.scheduling.engine_state import Attempt, EnginePool
 
 PRESSURE_SLOWDOWN = 1.6  # slowdown above which an engine is under pressure
-OVERLOAD_RATIO = 0.25  # share of close calls above which the fleet is overloaded
+OVERLOAD_RATIO = 0.25  # share of answers near their target above which the fleet is overloaded
 MIN_SLOWDOWN_SAMPLES = 3
 MIN_OVERLOAD_SAMPLES = 4  # minimum sample count, so that few answers of an idle fleet do not signal overload
 
@@ -57,33 +57,35 @@
     def __init__(self, pool: EnginePool) -> None:
         self._pool = pool
         self.slowdowns: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)
-        self.close_calls: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)  # 1 for each close call, else 0
+        self.near_target_answers: deque[TimedValue] = deque(
+            maxlen=MAX_SAMPLES
+        )  # 1 for each answer near its target, else 0
         self.fleet_slowdown = 1.0
         self.upper_quartile_slowdown = 1.0  # 75th percentile over recent answers
         self.is_overloaded = False
 
     def record_answer(self, attempt: Attempt, finished_at: float, service_time_s: float) -> None:
         """Records the slowdown of an attempt that was answered."""
-        self.close_calls.append((finished_at, attempt.request.close_call(finished_at)))
+        self.near_target_answers.append((finished_at, attempt.request.near_target(finished_at)))
         slowdown = (finished_at - attempt.started_at) / (service_time_s + TIME_MARGIN_S)
         attempt.engine.slowdowns.append((finished_at, slowdown))
         self.slowdowns.append((finished_at, slowdown))
 
     def record_rejection(self, now: float) -> None:
-        """Records that a full engine rejected an attempt, which counts as a close call."""
-        self.close_calls.append((now, 1.0))
+        """Records that a full engine rejected an attempt, which counts as an answer near its target."""
+        self.near_target_answers.append((now, 1.0))
 
     def refresh(self, now: float) -> None:
         """Recomputes all slowdowns and whether the fleet is overloaded."""
         in_flight = self._pool.in_flight
         self.fleet_slowdown = observed_slowdown(self.slowdowns, in_flight, now, 1.0)
-        for engine in self._pool.up:
+        for engine in self._pool.available_engines:
             engine.slowdown = observed_slowdown(engine.slowdowns, engine.in_flight, now, self.fleet_slowdown)
         sorted_slowdowns = sorted([slowdown for _, slowdown in self.slowdowns] or [1.0])
         self.upper_quartile_slowdown = sorted_slowdowns[3 * len(self.slowdowns) // 4]
-        close_call_count = sum(
-            is_close_call for _, is_close_call in drop_until(self.close_calls, now - HISTORY_S)
+        near_target_count = sum(
+            is_near_target for _, is_near_target in drop_until(self.near_target_answers, now - HISTORY_S)
         )
-        close_call_count += sum(attempt.request.close_call(now) for attempt in in_flight)
-        sample_count = max(len(self.close_calls) + len(in_flight), MIN_OVERLOAD_SAMPLES)
-        self.is_overloaded = close_call_count > OVERLOAD_RATIO * sample_count
+        near_target_count += sum(attempt.request.near_target(now) for attempt in in_flight)
+        sample_count = max(len(self.near_target_answers) + len(in_flight), MIN_OVERLOAD_SAMPLES)
+        self.is_overloaded = near_target_count > OVERLOAD_RATIO * sample_count
--- a/marbleworks/scheduling/placement.py
+++ b/marbleworks/scheduling/placement.py
@@ -84,7 +84,7 @@
         }
         if not used_shares:
             return
-        for engine in self._pool.up:
+        for engine in self._pool.available_engines:
             reserved_share = sum(
                 used_share for index, used_share in used_shares.items() if engine.allowed_classes[index]
             )
@@ -97,13 +97,18 @@
         """
         home_set_index = table_group % MAX_HOME_SETS
         if home_set_index not in self.home_sets:
-            up = sorted(self._pool.up, key=lambda e: zlib.crc32(f"{home_set_index}/{e.entry.name}".encode()))
-            self.home_sets[home_set_index] = dict.fromkeys(up[: math.ceil(HOME_RATIO * len(up))])
+            engines = sorted(
+                self._pool.available_engines,
+                key=lambda e: zlib.crc32(f"{home_set_index}/{e.entry.name}".encode()),
+            )
+            self.home_sets[home_set_index] = dict.fromkeys(engines[: math.ceil(HOME_RATIO * len(engines))])
         return self.home_sets[home_set_index]
 
     def candidates(self, request: RequestState, now: float) -> list[EngineState]:
         """Returns the healthy engines that may run the request, only untried ones if there are any."""
-        healthy = self._outliers.healthy([e for e in self._pool.up if self.allows(request, e, now)], now)
+        healthy = self._outliers.healthy(
+            [e for e in self._pool.available_engines if self.allows(request, e, now)], now
+        )
         return [e for e in healthy if e not in request.tried_engines] or healthy
 
     def allows(self, request: RequestState, engine: EngineState, now: float) -> bool:
--- a/marbleworks/scheduling/request_state.py
+++ b/marbleworks/scheduling/request_state.py
@@ -12,7 +12,7 @@
     from marbleworks.scheduling.engine_state import Attempt, EngineState
     from marbleworks.scheduling.work_estimates import Cost
 
-CLOSE_CALL_RATIO = 0.6  # share of the time to its latency target after which an answer is a close call
+NEAR_TARGET_RATIO = 0.6  # share of the time to its latency target after which an answer is near it
 AGEING_PER_S = 0.1  # reduction of the queue rank (work per priority weight) per second of waiting
 ANSWER_TIME_RATIO = 0.1  # share of a request's time reserved for answering its client
 MAX_ANSWER_TIME_S = 0.03  # maximum of the time reserved for answering a client
@@ -113,9 +113,9 @@
         """Returns how long the request runs on an idle engine."""
         return self.work / self.request_class.threads
 
-    def close_call(self, now: float) -> float:
+    def near_target(self, now: float) -> float:
         """Returns 1 if most of the time to the latency target has passed, else 0."""
-        return float(now - self.received_at > CLOSE_CALL_RATIO * (self.target_at - self.received_at))
+        return float(now - self.received_at > NEAR_TARGET_RATIO * (self.target_at - self.received_at))
 
     def conflicts_with(self, other: RequestState) -> bool:
         """Returns whether two requests of one table group conflict: at least one of them is a load."""
--- a/marbleworks/scheduling/retry_budget.py
+++ b/marbleworks/scheduling/retry_budget.py
@@ -62,12 +62,12 @@
         window = rules.retry_budget_window_s
         spent = len(drop_until(self.retries, now - window - self._start_slack_s))
         requests = len(drop_until(self.requests, now - window + self._start_slack_s))
-        earned = math.inf
+        earned_retries = math.inf
         if rules.retry_budget_ratio is not None:
-            earned = rules.retry_budget_floor + rules.retry_budget_ratio * requests
+            earned_retries = rules.retry_budget_floor + rules.retry_budget_ratio * requests
         if self.shared_budgets is not None:
-            earned = self.shared_budgets.retry_allowance(budget_factor, earned)
-        return not request.counted_attempts or budget_factor * (spent + 1) <= earned
+            earned_retries = self.shared_budgets.retry_allowance(budget_factor, earned_retries)
+        return not request.counted_attempts or budget_factor * (spent + 1) <= earned_retries
 
     def _may_run_again(self, request: RequestState, now: float) -> bool:
         """Returns whether the request has not run, or a second run would have no further effect."""
--- a/marbleworks/scheduling/scheduler.py
+++ b/marbleworks/scheduling/scheduler.py
@@ -15,7 +15,7 @@
 from marbleworks.scheduling.history import TICK_S
 from marbleworks.scheduling.request_state import RequestState
 from marbleworks.scheduling.timers import MIN_REVIEW_INTERVAL_S, TIMER_EARLINESS_S, WATCH_INTERVAL_S
-from marbleworks.scheduling.wiring import SchedulerParts
+from marbleworks.scheduling.wiring import SchedulerComponents
 
 if TYPE_CHECKING:
     from marbleworks.model import DeploymentRules, EngineEntry, FleetInfo, LoadReport, RequestClass
@@ -33,7 +33,7 @@
         seed: seed of the pseudo-random choice among equally loaded engines.
 
     Attributes:
-        parts: the components of the scheduler.
+        components: the components of the scheduler.
         engines: the listed engines, keyed by engine id.
         pending: requests that wait for an attempt, keyed by sequence number.
     """
@@ -51,15 +51,15 @@
         self.request_classes = request_classes
         self.rules = rules
         self.fleet = fleet
-        self.parts = parts = SchedulerParts(port, seed, request_classes, rules, fleet)
-        self.engines = parts.pool.engines
-        self._placement = parts.placement
-        self._estimates = parts.estimates
-        self._retry_budget = parts.retry_budget
-        self._table_groups = parts.table_groups
-        self._key_order = parts.key_order
-        self._load_shedder = parts.load_shedder
-        self._timers = parts.timers
+        self.components = components = SchedulerComponents(port, seed, request_classes, rules, fleet)
+        self.engines = components.pool.engines
+        self._placement = components.placement
+        self._estimates = components.estimates
+        self._retry_budget = components.retry_budget
+        self._table_groups = components.table_groups
+        self._key_order = components.key_order
+        self._load_shedder = components.load_shedder
+        self._timers = components.timers
         self.pending: dict[int, RequestState] = {}  # by sequence
         self._shared_budgets: SharedBudgets | None = None
         self._kinds_without_room = set[tuple[int, bool]]()  # (class index, is cheap), since the last review
@@ -68,24 +68,24 @@
         self._refreshed_at = -math.inf
 
     @property
-    def up(self) -> list[EngineState]:
+    def available_engines(self) -> list[EngineState]:
         """The engines that take requests, ordered by name."""
-        return self.parts.pool.up
+        return self.components.pool.available_engines
 
     @property
     def cores(self) -> int:
         """The total cores of the engines that take requests."""
-        return self.parts.pool.cores
+        return self.components.pool.cores
 
     @property
-    def routers(self) -> float:
+    def capacity_divisor(self) -> float:
         """The number that the fleet's capacity is divided by for this router's share."""
-        return self.parts.share.divisor
+        return self.components.share.divisor
 
     @property
-    def estimate_bias(self) -> list[Cost]:
+    def estimate_correction(self) -> list[Cost]:
         """The ratios of measured to estimated cost, by class index."""
-        return self._estimates.bias
+        return self._estimates.estimate_correction
 
     @property
     def shared_budgets(self) -> SharedBudgets | None:
@@ -95,7 +95,7 @@
     @shared_budgets.setter
     def shared_budgets(self, budgets: SharedBudgets | None) -> None:
         self._shared_budgets = budgets
-        self.parts.use_shared_budgets(budgets)
+        self.components.use_shared_budgets(budgets)
 
     def now(self) -> float:
         """Returns the time in seconds."""
@@ -117,7 +117,7 @@
             complete: whether engines that are not among the entries have left the fleet.
         """
         self._placement.home_sets.clear()
-        self.parts.pool.update(entries, complete, self.parts.share.slow_start_rank)
+        self.components.pool.update(entries, complete, self.components.share.slow_start_rank)
         self.review()
 
     def set_router_share(
@@ -137,9 +137,9 @@
             valid_until: time (s) until which the share holds.
             guaranteed_share: the share after that time, even if no notice of the change arrives.
         """
-        self.parts.share.valid_until = valid_until
-        self.parts.share.guaranteed_share = guaranteed_share
-        if self.parts.assign_share(share, router_count, router_index if router_index >= 0 else None):
+        self.components.share.valid_until = valid_until
+        self.components.share.guaranteed_share = guaranteed_share
+        if self.components.assign_share(share, router_count, router_index if router_index >= 0 else None):
             self._schedule_review()
 
     def submit(  # noqa: PLR0913 - a parameter object would cost time on each request
@@ -188,7 +188,7 @@
             self.rules.max_attempts,
         )
         request.reserve_answer_time(time_left_s, self._recent_lag_s)
-        request.priority_weight *= self.parts.tenant_quotas.weight(ref, tenant, received_at)
+        request.priority_weight *= self.components.tenant_quotas.weight(ref, tenant, received_at)
         if retry_after_s is None and self._shared_budgets is not None:
             wait_budget_s = request.target_at - now - request.service_time_s()
             retry_after_s = self._shared_budgets.admission_wait(ref, class_index, tenant, wait_budget_s)
@@ -198,7 +198,7 @@
             self._key_order.add(request, ordering_key)
         self.pending[request.sequence] = request
         # In a router short of CPU, a request may have waited for most of the time to its latency target.
-        if retry_after_s is not None or request.close_call(now):
+        if retry_after_s is not None or request.near_target(now):
             self.give_up(request, retry_after_s)
         else:
             self.try_schedule(request)
@@ -232,19 +232,19 @@
         preferred = self._placement.prefer_zone(request, preferred)
         choices = [e for e in request.probed_engines if e in preferred]
         choices = choices or self._placement.two_choices(request, preferred, now)
-        if self.parts.load_probes.awaits_load_reports(request, choices, now):
+        if self.components.load_probes.awaits_load_reports(request, choices, now):
             return
         engine = self._placement.less_loaded(choices, now)
         if not self._placement.has_room(request, engine, now):
             self._kinds_without_room.add(kind)
-        elif self.parts.attempt_starter.start(request, engine, now):
+        elif self.components.attempt_starter.start(request, engine, now):
             self.pending.pop(request.sequence, None)
 
     def on_attempt_answered(
         self, request: RequestState, attempt: Attempt, cost: Cost | None, report: LoadReport | None
     ) -> None:
         """Records the outcome of an answered attempt and completes its request."""
-        self.parts.outcomes.record_answer(attempt, cost, report)
+        self.components.outcomes.record_answer(attempt, cost, report)
         self.complete(request)
         self.review()
 
@@ -253,7 +253,7 @@
     ) -> None:
         """Records the outcome of an attempt without an answer, then retries or gives up."""
         now = self.port.now()
-        self.parts.outcomes.record_failure(attempt, outcome, now)
+        self.components.outcomes.record_failure(attempt, outcome, now)
         if already_completed:
             self.complete(request)
         elif not request.completed and not request.in_flight:
@@ -291,14 +291,14 @@
         """Applies the result of a probe; the engine may have left the list since."""
         engine = self.engines.get(engine_id)
         if engine is not None and not is_reachable:
-            self.parts.outliers.on_failure(engine, AttemptOutcome.UNREACHABLE, self.port.now())
+            self.components.outliers.on_failure(engine, AttemptOutcome.UNREACHABLE, self.port.now())
         elif engine is not None and report is not None:
-            self.parts.load_reports.on_report(engine, report, self.port.now())
+            self.components.load_reports.on_report(engine, report, self.port.now())
         self.review()
 
     def receive_load_update(self, peer: int, data: bytes) -> None:
         """Applies a load update from another router."""
-        self.parts.load_reports.on_peer_update(data, self.port.now())
+        self.components.load_reports.on_peer_update(data, self.port.now())
 
     def review(self) -> None:
         """Tries to start all pending requests in the order of their queue rank.
@@ -328,7 +328,7 @@
             self._refresh(self.port.now())
             now = self.port.now()
             if self._timers.consume_due_watch(now):
-                self.parts.attempt_watch.check(now)
+                self.components.attempt_watch.check(now)
             self.review()
         self._timers.rearm()
 
@@ -343,7 +343,7 @@
 
     def _refresh(self, now: float) -> None:
         """Recomputes derived figures, at most once in each tick."""
-        share = self.parts.share
+        share = self.components.share
         if now >= share.valid_until:  # other routers may have this share by now
             self.set_router_share(
                 share.guaranteed_share, share.sender_count, -1, guaranteed_share=share.guaranteed_share
@@ -351,10 +351,10 @@
         if now < self._refreshed_at + TICK_S:
             return
         self._refreshed_at = now
-        self.parts.refresh(now)
+        self.components.refresh(now)
 
     def _schedule_review(self) -> None:
         if self.pending:
             self._timers.request_review(self.port.now() + TICK_S)
-        elif self.parts.pool.in_flight:
+        elif self.components.pool.in_flight:
             self._timers.request_review(self.port.now() + WATCH_INTERVAL_S)
--- a/marbleworks/scheduling/slow_start.py
+++ b/marbleworks/scheduling/slow_start.py
@@ -14,7 +14,7 @@
     from marbleworks.scheduling.router_share import RouterShare
     from marbleworks.scheduling.work_estimates import WorkEstimates
 
-SLOW_START_TRUST = 0.7  # share of a warming engine's nominal floor that routers use
+SLOW_START_FLOOR_USAGE = 0.7  # share of a warming engine's nominal floor that routers use
 SLOW_START_SENDERS = 4  # routers that send to a starting engine: few enough that each share fits a request
 
 
@@ -56,11 +56,11 @@
         if not self.is_warming(engine, now):
             return engine.cores
         routers_per_sender = (
-            self._share.sender_count * self.share_of(engine, now) / self._capacity_growth(engine, now)
+            self._share.sender_count * self.slow_start_share(engine, now) / self._capacity_growth(engine, now)
         )
         return engine.cores * self._capacity_ratio(engine, now) * routers_per_sender
 
-    def share_of(self, engine: EngineState, now: float) -> float:
+    def slow_start_share(self, engine: EngineState, now: float) -> float:
         """Returns this router's share of the floor of an engine that is warming up.
 
         Senders with equal shares are added as the engine warms up. Once all routers send, their shares grow.
@@ -86,14 +86,14 @@
         router process have left the window.
         """
         rules = self._rules
-        floor = rules.slow_start_floor * engine.cores * self.share_of(engine, now)
+        floor = rules.slow_start_floor * engine.cores * self.slow_start_share(engine, now)
         threads = request.request_class.threads
         max_threads = max(threads, rules.overload_multiple * floor + engine.answer_count)
         if not floor or engine.threads_in_use + threads > max_threads:
             return False
         if now < self.router_started_at + rules.overload_window_s:
             return False
-        work_budget = floor * SLOW_START_TRUST * rules.overload_multiple * rules.overload_window_s
+        work_budget = floor * SLOW_START_FLOOR_USAGE * rules.overload_multiple * rules.overload_window_s
         window_start = now - rules.overload_window_s - self._start_slack_s
         sent_work = sum(work for _, work in drop_until(engine.slow_start_work, window_start))
         return sent_work + self._cost(request) <= work_budget
--- a/marbleworks/scheduling/wiring.py
+++ b/marbleworks/scheduling/wiring.py
@@ -28,7 +28,7 @@
     from marbleworks.ports import SchedulerPort, SharedBudgets
 
 
-class SchedulerParts:
+class SchedulerComponents:
     """The components of a scheduler.
 
     Only `Scheduler` uses this object; each component is given only those that it needs.
--- a/marbleworks/scheduling/work_estimates.py
+++ b/marbleworks/scheduling/work_estimates.py
@@ -11,10 +11,12 @@
 
 
 class WorkEstimates:
-    """The estimate bias of each request class, and the work of recent requests."""
+    """The estimate correction of each request class, and the work of recent requests."""
 
     def __init__(self, class_count: int) -> None:
-        self.bias: list[Cost] = [(1.0, 1.0)] * class_count  # ratio of measured to estimated, by class index
+        self.estimate_correction: list[Cost] = [
+            (1.0, 1.0)
+        ] * class_count  # ratio of measured to estimated, by class index
         self.recent_work: deque[tuple[int, float]] = deque(maxlen=8 * MAX_SAMPLES)  # (class index, work)
         self.cheap_threshold = math.inf  # mean recent work; a request not above it is cheap
         self._measured: list[deque[tuple[Cost, Cost]]] = [
@@ -23,8 +25,8 @@
 
     def estimate(self, class_index: int, estimate: Cost) -> Cost:
         """Returns the corrected estimate; an estimated work of 0 becomes the mean recent work."""
-        work_bias, memory_bias = self.bias[class_index]
-        return estimate[0] * work_bias or self.mean_work(class_index), estimate[1] * memory_bias
+        work_correction, memory_correction = self.estimate_correction[class_index]
+        return estimate[0] * work_correction or self.mean_work(class_index), estimate[1] * memory_correction
 
     def mean_work(self, class_index: int) -> float:
         """Returns the mean work of recent requests of the class, or of all classes if it has none."""
@@ -46,13 +48,15 @@
         return len(self._measured[class_index]) >= MAX_SAMPLES // 2
 
     def refresh(self) -> None:
-        """Recomputes the bias of each class and the cheap threshold."""
+        """Recomputes the correction of each class and the cheap threshold."""
         recent_work = self.recent_work
         self.cheap_threshold = sum(work for _, work in recent_work) / max(len(recent_work), 1)
-        self.bias = [(_bias(pairs, 0), _bias(pairs, 1)) for pairs in self._measured]
+        self.estimate_correction = [
+            (_correction(pairs, 0), _correction(pairs, 1)) for pairs in self._measured
+        ]
 
 
-def _bias(pairs: deque[tuple[Cost, Cost]], component: int) -> float:
+def _correction(pairs: deque[tuple[Cost, Cost]], component: int) -> float:
     """Returns the ratio of measured to estimated cost; component: 0 for work, 1 for memory."""
     if not pairs:
         return 1.0
--- a/marbleworks/simulation/wire.py
+++ b/marbleworks/simulation/wire.py
@@ -49,7 +49,7 @@
     "revoked": AttemptOutcome.CANCELLED,
     "unused": AttemptOutcome.UNSENT,
 }
-ENGINE_STATUSES = {"IN": EngineStatus.UP, "LAME": EngineStatus.DRAINING, "OUT": EngineStatus.GONE}
+ENGINE_STATUSES = {"IN": EngineStatus.UP, "LAME": EngineStatus.DRAINING, "OUT": EngineStatus.REMOVED}
 ENGINE_LIST_FAILED = "error"
 ENGINE_LIST_CHANGES = "diff"
 ENGINE_LIST_FORMS = (ENGINE_LIST_CHANGES, "snapshot", "disk", ENGINE_LIST_FAILED)
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -178,13 +178,13 @@
 
     # Storing results.
 
-    def reserve(self, tenant: str, profile: str, statement: bytes) -> SpoolReservation:
+    def reserve(self, tenant: str, class_name: str, statement: bytes) -> SpoolReservation:
         """Reserves room for the result of a statement, as far as there is any."""
         self._remove_expired()
-        space = self.allocator.reserve(tenant, profile, xxhash.xxh3_64_intdigest(statement), clock())
+        space = self.allocator.reserve(tenant, class_name, xxhash.xxh3_64_intdigest(statement), clock())
         if isinstance(space, Reservation):
-            return SpoolReservation(self, tenant, profile, space)
-        return SpoolReservation(self, tenant, profile, retry_after_s=space)
+            return SpoolReservation(self, tenant, class_name, space)
+        return SpoolReservation(self, tenant, class_name, retry_after_s=space)
 
     def on_disk_failure(self, err: Exception) -> None:
         """Stops taking results for a while after a write, sync or deletion failed."""
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -636,7 +636,7 @@
 
 def test_slow_start_load_of_an_engine_stays_within_its_budget(manual_clock: None) -> None:
     dispatcher = StandInDispatcher("(budgets (cold on) (tenants off))", engines=0)
-    dispatcher.scheduler.parts.slow_start.router_started_at = 0.0
+    dispatcher.scheduler.components.slow_start.router_started_at = 0.0
     dispatcher.scheduler.update_engines(
         [EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.UP, dispatcher.clock - 0.1)], True
     )
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -21,7 +21,7 @@
 from marbleworks.net.client_listener import ClientListener
 from marbleworks.net.dispatcher import Dispatcher
 from marbleworks.net.engine_client import engine_client_factory
-from marbleworks.scheduling.request_state import CLOSE_CALL_RATIO
+from marbleworks.scheduling.request_state import NEAR_TARGET_RATIO
 from marbleworks.settings import Settings
 from marbleworks.subsystems.registry import parse_sections
 from tests.support.stand_ins import SETTINGS
@@ -244,7 +244,7 @@
     send_request(client, 1, cost="20", wait="4000")
     assert client.hear()[2] is None
     profile = SMALL_DEPLOYMENT.request_classes[0]
-    max_useful_wait_s = CLOSE_CALL_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
+    max_useful_wait_s = NEAR_TARGET_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
     assert requests[0].max_wait_s <= max_useful_wait_s and requests[0].time_left_s <= max_useful_wait_s < 4.0
 
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -23,7 +23,7 @@
 
 __all__ = ["time_limit"]
 
-UP, DRAINING, GONE = EngineStatus.UP, EngineStatus.DRAINING, EngineStatus.GONE
+UP, DRAINING, REMOVED = EngineStatus.UP, EngineStatus.DRAINING, EngineStatus.REMOVED
 # An engine as published: id, name, zone, machine kind, cell, status, start time and address.
 Row = tuple[int, str, int, int, int, EngineStatus, float, tuple[str, int]]
 
@@ -321,7 +321,7 @@
     expected_rows = [
         [row(0, "s-a", 1000), row(1, "s-b", 2000, DRAINING)],
         [row(0, "s-a", 1000, UP, 5.0)],
-        [row(1, "s-b", 2000, GONE)],
+        [row(1, "s-b", 2000, REMOVED)],
         [row(2, "s-c", 2000)],
         [row(0, "s-a", 1000, DRAINING, 5.0), row(3, "s-b", 3000)],
         [],
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -180,7 +180,7 @@
         class_work = [
             *(
                 work_s
-                for other_index, work_s in self.scheduler.parts.estimates.recent_work
+                for other_index, work_s in self.scheduler.components.estimates.recent_work
                 if other_index == class_index
             ),
             work or self.scheduler.mean_work(class_index),
@@ -230,7 +230,8 @@
                 id(s): self.model.submissions[s["ref"]]["deadline"] - 0.01 for s in self.attempts_in_flight()
             }
             next_wakeup = min(
-                self.scheduler.parts.timers.next_review_at, self.scheduler.parts.timers.next_expiry_at
+                self.scheduler.components.timers.next_review_at,
+                self.scheduler.components.timers.next_expiry_at,
             )
             at = min([next_wakeup, *timeouts.values(), end])
             self.model.clock = max(at, self.model.clock)
@@ -291,7 +292,7 @@
         class_work = [
             *(
                 work_s
-                for other_index, work_s in scheduler.parts.estimates.recent_work
+                for other_index, work_s in scheduler.components.estimates.recent_work
                 if other_index == class_index
             ),
             work or scheduler.mean_work(class_index),
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -128,9 +128,13 @@
     request = harness.take(FREE)
     request.on_attempt_end(0, outcome, False, None)
     request.on_attempt_end(1, AttemptOutcome.ERROR, False, None)  # was sent, so the next one is a retry
-    assert len(harness.port.sent(request.ref)) == 3 and len(harness.gateway.parts.retry_budget.retries) == 1
+    assert (
+        len(harness.port.sent(request.ref)) == 3 and len(harness.gateway.components.retry_budget.retries) == 1
+    )
     request.on_attempt_end(2, outcome, False, None)  # the retry was never sent and does not count
-    assert len(harness.port.sent(request.ref)) == 4 and len(harness.gateway.parts.retry_budget.retries) == 1
+    assert (
+        len(harness.port.sent(request.ref)) == 4 and len(harness.gateway.components.retry_budget.retries) == 1
+    )
     request.on_attempt_end(3, AttemptOutcome.ERROR, False, None)
     assert harness.port.finals(request.ref) == ["shed"]
     over_budget_request = harness.take(FREE)
@@ -169,14 +173,14 @@
     harness = Stage(5)
     for engine_id in range(3):
         for _ in range(2):
-            harness.gateway.parts.outliers.on_failure(
+            harness.gateway.components.outliers.on_failure(
                 harness.gateway.engines[engine_id], AttemptOutcome.CONNECTION_REFUSED, harness.port.clock
             )
     for n in range(12):
         answer_request(harness, harness.take(FREE, group=n))
     assert set(harness.port.sent()) == {3, 4}
     for engine_id in (3, 4):
-        harness.gateway.parts.outliers.on_failure(
+        harness.gateway.components.outliers.on_failure(
             harness.gateway.engines[engine_id], AttemptOutcome.CONNECTION_REFUSED, harness.port.clock
         )
     assert harness.take(FREE).in_flight  # with no engine left, an engine is tried all the same
@@ -222,7 +226,7 @@
 def test_nothing_is_sent_to_an_engine_that_drains_or_has_left_the_list() -> None:
     harness = Stage()
     harness.gateway.update_engines(
-        [engine(0, EngineStatus.DRAINING), engine(1, EngineStatus.GONE, kind=1)], complete=False
+        [engine(0, EngineStatus.DRAINING), engine(1, EngineStatus.REMOVED, kind=1)], complete=False
     )
     harness.gateway.update_engines([engine(0, EngineStatus.DRAINING), engine(2)], complete=True)
     for _ in range(10):
@@ -293,7 +297,7 @@
         load = harness.take(LOAD, group=n)
         loads = {harness.port.sent(load.ref)[0]}
         load.on_answer(0, None, None)
-        homes = {e.entry.engine_id for e in harness.gateway.parts.placement.homes(n)}
+        homes = {e.entry.engine_id for e in harness.gateway.components.placement.homes(n)}
         readers = {harness.port.sent(harness.take(group=n).ref)[0] for _ in range(3)}
         assert loads <= homes and not readers & homes
 
@@ -449,7 +453,7 @@
     assert len(load_updates) == 1
     for data in (b"", b"x", b"none!", load_updates[0] * 60, load_updates[0][:4], load_updates[0]):
         harness.gateway.receive_load_update(1, data)
-    idle_engine = next(e for e in harness.gateway.up if e.entry.engine_id != busy_engine_id)
+    idle_engine = next(e for e in harness.gateway.available_engines if e.entry.engine_id != busy_engine_id)
     harness.gateway.receive_load_update(1, idle_engine.wire_id + b"\x00")
     for n in range(20):
         answer_request(harness, harness.take(FREE, group=n))
@@ -515,8 +519,8 @@
             FleetInfo(routers, -1 if router_index % 10 == 9 else router_index, 0, (8, 8), (16384.0, 16384.0)),
         )
         harness.port.clock = at
-        harness.gateway.parts.slow_start.router_started_at = at
-        harness.gateway.parts.placement.seed = seed * 1000 + router_index
+        harness.gateway.components.slow_start.router_started_at = at
+        harness.gateway.components.placement.seed = seed * 1000 + router_index
         return harness
 
     harnesses = [start_router(router_index, 100.0) for router_index in range(routers)]
@@ -535,7 +539,8 @@
                     if engine_id == 0:
                         sent_work.append(
                             (
-                                harness.port.clock + rng.choice((0.0, harness.gateway.parts.start_slack_s)),
+                                harness.port.clock
+                                + rng.choice((0.0, harness.gateway.components.start_slack_s)),
                                 work,
                             )
                         )
@@ -575,11 +580,11 @@
         harness.gateway.update_engines([engine(0, started=100.0)], complete=True)
     for at in range(101, 110):
         shares = [
-            harness.gateway.parts.slow_start.share_of(harness.gateway.engines[0], float(at))
+            harness.gateway.components.slow_start.slow_start_share(harness.gateway.engines[0], float(at))
             for harness in harnesses
         ]
         capacity_growth = (
-            capacity_share_at_start_of_window(at - harnesses[0].gateway.parts.start_slack_s, 100.0)
+            capacity_share_at_start_of_window(at - harnesses[0].gateway.components.start_slack_s, 100.0)
             / RULES.slow_start_floor
         )
         assert capacity_growth - 0.25 <= sum(shares) <= capacity_growth + 1e-9
@@ -621,7 +626,8 @@
         )
     for engine_id in range(100):
         shares = [
-            s.gateway.parts.slow_start.share_of(s.gateway.engines[engine_id], s.port.clock) for s in harnesses
+            s.gateway.components.slow_start.slow_start_share(s.gateway.engines[engine_id], s.port.clock)
+            for s in harnesses
         ]
         assert sum(shares) == pytest.approx(1.0) and sum(share > 0 for share in shares) == min(
             4, len(sender_routers)
@@ -634,15 +640,17 @@
 def test_shares_of_threads_memory_and_rates_follow_the_router_share() -> None:
     rules = replace(RULES, tenant_rates_per_s=(8.0,), retry_budget_ratio=None)
     gateway = Stage(1, rules, FleetInfo(4, 1, 0, (8, 8), (16384.0, 16384.0))).gateway
-    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 20
-    gateway.parts.tenant_quotas.request_times[0].extend([1.0, 2.0, 3.0])
+    assert gateway.components.tenant_quotas.request_times[0].maxlen == 20
+    gateway.components.tenant_quotas.request_times[0].extend([1.0, 2.0, 3.0])
     gateway.set_router_share(0.5, 2, 0)
-    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 40 and list(
-        gateway.parts.tenant_quotas.request_times[0]
+    assert gateway.components.tenant_quotas.request_times[0].maxlen == 40 and list(
+        gateway.components.tenant_quotas.request_times[0]
     ) == [1.0, 2.0, 3.0]
-    assert gateway.routers == pytest.approx(2.0)
+    assert gateway.capacity_divisor == pytest.approx(2.0)
     gateway.set_router_share(0.25 / 4, 4, -1)
-    assert gateway.parts.tenant_quotas.request_times[0].maxlen == 5 and gateway.routers == pytest.approx(16.0)
+    assert gateway.components.tenant_quotas.request_times[
+        0
+    ].maxlen == 5 and gateway.capacity_divisor == pytest.approx(16.0)
 
 
 def test_a_share_ends_at_its_time_without_a_notice() -> None:
@@ -654,20 +662,20 @@
     harness.gateway.set_router_share(0.5, 2, 0, valid_until=harness.port.clock + 1.0, guaranteed_share=0.1)
     harness.gateway.update_engines([engine(9, started=harness.port.clock - 5.0)], complete=False)
     warming_engine = harness.gateway.engines[9]
-    assert harness.gateway.parts.slow_start.share_of(
+    assert harness.gateway.components.slow_start.slow_start_share(
         warming_engine, 95.0
-    ) == 0.5 and harness.gateway.routers == pytest.approx(2.0)
+    ) == 0.5 and harness.gateway.capacity_divisor == pytest.approx(2.0)
     harness.port.clock += 0.9
     # The same share is assigned for one more second.
     harness.gateway.set_router_share(0.5, 2, 0, valid_until=harness.port.clock + 1.0, guaranteed_share=0.1)
     harness.port.clock += 0.9
     harness.take(FREE)
-    assert harness.gateway.routers == pytest.approx(2.0)
+    assert harness.gateway.capacity_divisor == pytest.approx(2.0)
     harness.port.clock += 0.2
     harness.take(FREE)
-    assert harness.gateway.parts.slow_start.share_of(
+    assert harness.gateway.components.slow_start.slow_start_share(
         warming_engine, 95.0
-    ) == 0.0 and harness.gateway.routers == pytest.approx(10.0)
+    ) == 0.0 and harness.gateway.capacity_divisor == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize("fleet", [(0, -1), (0, 0), (1, 0), (1, 9), (5, -1), (5, 99)])
@@ -677,12 +685,14 @@
         [engine(engine_id, started=99.0) for engine_id in range(400)], complete=False
     )
     now, gateway = harness.port.clock, harness.gateway
-    assert all(0 <= gateway.parts.slow_start.share_of(e, now) <= 1 for e in gateway.engines.values())
+    assert all(
+        0 <= gateway.components.slow_start.slow_start_share(e, now) <= 1 for e in gateway.engines.values()
+    )
     harness.port.clock += 1e6
     assert harness.take(FREE).in_flight
     harness.gateway.update_engines([], complete=True)
     harness.pass_time(7.0)
-    assert not harness.gateway.up
+    assert not harness.gateway.available_engines
 
 
 def test_a_request_that_waited_most_of_its_time_in_the_router_is_shed_at_once() -> None:
@@ -754,8 +764,8 @@
     harness.pass_time(RULES.key_settle_s + 1.0)
     harness.take()
     assert (
-        len(harness.gateway.parts.key_order.queues) <= 1
-        and len(harness.gateway.parts.table_groups.requests_by_group) <= 1
+        len(harness.gateway.components.key_order.queues) <= 1
+        and len(harness.gateway.components.table_groups.requests_by_group) <= 1
     )
 
 
@@ -781,11 +791,13 @@
     One engine was ejected, and a single one was left outside the group's homes.
     """
     harness = Stage(engines=4)
-    other_engines = [e for e in harness.gateway.up if e not in harness.gateway.parts.placement.homes(1)]
+    other_engines = [
+        e for e in harness.gateway.available_engines if e not in harness.gateway.components.placement.homes(1)
+    ]
     for _ in range(8):
         harness.take(work=0.05)
     assert set(harness.port.sent()) <= {e.entry.engine_id for e in other_engines}
-    harness.gateway.parts.outliers.on_failure(
+    harness.gateway.components.outliers.on_failure(
         other_engines[0], AttemptOutcome.UNREACHABLE, harness.port.clock
     )
     before = len(harness.port.sent())
