--- a/marbleworks/budgets/service.py
+++ b/marbleworks/budgets/service.py
@@ -82,11 +82,11 @@
 
     def _request_report(self) -> None:
         """Has the next report sent sooner; called in the dispatcher's greenlet."""
-        if self.wake_at is not None and self.wake_at > self.reported_at + MIN_REPORT_INTERVAL_S:
+        if self.next_timer_at is not None and self.next_timer_at > self.reported_at + MIN_REPORT_INTERVAL_S:
             self.post(self._report_sooner)
 
     def _report_sooner(self) -> None:
-        self.wake_at = min(self.wake_at or clock(), self.reported_at + MIN_REPORT_INTERVAL_S)
+        self.next_timer_at = min(self.next_timer_at or clock(), self.reported_at + MIN_REPORT_INTERVAL_S)
 
     def set_leader(self, leader: LeaderRef) -> None:
         """Updates the leader of the group, which is the granter; keeps a ledger while that is this router."""
@@ -112,7 +112,7 @@
     def on_timer(self) -> None:
         """Sends the next reports and sets the timer for those after them."""
         self.reported_at = clock()
-        self.wake_at = self.reported_at + REPORT_INTERVAL_S
+        self.next_timer_at = self.reported_at + REPORT_INTERVAL_S
         self.dispatcher.post(self._send_reports, self.leader)
 
     # In the dispatcher's greenlet.
--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -210,7 +210,7 @@
         """Hands a shed request on to the scheduler, which rejects it."""
         held_request = self.held_requests.pop(ref)
         self.idle_engine_s.pop(ref, None)
-        self.dispatcher.admit(ref, *held_request, wait=retry_after_s)
+        self.dispatcher.admit(ref, *held_request, retry_after_s=retry_after_s)
 
     def send_to_peers(self, data: bytes) -> None:
         """Sends a summary to all peers."""
--- a/marbleworks/membership/service.py
+++ b/marbleworks/membership/service.py
@@ -144,7 +144,7 @@
         self._report_share(status, now)
         self._report_leader(now)
         due = min(self.node.next_due(), status.valid_until)
-        self.wake_at = clock() + max(due - now, MIN_TICK_INTERVAL_S)
+        self.next_timer_at = clock() + max(due - now, MIN_TICK_INTERVAL_S)
 
     def _log_change(self, change: MemberChange) -> None:
         if change.router == self.router_index and change.state is MemberState.DEAD:
--- a/marbleworks/net/actor.py
+++ b/marbleworks/net/actor.py
@@ -55,15 +55,15 @@
     Attributes:
         post_count: Number of calls posted so far; it keeps calls of equal priority in their order.
         finished: Whether the greenlet ends after the current call.
-        wake_at: Unix time in seconds at which `on_timer` is called; None for never. The timer is cleared
-            before the call.
+        next_timer_at: Unix time in seconds at which `on_timer` is called; None for never. The timer is
+            cleared before the call.
     """
 
     def __init__(self) -> None:
         self.mailbox: PriorityQueue[MailboxEntry] = PriorityQueue()
         self.post_count = 0
         self.finished = False
-        self.wake_at: float | None = None
+        self.next_timer_at: float | None = None
         self.greenlet = gevent.spawn(self._run)
 
     def post(self, action: Callable[..., Any], *args: Any) -> None:
@@ -91,7 +91,7 @@
         self.finished = True
 
     def on_timer(self) -> None:
-        """Called once `wake_at` has passed."""
+        """Called once `next_timer_at` has passed."""
 
     def _run(self) -> None:
         slice_began_at = 0.0
@@ -101,7 +101,7 @@
                 if now > slice_began_at + TIME_SLICE_S:  # a full mailbox must not starve other greenlets
                     gevent.sleep(0)
                     slice_began_at = now = clock()
-                timeout_s = None if self.wake_at is None else self.wake_at - now
+                timeout_s = None if self.next_timer_at is None else self.next_timer_at - now
                 if timeout_s is not None and timeout_s <= 0:
                     action, args = self.on_timer, ()
                 else:
@@ -109,7 +109,7 @@
             except Empty:
                 action, args = self.on_timer, ()
             if action == self.on_timer:
-                self.wake_at = None
+                self.next_timer_at = None
             _call_and_log(action, *args)
             # They may refer to a large result, and the next call may not come for a long time.
             del action, args
--- a/marbleworks/net/client_session.py
+++ b/marbleworks/net/client_session.py
@@ -123,7 +123,7 @@
         """Answers a query with a permanent error."""
         self._finish_call(Response(call_id, protocol.failed_error(reason), None))
 
-    def forget(self, request: OpenRequest) -> None:
+    def on_disconnect_handled(self, request: OpenRequest) -> None:
         """Removes an abandoned call once the dispatcher knows of it; its call id may be in use again."""
         call = self.calls.get(request.call_id)
         if call is not None and call.request is request:
--- a/marbleworks/net/connection_pool.py
+++ b/marbleworks/net/connection_pool.py
@@ -37,10 +37,10 @@
     """The actor that a pool belongs to.
 
     Attributes:
-        wake_at: Unix time in seconds of the actor's next timer; None for none.
+        next_timer_at: Unix time in seconds of the actor's next timer; None for none.
     """
 
-    wake_at: float | None
+    next_timer_at: float | None
 
     def on_descriptor_shortage(self) -> None:
         """Called when a request waits, the pool has no open connection, and the quota is used up."""
@@ -222,7 +222,7 @@
             self.idle.append(connection)
             owner = self._owner()
             if owner is not None:
-                owner.wake_at = owner.wake_at or connection.idle_since + self.max_idle_s
+                owner.next_timer_at = owner.next_timer_at or connection.idle_since + self.max_idle_s
 
     def _report_shortage(self) -> None:
         owner = self._owner()
--- a/marbleworks/net/discovery.py
+++ b/marbleworks/net/discovery.py
@@ -83,18 +83,18 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._read_initial_engines(initial_engines)
         spawn(self._listen)
-        self.wake_at = clock()
+        self.next_timer_at = clock()
 
     def set_nameserver(self, nameserver: SocketAddress) -> None:
         """Switches to another name server, which is expected to continue the same revision numbers."""
         self.nameserver = nameserver
         self.open_queries.clear()
-        self.wake_at = clock()
+        self.next_timer_at = clock()
 
     def on_timer(self) -> None:
         """Sends one query; the next follows after `QUERY_RETRY_S` unless a response arrives."""
         now = clock()
-        self.wake_at = now + QUERY_RETRY_S
+        self.next_timer_at = now + QUERY_RETRY_S
         oldest_sent_at = now - protocol.MAX_DNS_RESPONSE_AGE_S
         self.open_queries = {
             query_id: query for query_id, query in self.open_queries.items() if query.sent_at > oldest_sent_at
@@ -142,7 +142,7 @@
 
     def _close_query(self, query_id: int) -> None:
         del self.open_queries[query_id]
-        self.wake_at = clock() + QUERY_INTERVAL_S
+        self.next_timer_at = clock() + QUERY_INTERVAL_S
 
     def _listen(self) -> None:
         while True:
--- a/marbleworks/net/dispatcher.py
+++ b/marbleworks/net/dispatcher.py
@@ -55,16 +55,22 @@
     # Events reported by other actors.
 
     def submit(
-        self, ref: str, request: OpenRequest, group: int, key: str, declared: tuple[float, float], tenant: int
+        self,
+        ref: str,
+        request: OpenRequest,
+        table_group: int,
+        ordering_key: str,
+        estimate: tuple[float, float],
+        tenant: int,
     ) -> None:
         """Passes a new request to the admission controller if there is one, else to the scheduler.
 
         Args:
             ref: Id of the request.
             request: The request.
-            group: Table group of its statement; 0 for none.
-            key: Requests with the same key run in order; empty for no order.
-            declared: Work in seconds and memory in MB that its client expects it to take.
+            table_group: Table group of its statement; 0 for none.
+            ordering_key: Requests with the same key run in order; empty for no order.
+            estimate: Work in seconds and memory in MB that its client expects it to take.
             tenant: Index of its tenant.
         """
         if request.client_gone:  # the disconnect was read before this call was made
@@ -76,10 +82,10 @@
             return
         self.open_requests[ref] = request
         if self.admission is None:
-            self.admit(ref, request, group, key, declared, tenant)
+            self.admit(ref, request, table_group, ordering_key, estimate, tenant)
             return
         try:
-            self.admission.enqueue(ref, request, group, key, declared, tenant)
+            self.admission.enqueue(ref, request, table_group, ordering_key, estimate, tenant)
         except Exception:
             is_undecided = self.open_requests.get(ref) is request and request.handle is None
             if is_undecided and not request.completed:
@@ -91,23 +97,23 @@
         self,
         ref: str,
         request: OpenRequest,
-        group: int,
-        key: str,
-        declared: tuple[float, float],
+        table_group: int,
+        ordering_key: str,
+        estimate: tuple[float, float],
         tenant: int,
-        wait: float | None = None,
+        retry_after_s: float | None = None,
     ) -> None:
         """Passes a request to the scheduler.
 
         Args:
             ref: Id of the request.
             request: The request.
-            group: Table group of its statement; 0 for none.
-            key: Requests with the same key run in order; empty for no order.
-            declared: Work in seconds and memory in MB that its client expects it to take.
+            table_group: Table group of its statement; 0 for none.
+            ordering_key: Requests with the same key run in order; empty for no order.
+            estimate: Work in seconds and memory in MB that its client expects it to take.
             tenant: Index of its tenant.
-            wait: Seconds after which the client may retry, if the admission controller has no room for the
-                request now; None otherwise.
+            retry_after_s: Seconds after which the client may retry, if the admission controller has no room
+                for the request now; None otherwise.
         """
         class_index = self.settings.class_index[request.class_name]
         deadline = request.deadline
@@ -115,10 +121,18 @@
             deadline = min(deadline, self.shutdown_deadline)
         time_left_s = deadline - clock()
         try:
-            if wait is None and request.reservation is not None:
-                wait = request.reservation.retry_after_s
+            if retry_after_s is None and request.reservation is not None:
+                retry_after_s = request.reservation.retry_after_s
             request.handle = self.scheduler.submit(
-                ref, class_index, group, key, declared, tenant, request.received_at, time_left_s, wait
+                ref,
+                class_index,
+                table_group,
+                ordering_key,
+                estimate,
+                tenant,
+                request.received_at,
+                time_left_s,
+                retry_after_s,
             )
         finally:
             if request.handle is None:  # an exception in the scheduler fails only this request
@@ -131,7 +145,7 @@
         This call has priority over new requests, so the request itself may still be in the mailbox, and
         another request with the same id may be open.
         """
-        request.client.post(request.client.forget, request)
+        request.client.post(request.client.on_disconnect_handled, request)
         if self.open_requests.get(request.ref) is not request or request.completed:
             return
         if self.admission is not None and self.admission.on_client_disconnect(request.ref):
@@ -205,7 +219,7 @@
             if entry.engine_id not in self.engine_clients:
                 self.engine_clients[entry.engine_id] = self.make_engine_client(self, entry.name, address)
             engine_client = self.engine_clients[entry.engine_id]
-            engine_client.post(engine_client.update_entry, entry.is_up, entry.started_at)
+            engine_client.post(engine_client.update_listing, entry.is_up, entry.started_at)
         self.scheduler.update_engines([entry for entry, _ in listings], is_complete)
         if self.scheduler.shared_budgets is not None:
             self.scheduler.shared_budgets.engines_changed()
@@ -225,7 +239,7 @@
             deadline: Unix time in seconds.
         """
         self.shutdown_deadline = deadline
-        self.wake_at = min(self.wake_at or deadline, deadline)
+        self.next_timer_at = min(self.next_timer_at or deadline, deadline)
 
     def on_timer(self) -> None:
         """Runs the scheduler's timer, or ends all requests at the shutdown deadline."""
@@ -238,7 +252,7 @@
         else:
             self.scheduler.on_timer()
             if self.shutdown_deadline is not None:
-                self.wake_at = min(self.wake_at or self.shutdown_deadline, self.shutdown_deadline)
+                self.next_timer_at = min(self.next_timer_at or self.shutdown_deadline, self.shutdown_deadline)
 
     def _retire_engines(self, listings: list[EngineListing], is_complete: bool) -> None:
         """Retires the clients of engines that have gone or moved; each ends after its last attempt."""
@@ -335,7 +349,7 @@
 
     def schedule_wakeup(self, at: float) -> None:
         """Has `on_timer` called no later than `at` (Unix time in seconds)."""
-        self.wake_at = min(self.wake_at or at, at)
+        self.next_timer_at = min(self.next_timer_at or at, at)
 
     def log(self, text: str) -> None:
         """Logs a decision of the scheduler."""
--- a/marbleworks/net/engine_client.py
+++ b/marbleworks/net/engine_client.py
@@ -128,7 +128,7 @@
             attempt.cancelled = True
             spawn(self._cancel, attempt)
 
-    def update_entry(self, is_up: bool, started_at: float) -> None:
+    def update_listing(self, is_up: bool, started_at: float) -> None:
         """Applies a change of the engine's entry in the list.
 
         Once the engine drains, attempts that have not been sent are stopped. After a restart, attempts sent
@@ -153,7 +153,7 @@
     def retire(self) -> None:
         """Handles that the engine has left the list; this actor ends after its last attempt."""
         self.is_retired = True
-        self.update_entry(False, self.started_at)
+        self.update_listing(False, self.started_at)
         self._finish_if_retired()
 
     def hand_over_descriptor(self, recipient: EnginePort) -> None:
@@ -166,7 +166,7 @@
 
     def on_timer(self) -> None:
         """Closes connections that were idle for too long."""
-        self.wake_at = self.pool.close_expired()
+        self.next_timer_at = self.pool.close_expired()
 
     # Calls from the connection pool.
 
@@ -178,7 +178,7 @@
 
     def _run_attempt(self, attempt: AttemptCall) -> None:
         end: AttemptEnd = AttemptFailure(AttemptOutcome.UNSENT)
-        attempt.has_begun = True
+        attempt.has_started = True
         try:
             if attempt.stop_reason is not None:
                 raise AttemptCancelledError(attempt.stop_reason)
@@ -289,7 +289,7 @@
         self._stop(attempt, CloseReason.ATTEMPT_CANCELLED)
 
     def _stop(self, attempt: AttemptCall, reason: CloseReason) -> None:
-        if attempt.has_begun:
+        if attempt.has_started:
             attempt.greenlet.kill(AttemptCancelledError(reason), block=False)
         else:  # a greenlet that is killed before it runs would never report to the dispatcher
             attempt.stop_reason = reason
--- a/marbleworks/net/messages.py
+++ b/marbleworks/net/messages.py
@@ -27,7 +27,7 @@
 
     stream: Stream
 
-    def post(self, what: Callable[..., None], *args: Any) -> None:
+    def post(self, action: Callable[..., None], *args: Any) -> None:
         """Queues a call that the session's actor makes."""
 
     def answer(self, call_id: int, result: bytes, metadata: dict[str, str]) -> None:
@@ -39,7 +39,7 @@
     def fail(self, call_id: int, reason: str) -> None:
         """Answers a call with an error."""
 
-    def forget(self, request: OpenRequest) -> None:
+    def on_disconnect_handled(self, request: OpenRequest) -> None:
         """Tells the session that the dispatcher knows of the request's cancellation or disconnect."""
 
 
@@ -48,7 +48,7 @@
 
     address: SocketAddress
 
-    def post(self, what: Callable[..., None], *args: Any) -> None:
+    def post(self, action: Callable[..., None], *args: Any) -> None:
         """Queues a call that the engine client's actor makes."""
 
     def start_attempt(self, attempt: AttemptCall) -> None:
@@ -57,7 +57,7 @@
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
         """Cancels an attempt, and also its request at the engine if that has been sent."""
 
-    def update_entry(self, is_up: bool, started_at: float) -> None:
+    def update_listing(self, is_up: bool, started_at: float) -> None:
         """Applies the engine's entry of a new list.
 
         Args:
@@ -134,7 +134,7 @@
         is_wanted: Whether the client still waits; called right before the first byte is sent.
         sent_at: Unix time in seconds at which its request was fully written; None before that.
         cancelled: Whether the dispatcher cancelled it.
-        has_begun: Whether its greenlet has started to run.
+        has_started: Whether its greenlet has started to run.
         stop_reason: Why it was stopped before its greenlet started to run; None otherwise.
         greenlet: The greenlet that runs it.
     """
@@ -150,7 +150,7 @@
     is_wanted: Callable[[], bool] = lambda: True
     sent_at: float | None = None
     cancelled: bool = False
-    has_begun: bool = False
+    has_started: bool = False
     stop_reason: CloseReason | None = None
     greenlet: gevent.Greenlet[..., None] = field(init=False)
 
--- a/marbleworks/net/protocol.py
+++ b/marbleworks/net/protocol.py
@@ -251,7 +251,7 @@
         peers: Addresses of all routers, by index.
         peer_broadcast: Address at which a datagram reaches all peers.
         nameserver: Address of the name server that serves the engine list.
-        max_sockets: Number of file descriptors that the router may hold.
+        max_descriptors: Number of file descriptors that the router may hold.
         initial_engines: The engine list at the start, as in the operators' file.
         settings: Settings of the deployment.
     """
@@ -263,7 +263,7 @@
     peers: list[tuple[str, int]]
     peer_broadcast: tuple[str, int]
     nameserver: tuple[str, int]
-    max_sockets: int
+    max_descriptors: int
     initial_engines: Any
     settings: Settings
 
@@ -284,7 +284,7 @@
                 peers=[_decode_address(text) for text in raw["peers"]],
                 peer_broadcast=_decode_address(raw["peers_all"]),
                 nameserver=_decode_address(raw["nameserver"]),
-                max_sockets=int(raw["limits"]["sockets"]),
+                max_descriptors=int(raw["limits"]["sockets"]),
                 initial_engines=raw["known"],
                 settings=Settings(raw["settings"]),
             )
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -75,13 +75,13 @@
     engines: BoundedSemaphore
 
     @classmethod
-    def divide(cls, max_sockets: int) -> _DescriptorQuotas:
+    def divide(cls, max_descriptors: int) -> _DescriptorQuotas:
         """Divides the descriptors of a router between clients and engines."""
         # The usual clients hold at most a third; some more descriptors are left for other clients.
-        client_share = max_sockets // 3
+        client_share = max_descriptors // 3
         return cls(
             clients=BoundedSemaphore(client_share + _RESERVED_DESCRIPTORS // 2),
-            engines=BoundedSemaphore(max_sockets - client_share - 2 * _RESERVED_DESCRIPTORS),
+            engines=BoundedSemaphore(max_descriptors - client_share - 2 * _RESERVED_DESCRIPTORS),
         )
 
 
@@ -109,7 +109,7 @@
         startup_signals: Signals that arrived before this call.
     """
     _configure_logging()
-    quotas = _DescriptorQuotas.divide(config.max_sockets)
+    quotas = _DescriptorQuotas.divide(config.max_descriptors)
     stop_requested = Event()
     gevent.signal_handler(signal.SIGTERM, stop_requested.set)
     gevent.signal_handler(signal.SIGINT, stop_requested.set)
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize(
     ("interfere", "outcome"),
     [
-        (lambda race: race.engine.update_entry(False, 0.0), AttemptOutcome.WITHHELD),  # the engine drains
+        (lambda race: race.engine.update_listing(False, 0.0), AttemptOutcome.WITHHELD),  # the engine drains
         (lambda race: race.engine.retire(), AttemptOutcome.WITHHELD),  # another engine may have its address
         # The scheduler's time limit has passed.
         (lambda race: setattr(race.attempt, "begin_by", 0.0), AttemptOutcome.WITHHELD),
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -495,7 +495,7 @@
     engine_client = EngineClient(dispatcher, "s-0", sql_engine.address, DEPLOYMENT, quota)  # type: ignore[arg-type]
     engine_client.post(engine_client.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
     gevent.sleep(0.02)
-    engine_client.post(engine_client.update_entry, False, 0.0)
+    engine_client.post(engine_client.update_listing, False, 0.0)
     until(lambda: dispatcher.outcomes)
     assert dispatcher.outcomes[0].never_ran and not sql_engine.calls
 
@@ -506,7 +506,7 @@
     engine_client = EngineClient(dispatcher, "s-0", sql_engine.address, DEPLOYMENT, BoundedSemaphore(1))  # type: ignore[arg-type]
     engine_client.post(engine_client.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
     if stop_cause == "drain":
-        engine_client.post(engine_client.update_entry, False, 0.0)
+        engine_client.post(engine_client.update_listing, False, 0.0)
     else:
         engine_client.post(engine_client.cancel_attempt, "0" * 16, 0)
     until(lambda: dispatcher.outcomes)
@@ -524,7 +524,7 @@
         engine_client.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 0.5)
     )
     until(lambda: sql_engine.calls)
-    engine_client.post(engine_client.update_entry, False, 0.0)
+    engine_client.post(engine_client.update_listing, False, 0.0)
     until(lambda: dispatcher.outcomes)
     assert len(sql_engine.asked("GET")) > 5 and sql_engine.connections <= 2  # a second one cancels it
 
@@ -534,7 +534,7 @@
     engine_client = EngineClient(dispatcher, "s-0", sql_engine.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
     engine_client.post(engine_client.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 9))
     until(lambda: sql_engine.calls)
-    engine_client.post(engine_client.update_entry, True, time.time() + 1)
+    engine_client.post(engine_client.update_listing, True, time.time() + 1)
     until(lambda: dispatcher.outcomes)
     assert dispatcher.outcomes == [AttemptOutcome.CONNECTION_LOST]
 
