--- a/marbleworks/background/task_runner.py
+++ b/marbleworks/background/task_runner.py
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True)
 class OffloadedCall:
-    """Yielded by a task to call `work` on the worker thread; the task receives its result or exception.
+    """Yielded by a task to make `call` on the worker thread; the task receives its result or exception.
 
     Attributes:
-        work: the blocking call.
+        call: the blocking call.
         io_bytes: bytes that the call reads or writes, charged to the I/O budget.
     """
 
-    work: Callable[[], Any]
+    call: Callable[[], Any]
     io_bytes: int = 0
 
 
 @dataclass(frozen=True)
-class Wait:
+class AwaitedResult:
     """Yielded by a task to wait for another greenlet; the task receives its result or exception.
 
     Attributes:
@@ -54,7 +54,7 @@
     io_bytes: int = 0
 
 
-TaskSteps = Generator[OffloadedCall | Wait | None, Any, None]
+TaskSteps = Generator[OffloadedCall | AwaitedResult | None, Any, None]
 
 
 @dataclass(eq=False)
@@ -62,7 +62,7 @@
     """A task that runs periodically.
 
     Attributes:
-        name: name in log lines and for `TaskRunner.run_soon`.
+        name: name in log lines and for `TaskRunner.run_now`.
         priority: a smaller number runs first.
         period_s: returns the seconds between the end of a run and the start of the next.
         start: creates the generator of the task's steps.
@@ -112,7 +112,7 @@
         """Applies new limits while tasks run."""
         self.queue.set_limits(options.core_share, options.bytes_per_s, options.max_wait_s)
 
-    def add_periodic(
+    def add_periodic_task(
         self,
         name: str,
         priority: int,
@@ -127,7 +127,7 @@
         the budgets.
 
         Args:
-            name: name in log lines and for `run_soon`.
+            name: name in log lines and for `run_now`.
             priority: a smaller number runs first.
             period_s: returns the seconds between the end of a run and the start of the next.
             start: creates the generator of the task's steps.
@@ -140,7 +140,7 @@
         if dedicated:
             spawn(self._run_dedicated, task)
 
-    def run_soon(self, name: str) -> None:
+    def run_now(self, name: str) -> None:
         """Makes the task of that name due now; if it is running, it runs again as soon as it ends."""
         for task in self.periodic_tasks:
             if task.name == name:
@@ -196,9 +196,9 @@
             if task.due_at > clock():
                 task.wake_event.wait(max(task.due_at - clock(), MIN_SLEEP_S))
                 continue
-            task.due_at = clock() + MAX_SLEEP_S  # `run_soon` may set an earlier time during the run
+            task.due_at = clock() + MAX_SLEEP_S  # `run_now` may set an earlier time during the run
             try:
-                run_to_end(task.start(), threads)
+                run_all_steps(task.start(), threads)
             except Exception:  # noqa: BLE001 - a failed run is logged, and the task runs again
                 LOG.exception("failed", work=task.name)
                 gevent.sleep(MAX_SLEEP_S)
@@ -220,12 +220,12 @@
             self._finish_run(task)
         gevent.sleep(0)
 
-    def _complete_yielded(self, periodic: PeriodicTask, yielded: OffloadedCall | Wait) -> float:
+    def _complete_yielded(self, periodic: PeriodicTask, yielded: OffloadedCall | AwaitedResult) -> float:
         """Carries out what the step yielded; returns the core seconds that it took on the worker thread."""
         core_s = 0.0
         try:
             if isinstance(yielded, OffloadedCall):
-                core_s, periodic.next_value = self.threads.call(_call_timed, yielded.work)
+                core_s, periodic.next_value = self.threads.call(_call_timed, yielded.call)
             else:
                 periodic.next_value = yielded.outcome.get()
         except Exception as error:  # noqa: BLE001 - it is raised in the task's next step
@@ -240,7 +240,7 @@
         periodic.rerun = False
 
 
-def _run_to_next_yield(periodic: PeriodicTask) -> tuple[bool, OffloadedCall | Wait | None]:
+def _run_to_next_yield(periodic: PeriodicTask) -> tuple[bool, OffloadedCall | AwaitedResult | None]:
     """Runs the task to its next yield.
 
     Returns:
@@ -256,11 +256,11 @@
     return True, None
 
 
-def _advance(steps: TaskSteps, value: Any, error: Exception | None) -> OffloadedCall | Wait | None:
+def _advance(steps: TaskSteps, value: Any, error: Exception | None) -> OffloadedCall | AwaitedResult | None:
     return steps.throw(error) if error is not None else steps.send(value)
 
 
-def run_to_end(steps: TaskSteps, threads: WorkerThreads) -> None:
+def run_all_steps(steps: TaskSteps, threads: WorkerThreads) -> None:
     """Runs all steps of a task without a queue or budgets; blocking calls run on `threads`."""
     value: Any = None
     error: Exception | None = None
@@ -272,14 +272,14 @@
         value = error = None
         try:
             if isinstance(yielded, OffloadedCall):
-                value = threads.call(yielded.work)
+                value = threads.call(yielded.call)
             elif yielded is not None:
                 value = yielded.outcome.get()
         except Exception as caught:  # noqa: BLE001 - it is raised in the task's next step
             error = caught
 
 
-def _call_timed(work: Callable[[], Any]) -> tuple[float, Any]:
+def _call_timed(call: Callable[[], Any]) -> tuple[float, Any]:
     started_at = time.thread_time()
-    value = work()
+    value = call()
     return time.thread_time() - started_at, value
--- a/marbleworks/budgets/options.py
+++ b/marbleworks/budgets/options.py
@@ -175,10 +175,10 @@
             1e6,
             reloadable=True,
         ),
-        Setting("tenants", ValueType.SWITCH, "Whether the rates of tenants are divided by demand.", True),
+        Setting("tenants", ValueType.BOOLEAN, "Whether the rates of tenants are divided by demand.", True),
         Setting(
             "cold",
-            ValueType.SWITCH,
+            ValueType.BOOLEAN,
             "Whether the slow-start load of a new engine is divided by demand.",
             False,
         ),
@@ -187,7 +187,7 @@
             ValueType.GROUP,
             "Maximum requests in flight, or requests a second, of a profile, a tenant or both.",
             reloadable=True,
-            keyed_by="budget",
+            key_kind="budget",
             check_group=_check_scope,
             group=(
                 Setting("profile", ValueType.TEXT, "", ""),
--- a/marbleworks/cells/options.py
+++ b/marbleworks/cells/options.py
@@ -26,7 +26,7 @@
             "region",
             ValueType.GROUP,
             "A region: its zones, and its share of the homes of all table groups.",
-            keyed_by="region",
+            key_kind="region",
             check_group=_check_region,
             group=(
                 Setting("zones", ValueType.TEXT, "", ""),  # names separated by spaces
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -47,12 +47,12 @@
     result_store: ResultStore | None
     health_details: Callable[[str], dict[str, Any]] | None
 
-    def join(
+    def start(
         self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
     ) -> None:
         """Attaches the subsystems to the router; called before the router accepts clients."""
 
-    def stopping(self) -> None:
+    def leave_groups(self) -> None:
         """Called when a planned stop begins; requests in progress are still answered."""
 
     def reload(self) -> None:
@@ -121,7 +121,7 @@
         LOG.info("stopped", name=config.name, after_s=0.0)
         return
     if subsystems is not None:
-        subsystems.join(core.dispatcher, config.settings, core.transport, config.name)
+        subsystems.start(core.dispatcher, config.settings, core.transport, config.name)
     listener = ClientListener(config.listen, core.dispatcher, config.settings, quotas.clients)
     if subsystems is not None:
         listener.result_store = subsystems.result_store
@@ -196,7 +196,7 @@
     LOG.info("stopping", name=config.name)
     listener.healthy = False
     if subsystems is not None:
-        subsystems.stopping()
+        subsystems.leave_groups()
     dispatcher.post(dispatcher.stop, deadline)
     gevent.sleep(CLIENT_ARRIVAL_GRACE_S)
     listener.stop_accepting(deadline)
--- a/marbleworks/operator_config/document.py
+++ b/marbleworks/operator_config/document.py
@@ -39,7 +39,7 @@
     sections: dict[str, SectionValues]
 
     @classmethod
-    def read(cls, schemas: SectionSchemas, path: str) -> OperatorConfig:
+    def load(cls, schemas: SectionSchemas, path: str) -> OperatorConfig:
         """Reads and checks a file.
 
         Raises:
@@ -75,11 +75,12 @@
     """The differences between two operator's files.
 
     Attributes:
-        live: new values of the changed settings that may change while the router runs, keyed by section name.
+        applicable: new values of the changed settings that may change while the router runs, keyed by section
+            name.
         needs_restart: names of the changed sections and settings that need a restart.
     """
 
-    live: dict[str, SectionValues]
+    applicable: dict[str, SectionValues]
     needs_restart: list[str]
 
 
@@ -112,15 +113,15 @@
         _add_value(values, setting, part)
     for setting in schema.settings:
         if setting.name not in values:
-            if setting.default is None and not setting.keyed_by:
+            if setting.default is None and not setting.key_kind:
                 raise form.error(f"expected '{setting.name}' in section '{form.name}'")
             values[setting.name] = _default(setting)
     return values
 
 
 def _add_value(values: SectionValues, setting: Setting, form: Form) -> None:
-    key, value = setting.read(form)
-    if setting.keyed_by:
+    key, value = setting.parse(form)
+    if setting.key_kind:
         by_key = values.setdefault(form.name, {})
         if key in by_key:
             raise form.error(f"expected '{form.name}' of \"{key}\" once")
@@ -132,7 +133,7 @@
 
 
 def _default(setting: Setting) -> Any:
-    return {} if setting.keyed_by else setting.default
+    return {} if setting.key_kind else setting.default
 
 
 def find_changes(old: OperatorConfig, new: OperatorConfig) -> ConfigChanges:
@@ -153,7 +154,7 @@
         if old[setting.name] == new[setting.name]:
             continue
         if setting.reloadable:
-            changes.live.setdefault(schema.name, {})[setting.name] = new[setting.name]
+            changes.applicable.setdefault(schema.name, {})[setting.name] = new[setting.name]
         else:
             changes.needs_restart.append(f"{schema.name} {setting.name}")
 
@@ -185,8 +186,8 @@
 
 
 def _describe_default(setting: Setting) -> str:
-    if setting.keyed_by:
-        return f"once for each {setting.keyed_by}"
+    if setting.key_kind:
+        return f"once for each {setting.key_kind}"
     if setting.default is None:
         return "must be given"
-    return f"default {setting.value_type.format(setting.default)}"
+    return f"default {setting.value_type.format_value(setting.default)}"
--- a/marbleworks/operator_config/value_types.py
+++ b/marbleworks/operator_config/value_types.py
@@ -39,7 +39,7 @@
     COUNT = "whole number"
     NUMBER = "number"
     TEXT = "text"
-    SWITCH = "on or off"
+    BOOLEAN = "on or off"
     GROUP = "settings in parentheses"
 
     @property
@@ -52,7 +52,7 @@
         """An example of a value, for error messages."""
         return _EXAMPLES[self]
 
-    def format(self, value: Any) -> str:
+    def format_value(self, value: Any) -> str:
         """Formats a value as it is written in the file, in the largest decimal unit that does not exceed it.
 
         A duration that is not a whole number of minutes, but shorter than an hour, is given in seconds.
@@ -61,7 +61,7 @@
             return "none"
         if self is ValueType.TEXT:
             return f'"{value}"'
-        if self is ValueType.SWITCH:
+        if self is ValueType.BOOLEAN:
             return "on" if value else "off"
         if self is ValueType.NUMBER:
             return f"{value:g}"
@@ -94,7 +94,7 @@
     ValueType.COUNT: "a whole number",
     ValueType.NUMBER: "a number",
     ValueType.TEXT: "a text in quotes",
-    ValueType.SWITCH: "on or off",
+    ValueType.BOOLEAN: "on or off",
     ValueType.GROUP: "settings in parentheses",
 }
 
@@ -125,7 +125,7 @@
         minimum: smallest allowed value of a number, in base units.
         maximum: largest allowed value of a number, in base units.
         reloadable: whether a reload applies a new value; otherwise a change needs a restart.
-        keyed_by: kind of key, such as a tenant, of a setting that may be given once for each key. The key is
+        key_kind: kind of key, such as a tenant, of a setting that may be given once for each key. The key is
             a text before the value, and the section's value is a dict. Empty for other settings.
         check_text: returns what was expected instead of a text or a key; None if the text is valid.
         group: the settings of a group, each with a default; the value is a dict keyed by setting name.
@@ -139,7 +139,7 @@
     minimum: float = 0.0
     maximum: float = math.inf
     reloadable: bool = False
-    keyed_by: str = ""
+    key_kind: str = ""
     check_text: Callable[[str], str | None] | None = None
     group: tuple[Setting, ...] = ()
     check_group: Callable[[dict[str, Any]], str | None] | None = None
@@ -147,21 +147,21 @@
     @property
     def bounds_text(self) -> str:
         """The bounds as they are written in the file; empty if the type has none."""
-        if self.value_type in (ValueType.TEXT, ValueType.SWITCH, ValueType.GROUP):
+        if self.value_type in (ValueType.TEXT, ValueType.BOOLEAN, ValueType.GROUP):
             return ""
-        minimum = self.value_type.format(self.minimum)
+        minimum = self.value_type.format_value(self.minimum)
         if self.maximum == math.inf:
             return f"{minimum} or more"
-        return f"{minimum} to {self.value_type.format(self.maximum)}"
+        return f"{minimum} to {self.value_type.format_value(self.maximum)}"
 
-    def read(self, form: Form) -> KeyedValue:
+    def parse(self, form: Form) -> KeyedValue:
         """Reads the value of the setting from its form.
 
         Raises:
             ConfigSyntaxError: the form is not valid for this setting.
         """
         parts = list(form.parts)
-        key = self._read_key(form, parts) if self.keyed_by else ""
+        key = self._read_key(form, parts) if self.key_kind else ""
         if self.group:
             return KeyedValue(key, self._read_group(form, parts))
         atoms = [part for part in parts if isinstance(part, Atom)]
@@ -177,7 +177,7 @@
         """Removes the key from the front of the parts and returns it."""
         first = parts.pop(0) if parts else None
         if not isinstance(first, Atom) or not first.quoted or not first.text:
-            raise form.error(f"expected a {self.keyed_by} in quotes after '{self.name}'")
+            raise form.error(f"expected a {self.key_kind} in quotes after '{self.name}'")
         self._check(first)
         return first.text
 
@@ -192,7 +192,7 @@
             setting = by_name.get(part.name) if isinstance(part, Form) else None
             if setting is None or not isinstance(part, Form):
                 raise part.error(f"expected a setting of {', '.join(by_name)} in '{self.name}'")
-            values[setting.name] = setting.read(part).value
+            values[setting.name] = setting.parse(part).value
         if self.check_group is not None and (expected := self.check_group(values)):
             raise form.error(f"expected {expected} in '{self.name}'")
         return values
@@ -205,7 +205,7 @@
                 raise wrong_type
             self._check(first)
             return ParsedAtoms(first.text, 1)
-        if self.value_type is ValueType.SWITCH:
+        if self.value_type is ValueType.BOOLEAN:
             if first.text not in ("on", "off") or first.quoted:
                 raise wrong_type
             return ParsedAtoms(first.text == "on", 1)
--- a/marbleworks/spool/options.py
+++ b/marbleworks/spool/options.py
@@ -89,7 +89,7 @@
             0.0,
             1.0,
             reloadable=True,
-            keyed_by="tenant",
+            key_kind="tenant",
         ),
         Setting("page", ValueType.SIZE, "Bytes of rows in one page, before compression.", 24e3, 6e3, 48e3),
         Setting(
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -19,7 +19,7 @@
 from gevent.event import AsyncResult, Event
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.background.task_runner import OffloadedCall, TaskRunner, TaskSteps, Wait
+from marbleworks.background.task_runner import AwaitedResult, OffloadedCall, TaskRunner, TaskSteps
 from marbleworks.background.threads import WorkerThreads
 from marbleworks.net.actor import LOG, clock, spawn
 from marbleworks.ports import PageUnavailable, ResultNotStoredError, StoredPage, StoredResult
@@ -131,12 +131,14 @@
         self.scrub_position = (0, 0)
         self._open(settings["hand-over"])
         self.writer_greenlet = spawn(self._write_loop)
-        task_runner.add_periodic("expiry", 0, self._next_expiry_delay, self._expiry_task, 0.0, dedicated=True)
-        task_runner.add_periodic(
+        task_runner.add_periodic_task(
+            "expiry", 0, self._next_expiry_delay, self._expiry_task, 0.0, dedicated=True
+        )
+        task_runner.add_periodic_task(
             "checkpoint", 1, lambda: self.settings["checkpoint"], self._checkpoint_task, 10.0
         )
-        task_runner.add_periodic("compaction", 2, lambda: 0.5, self._compaction_task, 60.0)
-        task_runner.add_periodic("scrub", 3, lambda: 1.0, self._scrub_task, 3600.0)
+        task_runner.add_periodic_task("compaction", 2, lambda: 0.5, self._compaction_task, 60.0)
+        task_runner.add_periodic_task("scrub", 3, lambda: 1.0, self._scrub_task, 3600.0)
 
     def _open(self, timeout_s: float) -> None:
         """Opens the folder, waiting for the previous router to unlock it.
@@ -264,8 +266,8 @@
             records = [Entry(Kind.DROP, number, last, b"", 0) for number, last in drops]
             self.submit(partial(list, records), False, None, partial(self._note_drops, drops))
             if self.catalogue.used_bytes > TIGHT_SHARE * self.settings["room"]:
-                self.task_runner.run_soon("expiry")
-                self.task_runner.run_soon("compaction")
+                self.task_runner.run_now("expiry")
+                self.task_runner.run_now("compaction")
 
     def _note_drops(self, drops: list[tuple[int, int]], spans: list[RecordSpan]) -> None:
         """Notes which DROP records each segment holds.
@@ -456,7 +458,9 @@
         self.obsolete_segments = [number for number in self.obsolete_segments if number not in deletable]
         self.deleting.update(deletable)
         try:
-            yield Wait(self._run_on_writing_thread(self.store.checkpoint, data, deletable), len(data))
+            yield AwaitedResult(
+                self._run_on_writing_thread(self.store.checkpoint, data, deletable), len(data)
+            )
         except OSError as err:
             self.on_disk_failure(err)
         finally:
@@ -505,7 +509,7 @@
                 return
             if not batch:
                 break
-            yield Wait(COMPLETED, sum(scanned.length for scanned in batch))
+            yield AwaitedResult(COMPLETED, sum(scanned.length for scanned in batch))
             needed = [
                 (pack_location(number, scanned.offset), scanned.record)
                 for scanned in batch
@@ -515,7 +519,7 @@
                 records = [record for _, record in needed]
                 count = sum(record.stored for record in records)
                 try:
-                    spans = yield Wait(
+                    spans = yield AwaitedResult(
                         self.submit(partial(list, records), False, write_epoch, self._pin_copies), count
                     )
                 except OSError:
@@ -528,7 +532,7 @@
                 self._note_drops([drop[:2] for drop in drops], [(location, 0) for _, _, location in drops])
                 moves += [(r.number, old, new) for (old, r), (new, _) in zip(needed, spans, strict=True)]
         try:
-            yield Wait(self.submit(list, True, write_epoch))
+            yield AwaitedResult(self.submit(list, True, write_epoch))
         except OSError:
             return
         for result_number, old, new in moves:
--- a/marbleworks/subsystems/registry.py
+++ b/marbleworks/subsystems/registry.py
@@ -26,8 +26,8 @@
         BUDGETS_SECTION,
     )
 }
-# Reads and checks the operator's file at a path; see `OperatorConfig.read`.
-read_operator_config = partial(document.OperatorConfig.read, SECTIONS)
+# Reads and checks the operator's file at a path; see `OperatorConfig.load`.
+read_operator_config = partial(document.OperatorConfig.load, SECTIONS)
 # Parses a text into checked sections; see `document.parse_sections`.
 parse_sections = partial(document.parse_sections, SECTIONS)
 # Describes every setting in one line each; see `document.describe_settings`.
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -36,7 +36,7 @@
 
     Attributes:
         task_runner: runs the spool's background tasks; None without the spool.
-        reload_catalog: rebuilds the budget catalog when the operator's file is reloaded; None without
+        reload_budget_catalog: rebuilds the budget catalog when the operator's file is reloaded; None without
             budgets.
         result_store: stores the results of requests; None without the spool.
         health_details: returns what `health` answers about the named subsystem; None if no running subsystem
@@ -50,11 +50,11 @@
         self.fair_queue: FairQueueService | None = None
         self.membership: MembershipService | None = None
         self.budgets: BudgetService | None = None
-        self.reload_catalog: Callable[[], None] | None = None
+        self.reload_budget_catalog: Callable[[], None] | None = None
         self.result_store: ResultStore | None = None
         self.health_details: Callable[[str], dict[str, Any]] | None = None
 
-    def join(
+    def start(
         self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
     ) -> None:
         """Starts the subsystems whose sections the file has, before the router accepts clients.
@@ -115,7 +115,9 @@
         dispatcher.scheduler.shared_budgets = enforcer
         if options.max_connections_per_core:
             _limit_connections(dispatcher, enforcer)
-        self.reload_catalog = lambda: dispatcher.post(enforcer.set_catalog, self._budget_catalog(settings))
+        self.reload_budget_catalog = lambda: dispatcher.post(
+            enforcer.set_catalog, self._budget_catalog(settings)
+        )
         if self.membership is not None:
             self.membership.leader_listeners.append(lambda leader: budgets.post(budgets.set_leader, leader))
         self.health_details = self._health_details
@@ -175,21 +177,21 @@
         except OperatorConfigError as error:
             LOG.warning("operator file not reloaded", error=str(error))
             return
-        live, needs_restart = find_changes(self.config, new_config)
-        if "background" in live and self.task_runner is not None:
+        applicable, needs_restart = find_changes(self.config, new_config)
+        if "background" in applicable and self.task_runner is not None:
             self.task_runner.configure(BackgroundOptions.from_section(new_config["background"]))
-        if "spool" in live and self.spool is not None:
-            self.spool.change(live["spool"])
-        if "door" in live and self.fair_queue is not None:
-            self.fair_queue.reload(live["door"])
-        for name, values in live.items():
+        if "spool" in applicable and self.spool is not None:
+            self.spool.change(applicable["spool"])
+        if "door" in applicable and self.fair_queue is not None:
+            self.fair_queue.reload(applicable["door"])
+        for name, values in applicable.items():
             self.config.sections[name].update(values)
-        if "budgets" in live and self.reload_catalog is not None:
-            self.reload_catalog()
-        changed = [f"{name} {setting}" for name, values in live.items() for setting in values]
+        if "budgets" in applicable and self.reload_budget_catalog is not None:
+            self.reload_budget_catalog()
+        changed = [f"{name} {setting}" for name, values in applicable.items() for setting in values]
         LOG.info("operator file reloaded", changed=changed, needs_restart=needs_restart)
 
-    def stopping(self) -> None:
+    def leave_groups(self) -> None:
         """Ends the budget leases and leaves the router group, at the start of a planned stop."""
         if self.budgets is not None:
             self.budgets.leave()
--- a/tests/background/test_background.py
+++ b/tests/background/test_background.py
@@ -10,7 +10,7 @@
 from marbleworks.background import task_runner as task_runner_module
 from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_queue import Task, TaskQueue
-from marbleworks.background.task_runner import OffloadedCall, TaskRunner, TaskSteps, Wait
+from marbleworks.background.task_runner import AwaitedResult, OffloadedCall, TaskRunner, TaskSteps
 
 
 def run_queue(
@@ -104,8 +104,8 @@
         raise RuntimeError("on purpose")
         yield None
 
-    runner.add_periodic("slow", 1, lambda: 0.01, slow, 1.0)
-    runner.add_periodic("broken", 2, lambda: 0.05, broken, 1.0)
+    runner.add_periodic_task("slow", 1, lambda: 0.01, slow, 1.0)
+    runner.add_periodic_task("broken", 2, lambda: 0.05, broken, 1.0)
     started_at = time.monotonic()
     while time.monotonic() < started_at + 0.8:
         gevent.sleep(0.01)
@@ -127,20 +127,20 @@
 
     def slow() -> TaskSteps:
         events.append("slow")
-        yield Wait(outcome, 10**9)
+        yield AwaitedResult(outcome, 10**9)
 
     def dedicated_steps() -> TaskSteps:
         events.append("dedicated")
         if len(events) < 4:
-            runner.run_soon("dedicated")  # requested again while it runs
+            runner.run_now("dedicated")  # requested again while it runs
         else:
             finished.set()
         yield OffloadedCall(lambda: None)
 
     outcome: AsyncResult[None] = AsyncResult()
-    runner.add_periodic("slow", 0, lambda: 0.001, slow, 0.0)
-    runner.add_periodic("dedicated", 1, lambda: 60.0, dedicated_steps, 0.0, dedicated=True)
-    runner.run_soon("dedicated")
+    runner.add_periodic_task("slow", 0, lambda: 0.001, slow, 0.0)
+    runner.add_periodic_task("dedicated", 1, lambda: 60.0, dedicated_steps, 0.0, dedicated=True)
+    runner.run_now("dedicated")
     assert finished.wait(5.0) and events.count("dedicated") >= 3
     outcome.set(None)
     runner.stop()
--- a/tests/operator_config/test_operator_config.py
+++ b/tests/operator_config/test_operator_config.py
@@ -68,8 +68,8 @@
     defaults = parse_sections(text)
     for name, section in SECTIONS.items():
         for setting in section.settings:
-            if setting.value_type not in (ValueType.TEXT, ValueType.SWITCH) and setting.default is not None:
-                extra = f"({setting.name} {setting.value_type.format(setting.default)}))"
+            if setting.value_type not in (ValueType.TEXT, ValueType.BOOLEAN) and setting.default is not None:
+                extra = f"({setting.name} {setting.value_type.format_value(setting.default)}))"
                 changed = parse_sections(text.replace(f"({name}", f"({name} {extra[:-1]}"))
                 assert changed[name][setting.name] == pytest.approx(defaults[name][setting.name])
     assert len(describe_settings()) == len(SECTIONS) + sum(
@@ -82,8 +82,8 @@
     path.write_text(VALID_TEXT)
     old = read_operator_config(str(path))
     path.write_text('(background) (spool (folder "/b") (room 3 GB) (page 12 KB) (quota "x" 5 %))')
-    live, needs_restart = find_changes(old, read_operator_config(str(path)))
-    assert live == {"spool": {"room": 3e9, "quota": {"x": 0.05}}}
+    applicable, needs_restart = find_changes(old, read_operator_config(str(path)))
+    assert applicable == {"spool": {"room": 3e9, "quota": {"x": 0.05}}}
     assert needs_restart == ["background", "spool folder", "spool page"]
     for invalid in ("(", "(spool)"):
         path.write_text(invalid)
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -561,7 +561,7 @@
     path = tmp_path / "operator.lisp"
     path.write_text("(background (core 5 %))")
     subsystems = Subsystems(read_operator_config(str(path)))
-    subsystems.join(None, DEPLOYMENT, None, "n1")  # type: ignore[arg-type]
+    subsystems.start(None, DEPLOYMENT, None, "n1")  # type: ignore[arg-type]
     assert subsystems.spool is None and subsystems.task_runner is None
     subsystems.close()
 
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from marbleworks.background.task_runner import TaskSteps, run_to_end
+from marbleworks.background.task_runner import TaskSteps, run_all_steps
 from marbleworks.spool.disk import Disk
 
 
@@ -166,7 +166,7 @@
     def __init__(self) -> None:
         self.steps: dict[str, Callable[[], TaskSteps]] = {}
 
-    def add_periodic(
+    def add_periodic_task(
         self,
         name: str,
         priority: int,
@@ -177,7 +177,7 @@
     ) -> None:
         self.steps[name] = start
 
-    def run_soon(self, name: str) -> None: ...
+    def run_now(self, name: str) -> None: ...
 
     def run(self, name: str) -> None:
-        run_to_end(self.steps[name](), InStep(1))  # type: ignore[arg-type]
+        run_all_steps(self.steps[name](), InStep(1))  # type: ignore[arg-type]
