--- a/marbleworks/scheduling/latency.py
+++ b/marbleworks/scheduling/latency.py
@@ -57,9 +57,8 @@
     def __init__(self, pool: EnginePool) -> None:
         self._pool = pool
         self.slowdowns: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)
-        self.near_target_answers: deque[TimedValue] = deque(
-            maxlen=MAX_SAMPLES
-        )  # 1 for each answer near its target, else 0
+        # 1 for each answer near its target, else 0.
+        self.near_target_answers: deque[TimedValue] = deque(maxlen=MAX_SAMPLES)
         self.fleet_slowdown = 1.0
         self.upper_quartile_slowdown = 1.0  # 75th percentile over recent answers
         self.is_overloaded = False
--- a/marbleworks/scheduling/work_estimates.py
+++ b/marbleworks/scheduling/work_estimates.py
@@ -14,9 +14,8 @@
     """The estimate correction of each request class, and the work of recent requests."""
 
     def __init__(self, class_count: int) -> None:
-        self.estimate_correction: list[Cost] = [
-            (1.0, 1.0)
-        ] * class_count  # ratio of measured to estimated, by class index
+        # Ratio of measured to estimated, by class index.
+        self.estimate_correction: list[Cost] = [(1.0, 1.0)] * class_count
         self.recent_work: deque[tuple[int, float]] = deque(maxlen=8 * MAX_SAMPLES)  # (class index, work)
         self.cheap_threshold = math.inf  # mean recent work; a request not above it is cheap
         self._measured: list[deque[tuple[Cost, Cost]]] = [
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -87,9 +87,9 @@
 
     def last_list(self, list_count: int) -> list[Row]:
         """Waits for that many published lists and returns the last one, sorted by engine id."""
-        until(lambda: len(self.dispatcher.lists) >= list_count)
-        assert len(self.dispatcher.lists) == list_count
-        listing, _ = self.dispatcher.lists[-1]
+        until(lambda: len(self.dispatcher.published_lists) >= list_count)
+        assert len(self.dispatcher.published_lists) == list_count
+        listing, _ = self.dispatcher.published_lists[-1]
         return sorted(
             (e.engine_id, e.name, e.zone, e.machine_kind, e.cell, e.status, e.started_at, a)
             for e, a in listing
@@ -198,7 +198,7 @@
 def test_a_list_is_decoded_the_same_in_every_form(form: Callable[[dns.message.Message], bytes]) -> None:
     listing = Listing(known([member("s-a", 1000)]))
     listing.send(form(reply(listing.question, 2, A, B)))
-    assert listing.last_list(2) == SAME and listing.dispatcher.lists[-1][1]
+    assert listing.last_list(2) == SAME and listing.dispatcher.published_lists[-1][1]
 
 
 def test_a_response_of_the_maximum_size_is_read_completely() -> None:
@@ -303,7 +303,7 @@
         if serial > 2:
             listing.ask()
         listing.send(reply(listing.question, 2 * serial, *engines).to_wire())
-        assert listing.last_list(serial) == rows and listing.dispatcher.lists[-1][1]
+        assert listing.last_list(serial) == rows and listing.dispatcher.published_lists[-1][1]
 
 
 def test_the_events_of_the_initial_list_are_published_one_by_one() -> None:
@@ -331,11 +331,11 @@
             (e.engine_id, e.name, e.zone, e.machine_kind, e.cell, e.status, e.started_at, address)
             for e, address in engines
         ]
-        for engines, _ in listing.dispatcher.lists
+        for engines, _ in listing.dispatcher.published_lists
     ]
     assert (
         published == expected_rows
-        and [is_complete for _, is_complete in listing.dispatcher.lists] == [True] + [False] * 5
+        and [is_complete for _, is_complete in listing.dispatcher.published_lists] == [True] + [False] * 5
     )
     listing.send(reply(listing.question, 6, B).to_wire())  # the last of these events
     listing.wait_until_answered()
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("departure", ["close", "cancel", "reset"])
-def test_a_client_that_left_while_its_command_was_in_the_mail_is_not_sent_on(departure: str) -> None:
+def test_a_request_in_the_mailbox_is_dropped_if_its_client_disconnects(departure: str) -> None:
     """Guards against sending a request whose client's disconnect was queued after it in the mailbox."""
     setup, other_ref = BlockedEngineSetup(), "b" * 16
     setup.release_answers.set()
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("departure", ["close", "cancel", "reset"])
-def test_a_client_that_left_while_its_send_waited_is_not_sent_on(departure: str) -> None:
+def test_a_waiting_attempt_is_not_sent_if_its_client_disconnects(departure: str) -> None:
     """Guards against sending an attempt that waited for a connection while its client disconnected."""
     setup = BlockedEngineSetup()
     setup.engine.pool.descriptor_quota.acquire()  # makes the attempt wait for a descriptor
@@ -128,7 +128,7 @@
     assert not setup.starts()
 
 
-def test_what_a_client_asked_before_it_left_the_queue_of_the_machine_is_not_sent_on() -> None:
+def test_a_request_of_a_connection_that_ended_in_the_backlog_is_not_sent() -> None:
     """Guards against sending a request whose connection ended in the backlog, before its end was read."""
     setup = BlockedEngineSetup()
     setup.release_answers.set()
@@ -148,7 +148,7 @@
     assert last_client.hear()[3] and setup.starts() == ["a" * 16, "c" * 16]
 
 
-def test_a_cancel_of_a_call_under_an_open_id_leaves_the_first_alone() -> None:
+def test_cancelling_a_call_with_a_used_id_does_not_cancel_the_open_request() -> None:
     """Guards against cancelling the open request that has the same id as the cancelled call."""
     setup = BlockedEngineSetup()
     client = setup.router.client()
@@ -163,7 +163,7 @@
     assert client.hear()[:2] == [1, 1]
 
 
-def test_a_client_that_is_held_back_is_heard_to_leave(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disconnect_is_noticed_while_reading_is_paused(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against missing a disconnect while reading is paused until error answers are written."""
     setup, written = BlockedEngineSetup(), Event()
     monkeypatch.setattr(ClientSession, "_write", lambda self, message, until: written.wait())
@@ -178,7 +178,7 @@
     written.set()
 
 
-def test_a_connection_that_comes_to_rest_makes_room_for_one_that_waits() -> None:
+def test_a_connection_that_becomes_idle_is_closed_for_a_pending_one() -> None:
     """Guards against a listener that looks for an unused session once, and then waits for one to close."""
     setup = BlockedEngineSetup(clients=2)
     clients = [setup.router.client() for _ in range(3)]
@@ -226,14 +226,14 @@
         (lambda race: race.engine.cancel_attempt(race.attempt.ref, 0), AttemptOutcome.UNSENT),
     ],
 )
-def test_what_happens_while_a_connection_comes_up_keeps_the_send_back(
+def test_events_during_connect_prevent_the_attempt_from_being_sent(
     interfere: Callable[[ConnectRace], None], outcome: AttemptOutcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     race = ConnectRace(monkeypatch, interfere)
     assert race.recorder.outcomes == [outcome] and outcome.never_ran and not race.sql.calls
 
 
-def test_a_try_on_a_second_connection_is_asked_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_conditions_are_checked_again_for_a_second_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail_to_send(connection: EngineConnection, request: bytes, deadline: float) -> None:
         recorded_attempts[0].begin_by = 0.0
         raise StreamClosedError(CloseReason.RESET)
@@ -244,7 +244,7 @@
     assert race.recorder.outcomes == [AttemptOutcome.WITHHELD] and not race.sql.calls
 
 
-def test_a_second_answer_that_comes_after_the_next_call_is_not_its_result() -> None:
+def test_a_duplicate_response_is_not_the_result_of_the_next_request() -> None:
     """Guards against a duplicate response that arrives after a connection was checked for unread bytes."""
     results, statements = {b"one": row("1"), b"two": row("2")}, dict[str, bytes]()
 
@@ -278,7 +278,7 @@
 INITIAL_ENGINES = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
 
 
-def test_an_answer_of_the_directory_counts_however_many_were_asked_after_it() -> None:
+def test_a_slow_dns_response_is_applied_after_later_queries() -> None:
     """Guards against ignoring every response of a name server that takes over 1 s to answer.
 
     Responses were compared with the last four queries only, so that a slow one never matched.
@@ -288,15 +288,15 @@
     queries = [server.recvfrom(4096) for _ in range(7)]
     question, sender = queries[0]
     server.sendto(dns_answer(question, 2, {"s-b": (HOST, 2000)}), sender)
-    until(lambda: len(dispatcher.lists) == 2)
+    until(lambda: len(dispatcher.published_lists) == 2)
     server.sendto(dns_answer(queries[1][0], 1, {}), sender)  # an outdated response is ignored
     server.sendto(dns_answer(queries[2][0], 3, {}), sender)
-    until(lambda: len(dispatcher.lists) == 3)
-    assert [len(engines) for engines, _ in dispatcher.lists] == [1, 1, 0]
+    until(lambda: len(dispatcher.published_lists) == 3)
+    assert [len(engines) for engines, _ in dispatcher.published_lists] == [1, 1, 0]
     discovery.greenlet.kill()
 
 
-def test_another_name_server_needs_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changing_the_name_server_needs_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against losing the engine list for good if the name server changes and no descriptor is free."""
     old_server, new_server, dispatcher = name_server(), name_server(), EngineListRecorder()
     discovery = EngineDiscovery(dispatcher, DEPLOYMENT, INITIAL_ENGINES, old_server.getsockname())  # type: ignore[arg-type]
@@ -308,12 +308,12 @@
         question, sender = new_server.recvfrom(4096)
     old_server.sendto(dns_answer(question, 9, {}), sender)
     new_server.sendto(dns_answer(question, 2, {"s-b": (HOST, 2000)}), sender)
-    until(lambda: len(dispatcher.lists) == 2)
-    assert [entry.name for entry, _ in dispatcher.lists[1][0]] == ["s-b"]
+    until(lambda: len(dispatcher.published_lists) == 2)
+    assert [entry.name for entry, _ in dispatcher.published_lists[1][0]] == ["s-b"]
     discovery.greenlet.kill()
 
 
-def test_what_comes_with_the_close_is_not_sent_on_and_destroys_no_answer() -> None:
+def test_a_request_during_the_close_is_not_sent_and_does_not_destroy_an_answer() -> None:
     """Guards against a request that arrives during the close resetting the connection and its last answer."""
     page = b"".join(row(f"{n:05}" * 20) for n in range(19))
     pages = [answer(200, page, X_Sheets=8), *(answer(200, page, X_Sheet=n) for n in range(1, 8))]
@@ -334,7 +334,7 @@
     assert len(sql_engine.asked("POST")) == 1
 
 
-def test_what_the_machine_has_accepted_before_the_listener_ends_is_answered() -> None:
+def test_connections_in_the_backlog_are_answered_when_the_listener_closes() -> None:
     setup = BlockedEngineSetup()
     setup.release_answers.set()
     listener, address = setup.router.listener, setup.router.listener.sock.getsockname()
@@ -360,7 +360,7 @@
 
 
 @pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_before_anybody_can_act_on_it_is_kept(signal_number: int, tmp_path: Any) -> None:
+def test_a_signal_during_startup_is_not_lost(signal_number: int, tmp_path: Any) -> None:
     """The configuration is a pipe, so that the router blocks before its actors are connected."""
     (_, listen), (_, peer), new_name_server = closed_port(), closed_port(), name_server()
     pipe, changed_config = tmp_path / "config.json", tmp_path / "after.json"
@@ -384,7 +384,7 @@
         router.communicate()
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_list_engines_and_log_theirs(tmp_path: Any) -> None:
+def test_idle_clients_do_not_use_the_descriptors_of_dns_engines_and_log(tmp_path: Any) -> None:
     """The name server answers only after they have connected, and its response lists the only engine."""
     (_, listen), (_, peer), server = closed_port(), closed_port(), name_server()
     sql_engine, path, sockets = SqlEngine(reply_good), tmp_path / "config.json", 112
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -131,7 +131,9 @@
         (b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 9000, "Failed", 1),
     ],
 )
-def test_an_end_promises_no_more_than_it_proves(response: bytes, error: str, attempt_count: int) -> None:
+def test_an_outcome_claims_only_what_the_response_proves(
+    response: bytes, error: str, attempt_count: int
+) -> None:
     engine, client = engine_and_client(lambda call, fields, body: response)
     client.ask("load")
     assert client.hear()[2][0] == error
@@ -167,7 +169,7 @@
 
 @pytest.mark.parametrize("damaged", [*DAMAGED_PAGES, None], ids=lambda page: (page or b"nothing")[:60])
 @pytest.mark.parametrize("damaged_call", ["POST", "/0", "/1"])
-def test_what_was_spoilt_is_asked_for_again_on_another_connection(
+def test_an_invalid_response_is_fetched_again_on_another_connection(
     damaged: bytes | None, damaged_call: str
 ) -> None:
     """Guards against one invalid response failing a request whose result the engine can still return."""
@@ -485,7 +487,7 @@
         pass
 
 
-def test_a_send_that_waits_does_not_go_out_once_its_engine_drains() -> None:
+def test_a_waiting_attempt_is_not_sent_once_its_engine_drains() -> None:
     sql_engine, dispatcher, quota = (
         SqlEngine(lambda call, fields, body: GOOD),
         OutcomeRecorder(),
@@ -501,7 +503,7 @@
 
 
 @pytest.mark.parametrize("stop_cause", ["drain", "cancel"])
-def test_a_send_stopped_before_its_first_step_still_has_an_end(stop_cause: str) -> None:
+def test_an_attempt_stopped_before_its_greenlet_runs_still_reports_an_outcome(stop_cause: str) -> None:
     sql_engine, dispatcher = SqlEngine(lambda call, fields, body: GOOD), OutcomeRecorder()
     engine_client = EngineClient(dispatcher, "s-0", sql_engine.address, DEPLOYMENT, BoundedSemaphore(1))  # type: ignore[arg-type]
     engine_client.post(engine_client.start_attempt, AttemptCall("0" * 16, 0, "load", b"", 0, time.time() + 3))
@@ -544,7 +546,7 @@
     name_server.bind((HOST, 0))
     initial_engines = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
     discovery = EngineDiscovery(dispatcher, DEPLOYMENT, initial_engines, name_server.getsockname())  # type: ignore[arg-type]
-    [(entry, address)], is_complete = dispatcher.lists[0]
+    [(entry, address)], is_complete = dispatcher.published_lists[0]
     assert (entry.name, entry.status, address, is_complete) == ("s-a", EngineStatus.UP, (HOST, 1000), True)
     engines = {"s-b": (HOST, 2000), "s-a": (HOST, 1000)}
     start_time = time.monotonic()
@@ -558,15 +560,15 @@
             name_server.sendto(invalid_response, sender)
         name_server.sendto(dns_answer(question, 0, {}), sender)
     # Queries are sent sooner while no valid response arrives.
-    assert len(dispatcher.lists) == 1 and time.monotonic() - start_time < 1.0
+    assert len(dispatcher.published_lists) == 1 and time.monotonic() - start_time < 1.0
     name_server, old_name_server = socket.socket(type=socket.SOCK_DGRAM), name_server
     name_server.bind((HOST, 0))
     discovery.post(discovery.set_nameserver, name_server.getsockname())
     question, sender = name_server.recvfrom(4096)
     old_name_server.sendto(dns_answer(question, 8, {}), sender)
     name_server.sendto(dns_answer(question, 2, engines), sender)
-    until(lambda: len(dispatcher.lists) == 2)
-    listing, is_complete = dispatcher.lists[1]
+    until(lambda: len(dispatcher.published_lists) == 2)
+    listing, is_complete = dispatcher.published_lists[1]
     assert is_complete and [(e.engine_id, e.name, e.started_at, a) for e, a in listing] == [
         (1, "s-b", 5.0, (HOST, 2000)),
         (0, "s-a", 5.0, (HOST, 1000)),
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -15,7 +15,7 @@
 from marbleworks.model import AttemptOutcome, EngineStatus, Idempotency
 from marbleworks.scheduling.request_state import RequestState
 from marbleworks.scheduling.scheduler import Scheduler
-from tests.support.stand_ins import FLEET, PROFILES, RULES, Recorder, engine
+from tests.support.stand_ins import FLEET, REQUEST_CLASSES, RULES, RecordingPort, engine_entry
 
 STEP = st.one_of(
     st.tuples(
@@ -34,7 +34,7 @@
 )
 
 
-class ReferenceModel(Recorder):
+class ReferenceModel(RecordingPort):
     """Rejects every call that the rules forbid; keeps all events and searches them on each call."""
 
     def __init__(self) -> None:
@@ -161,7 +161,7 @@
 
     def __init__(self) -> None:
         self.model = ReferenceModel()
-        self.scheduler = Scheduler(self.model, 3, PROFILES, RULES, FLEET)
+        self.scheduler = Scheduler(self.model, 3, REQUEST_CLASSES, RULES, FLEET)
         self.requests: dict[str, RequestState] = {}
         for engine_id in range(4):
             self.list_engine(engine_id, EngineStatus.UP, False)
@@ -173,7 +173,9 @@
             self.model.clock if restarted else self.model.listings.get(engine_id, (status, 0.0, 0))[1]
         )
         self.model.listings[engine_id] = (status, started_at, engine_id % 2)
-        self.scheduler.update_engines([engine(engine_id, status, started_at, engine_id % 2)], complete=False)
+        self.scheduler.update_engines(
+            [engine_entry(engine_id, status, started_at, engine_id % 2)], complete=False
+        )
 
     def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
         ref, model = f"c{len(model_submissions := self.model.submissions)}", self.model
@@ -186,7 +188,7 @@
             work or self.scheduler.mean_work(class_index),
         ]
         model_submissions[ref] = {
-            "request_class": PROFILES[class_index],
+            "request_class": REQUEST_CLASSES[class_index],
             "key": f"k{key}",
             "number": len(model_submissions),
             "submitted_at": model.clock,
@@ -259,7 +261,11 @@
         self.waiting_arrivals: dict[str, tuple[int, int, float, float]] = {}
 
     def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
-        submissions, now, request_class = self.model.submissions, self.model.clock, PROFILES[class_index]
+        submissions, now, request_class = (
+            self.model.submissions,
+            self.model.clock,
+            REQUEST_CLASSES[class_index],
+        )
         ref = f"c{len(submissions)}"
         submissions[ref] = {
             "request_class": request_class,
--- a/tests/spool/test_segment_store.py
+++ b/tests/spool/test_segment_store.py
@@ -26,7 +26,7 @@
 from marbleworks.spool.recovery import State
 from marbleworks.spool.service import SpoolService
 from marbleworks.subsystems.registry import parse_sections
-from tests.support.faulty_disk import ByHand, FaultyDisk, InStep
+from tests.support.faulty_disk import FaultyDisk, ManualTaskRunner, SynchronousThreadPool
 
 SETTINGS = parse_sections(
     '(spool (folder "/x") (room 4 MB) (segment 100 KB) (page 6 KB) (share 100 %) (keep 20 s) (unread 20 s)'
@@ -88,8 +88,8 @@
         """Starts the service, as a restart of the router does."""
         # The other releases may have been lost with a power cut.
         self.released = {token: self.released[token] for token in self.durably_released}
-        self.tasks = ByHand()
-        self.service = SpoolService(SETTINGS, 5.0, self.tasks, self.disk, InStep)  # type: ignore[arg-type]
+        self.tasks = ManualTaskRunner()
+        self.service = SpoolService(SETTINGS, 5.0, self.tasks, self.disk, SynchronousThreadPool)  # type: ignore[arg-type]
 
     def perform(self, action_kind: str, index: int, count: int) -> None:
         if action_kind == "store":
@@ -215,7 +215,7 @@
 def run_actions(actions: list[Action], disk: FaultyDisk) -> SpoolScenario:
     scenario = SpoolScenario(disk)
     for action in actions:
-        if disk.cut:
+        if disk.power_lost:
             break
         scenario.perform(*action)
     return scenario
@@ -227,10 +227,10 @@
     return disk.changes
 
 
-def cut_power_and_restart(actions: list[Action], cut_at: int, seed: int) -> None:
+def cut_power_and_restart(actions: list[Action], power_lost_at: int, seed: int) -> None:
     Clock.now = 1000.0
-    scenario = run_actions(actions, FaultyDisk(cut_at=cut_at))
-    scenario.disk, scenario.open_writers = scenario.disk.survivor(random.Random(seed)), []
+    scenario = run_actions(actions, FaultyDisk(power_lost_at=power_lost_at))
+    scenario.disk, scenario.open_writers = scenario.disk.after_power_failure(random.Random(seed)), []
     if seed % 2:  # the checkpoint is lost as well
         scenario.disk.files.pop("checkpoint", None)
         scenario.disk.files.pop("checkpoint.new", None)
@@ -245,9 +245,9 @@
 def test_power_cut_at_every_disk_change_of_a_recorded_run_loses_no_committed_result() -> None:
     total = count_disk_changes(RECORDED_ACTIONS)
     assert total > 80  # writes, syncs, renames and deletions
-    for cut_at in range(1, total + 1):
-        for seed in (2 * cut_at, 2 * cut_at + 1):
-            cut_power_and_restart(RECORDED_ACTIONS, cut_at, seed)
+    for power_lost_at in range(1, total + 1):
+        for seed in (2 * power_lost_at, 2 * power_lost_at + 1):
+            cut_power_and_restart(RECORDED_ACTIONS, power_lost_at, seed)
 
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC])
@@ -257,7 +257,8 @@
         scenario = run_actions(RECORDED_ACTIONS, FaultyDisk(fail_at, error))
         Clock.now += 10
         scenario.check()
-        scenario.disk = scenario.disk.survivor(random.Random(fail_at))  # a power cut after the error
+        # A power cut after the error.
+        scenario.disk = scenario.disk.after_power_failure(random.Random(fail_at))
         scenario.start()
         scenario.check()
 
@@ -307,7 +308,7 @@
     Clock.now = 1000.0
     scenario = run_actions(actions, FaultyDisk())
     if not restart_after:
-        scenario.disk = scenario.disk.survivor(random.Random(1))
+        scenario.disk = scenario.disk.after_power_failure(random.Random(1))
         scenario.start()
     for position, bit in flips:
         for file in scenario.disk.files.values():
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -30,7 +30,7 @@
     synced: bytes = b""
     unsynced: list[tuple[int, bytes]] = field(default_factory=list)
 
-    def survivor(self, rng: random.Random) -> File:
+    def after_power_failure(self, rng: random.Random) -> File:
         """Returns a possible state after a power failure.
 
         Any of the writes since the last sync may be there, in any order, and each may be incomplete.
@@ -54,38 +54,38 @@
         changes: Number of changes tried so far.
         fail_at: Number of the change that fails; -1 for none.
         error: Error number of the failure.
-        cut_at: Number of the first change that fails because the power is lost; -1 for none.
+        power_lost_at: Number of the first change that fails because the power is lost; -1 for none.
         before_sync: Called before each sync; None for nothing.
     """
 
-    def __init__(self, fail_at: int = -1, error: int = errno.EIO, cut_at: int = -1) -> None:
+    def __init__(self, fail_at: int = -1, error: int = errno.EIO, power_lost_at: int = -1) -> None:
         super().__init__("nowhere")
         self.files, self.synced_names = dict[str, File](), dict[str, File]()
         self.open: dict[int, File] = {}
-        self.changes, self.fail_at, self.error, self.cut_at = 0, fail_at, error, cut_at
+        self.changes, self.fail_at, self.error, self.power_lost_at = 0, fail_at, error, power_lost_at
         self.before_sync: Callable[[], object] | None = None
 
     @property
-    def cut(self) -> bool:
+    def power_lost(self) -> bool:
         """Whether the power is lost."""
-        return 0 <= self.cut_at <= self.changes
+        return 0 <= self.power_lost_at <= self.changes
 
     def _change(self) -> None:
         self.changes += 1
-        if self.cut:
+        if self.power_lost:
             raise OSError(errno.EIO, "simulated power failure")
         if self.changes == self.fail_at:
             raise OSError(self.error, "injected fault")
 
-    def survivor(self, rng: random.Random) -> FaultyDisk:
+    def after_power_failure(self, rng: random.Random) -> FaultyDisk:
         """Returns a possible state of the disk after a power failure."""
-        survivor_disk = FaultyDisk()
+        disk_after_failure = FaultyDisk()
         names = dict(self.synced_names)
         if rng.random() < 0.5:  # the host wrote the whole folder without a sync
             names = dict(self.files)
-        survivor_disk.files = {name: file.survivor(rng) for name, file in names.items()}
-        survivor_disk.synced_names = dict(survivor_disk.files)
-        return survivor_disk
+        disk_after_failure.files = {name: file.after_power_failure(rng) for name, file in names.items()}
+        disk_after_failure.synced_names = dict(disk_after_failure.files)
+        return disk_after_failure
 
     def prepare(self) -> None: ...
 
@@ -147,24 +147,24 @@
         self.files.pop(name, None)
 
 
-class InStep:
+class SynchronousThreadPool:
     """Replacement for the thread pool: makes each call at once in the caller's greenlet."""
 
     def __init__(self, size: int) -> None: ...
 
-    def call(self, work: Callable[..., Any], *args: Any) -> Any:
-        return work(*args)
+    def call(self, call: Callable[..., Any], *args: Any) -> Any:
+        return call(*args)
 
 
-class ByHand:
+class ManualTaskRunner:
     """Replacement for the runner of background tasks: a task runs to its end when the test calls `run`.
 
     Attributes:
-        steps: Functions that start the registered tasks, keyed by name.
+        tasks: Functions that start the registered tasks, keyed by name.
     """
 
     def __init__(self) -> None:
-        self.steps: dict[str, Callable[[], TaskSteps]] = {}
+        self.tasks: dict[str, Callable[[], TaskSteps]] = {}
 
     def add_periodic_task(
         self,
@@ -175,9 +175,9 @@
         start_within_s: float,
         dedicated: bool = False,
     ) -> None:
-        self.steps[name] = start
+        self.tasks[name] = start
 
     def run_now(self, name: str) -> None: ...
 
     def run(self, name: str) -> None:
-        run_all_steps(self.steps[name](), InStep(1))  # type: ignore[arg-type]
+        run_all_steps(self.tasks[name](), SynchronousThreadPool(1))  # type: ignore[arg-type]
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -40,11 +40,18 @@
     is_load=True,
     waits_for_loads=False,
 )
-UNIQUED = replace(LOAD, idempotency=Idempotency.IDEMPOTENCY_KEY)
-ORDERED = replace(LOAD, ordered_by_key=True)
-BOUND = replace(READ, allowed_machine_kinds=(1,), waits_for_loads=False, threads=2)
-FREE = replace(READ, waits_for_loads=False)
-PROFILES = [READ, LOAD, UNIQUED, ORDERED, BOUND, FREE]
+LOAD_WITH_IDEMPOTENCY_KEY = replace(LOAD, idempotency=Idempotency.IDEMPOTENCY_KEY)
+LOAD_ORDERED_BY_KEY = replace(LOAD, ordered_by_key=True)
+READ_ON_ONE_MACHINE_KIND = replace(READ, allowed_machine_kinds=(1,), waits_for_loads=False, threads=2)
+READ_IGNORING_LOADS = replace(READ, waits_for_loads=False)
+REQUEST_CLASSES = [
+    READ,
+    LOAD,
+    LOAD_WITH_IDEMPOTENCY_KEY,
+    LOAD_ORDERED_BY_KEY,
+    READ_ON_ONE_MACHINE_KIND,
+    READ_IGNORING_LOADS,
+]
 FLEET = FleetInfo(
     router_count=2, router_index=0, zone=0, cores_by_kind=(8, 8), memory_mb_by_kind=(16384.0, 16384.0)
 )
@@ -72,127 +79,136 @@
 
 
 @dataclass
-class Recorder:
+class RecordingPort:
     """A scheduler port that records the scheduler's calls.
 
     Attributes:
         clock: Current time in seconds.
-        due: Earliest requested wake-up; infinite for none.
-        asked: Recorded calls: a word for the method, then its arguments.
+        next_wakeup: Earliest requested wake-up; infinite for none.
+        calls: Recorded calls: a word for the method, then its arguments.
     """
 
     clock: float = 100.0
-    due: float = math.inf
-    asked: list[tuple[Any, ...]] = field(default_factory=list)
+    next_wakeup: float = math.inf
+    calls: list[tuple[Any, ...]] = field(default_factory=list)
 
     def now(self) -> float:
         return self.clock
 
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
-        self.asked.append(("send", ref, engine_id))
+        self.calls.append(("send", ref, engine_id))
 
     def cancel_attempt(self, ref: str, attempt_no: int) -> None:
-        self.asked.append(("cancel", ref, attempt_no))
+        self.calls.append(("cancel", ref, attempt_no))
 
     def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
-        self.asked.append(("terms", ref, priority, memory_mb))
+        self.calls.append(("terms", ref, priority, memory_mb))
 
     def shed(self, ref: str, retry_after_s: float) -> None:
-        self.asked.append(("shed", ref))
+        self.calls.append(("shed", ref))
 
     def fail(self, ref: str) -> None:
-        self.asked.append(("fail", ref))
+        self.calls.append(("fail", ref))
 
     def probe_load(self, engine_id: int) -> None:
-        self.asked.append(("probe", engine_id))
+        self.calls.append(("probe", engine_id))
 
     def broadcast(self, data: bytes) -> None:
-        self.asked.append(("tell", data))
+        self.calls.append(("tell", data))
 
     def schedule_wakeup(self, at: float) -> None:
-        self.asked.append(("wake", at))
-        self.due = min(self.due, at)
+        self.calls.append(("wake", at))
+        self.next_wakeup = min(self.next_wakeup, at)
 
     def log(self, text: str) -> None:
-        self.asked.append(("log", text))
+        self.calls.append(("log", text))
 
-    def sent(self, ref: str | None = None) -> list[int]:
+    def started_engine_ids(self, ref: str | None = None) -> list[int]:
         """Returns the engine ids of the started attempts, of one request or of all."""
-        return [a[2] for a in self.asked if a[0] == "send" and (ref is None or a[1] == ref)]
+        return [a[2] for a in self.calls if a[0] == "send" and (ref is None or a[1] == ref)]
 
-    def finals(self, ref: str) -> list[str]:
+    def final_answers(self, ref: str) -> list[str]:
         """Returns the final answers, "shed" or "fail", that a request got."""
-        return [a[0] for a in self.asked if a[0] in ("shed", "fail") and a[1] == ref]
+        return [a[0] for a in self.calls if a[0] in ("shed", "fail") and a[1] == ref]
 
 
-def engine(
-    be: int, listed: EngineStatus = EngineStatus.UP, started: float = 0.0, kind: int = 0
+def engine_entry(
+    engine_id: int, status: EngineStatus = EngineStatus.UP, started_at: float = 0.0, machine_kind: int = 0
 ) -> EngineEntry:
     """Returns an entry of the engine list.
 
     Args:
-        be: Id of the engine.
-        listed: Status of the engine.
-        started: Time in seconds at which its process started.
-        kind: Index of its machine kind.
+        engine_id: Id of the engine.
+        status: Status of the engine.
+        started_at: Time in seconds at which its process started.
+        machine_kind: Index of its machine kind.
     """
     return EngineEntry(
-        be, f"engine-{be}", zone=0, machine_kind=kind, cell=0, status=listed, started_at=started
+        engine_id,
+        f"engine-{engine_id}",
+        zone=0,
+        machine_kind=machine_kind,
+        cell=0,
+        status=status,
+        started_at=started_at,
     )
 
 
-class Stage:
+class SchedulerHarness:
     """A scheduler with a recording port.
 
     Attributes:
         port: The recording port.
-        gateway: The scheduler.
-        taken: Number of submitted requests.
+        scheduler: The scheduler.
+        submitted_count: Number of submitted requests.
     """
 
     def __init__(self, engines: int = 4, rules: DeploymentRules = RULES, fleet: FleetInfo = FLEET) -> None:
-        self.port = Recorder()
-        self.gateway = Scheduler(self.port, 7, PROFILES, rules, fleet)
-        self.gateway.update_engines([engine(be, kind=be % 2) for be in range(engines)], complete=True)
-        self.taken = 0
+        self.port = RecordingPort()
+        self.scheduler = Scheduler(self.port, 7, REQUEST_CLASSES, rules, fleet)
+        self.scheduler.update_engines(
+            [engine_entry(engine_id, machine_kind=engine_id % 2) for engine_id in range(engines)],
+            complete=True,
+        )
+        self.submitted_count = 0
 
-    def take(
+    def submit(
         self,
-        profile: RequestClass = READ,
-        work: float = 0.2,
-        left: float = 6.0,
+        request_class: RequestClass = READ,
+        work_s: float = 0.2,
+        time_left_s: float = 6.0,
         key: str = "",
-        group: int = 1,
-        waited: float = 0.0,
+        table_group: int = 1,
+        waited_s: float = 0.0,
     ) -> RequestState:
         """Submits a request and returns its handle.
 
         Args:
-            profile: Its request class.
-            work: Declared work in seconds.
-            left: Seconds until its deadline.
+            request_class: Its request class.
+            work_s: Declared work in seconds.
+            time_left_s: Seconds until its deadline.
             key: Requests with the same key run in order; empty for no order.
-            group: Table group.
-            waited: Seconds since it was received.
+            table_group: Table group.
+            waited_s: Seconds since it was received.
         """
-        self.taken += 1
-        return self.gateway.submit(
-            f"c{self.taken}",
-            PROFILES.index(profile),
-            group,
+        self.submitted_count += 1
+        return self.scheduler.submit(
+            f"c{self.submitted_count}",
+            REQUEST_CLASSES.index(request_class),
+            table_group,
             key,
-            (work, 10.0),
+            (work_s, 10.0),
             -1,
-            self.port.clock - waited,
-            left,
+            self.port.clock - waited_s,
+            time_left_s,
         )
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advances the clock and calls the scheduler's timer at the times that it requested."""
         end = self.port.clock + seconds
-        while self.port.due <= end:
-            self.port.clock, self.port.due = max(self.port.due, self.port.clock), math.inf
-            self.gateway.on_timer()
+        while self.port.next_wakeup <= end:
+            self.port.clock, self.port.next_wakeup = max(self.port.next_wakeup, self.port.clock), math.inf
+            self.scheduler.on_timer()
         self.port.clock = end
 
 
@@ -245,12 +261,12 @@
     """Replacement for the dispatcher that records engine lists.
 
     Attributes:
-        lists: Received lists, each with the flag whether it is complete.
+        published_lists: Received lists, each with the flag whether it is complete.
         updated: Set once a list was received.
     """
 
     def __init__(self) -> None:
-        self.lists: list[tuple[list[Any], bool]] = []
+        self.published_lists: list[tuple[list[Any], bool]] = []
         self.updated = Event()
 
     def post(self, action: Callable[..., None], *args: Any) -> None:
@@ -259,5 +275,5 @@
 
     def update_engines(self, engines: list[Any], is_complete: bool) -> None:
         """Records an engine list."""
-        self.lists.append((engines, is_complete))
+        self.published_lists.append((engines, is_complete))
         self.updated.set()
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -34,7 +34,7 @@
 from marbleworks.spool.recovery import State, end_of
 from marbleworks.spool.segment_store import SegmentStore
 from marbleworks.spool.service import SpoolService
-from tests.support.stand_ins import RULES, Stage
+from tests.support.stand_ins import RULES, SchedulerHarness
 
 GROUP, ROUTER_COUNT = 0xC0FFEE12, 40
 KEY = b"a key of 24 bytes, plain"
@@ -219,9 +219,9 @@
 
 def load_update(report: LoadReport) -> bytes:
     """Returns the datagram that a router sends to its peers after this load report of engine-1."""
-    stage = Stage(rules=replace(RULES, allows_peer_messages=True))
-    stage.gateway.on_probe_result(1, True, report)
-    [datagram] = [call[1] for call in stage.port.asked if call[0] == "tell"]
+    harness = SchedulerHarness(rules=replace(RULES, allows_peer_messages=True))
+    harness.scheduler.on_probe_result(1, True, report)
+    [datagram] = [call[1] for call in harness.port.calls if call[0] == "tell"]
     assert isinstance(datagram, bytes)
     return datagram
 
@@ -356,15 +356,15 @@
 
 
 def test_golden_load_update_is_decoded() -> None:
-    stage = Stage(rules=replace(RULES, allows_peer_messages=True))
-    engine = stage.gateway.engines[1]
-    stage.gateway.receive_load_update(1, golden_bytes("load update"))
+    harness = SchedulerHarness(rules=replace(RULES, allows_peer_messages=True))
+    engine = harness.scheduler.engines[1]
+    harness.scheduler.receive_load_update(1, golden_bytes("load update"))
     assert (engine.reported_load, engine.reported_full, engine.reported_at) == (
         1.625,
         False,
-        stage.port.clock,
+        harness.port.clock,
     )
-    stage.gateway.receive_load_update(1, golden_bytes("load update, full"))
+    harness.scheduler.receive_load_update(1, golden_bytes("load update, full"))
     assert (engine.reported_load, engine.reported_full) == (127 / 32, True)
 
 
