--- a/marbleworks/lab/__init__.py
+++ b/marbleworks/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory on loopback: stand-ins, load, experiments. The router never imports it."""
+"""Experiments on loopback: stand-in processes, load generators and reports. The router never imports it."""
--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -1,7 +1,9 @@
-"""The experiment of fleet-wide budgets: six routers whose traffic is skewed ten to one and moves, killed,
-stopped and cut from each other; against even parts, and against each router with the whole.
+"""Experiment on fleet-wide budgets: six routers with skewed, shifting traffic and injected faults.
 
-What is in use is counted at the engines. Then hundreds of routers in simulated time, and what asking costs.
+One router has ten times the traffic of each other one, and the hot router changes. Routers are killed,
+stopped and partitioned. Budgets divided by need are compared with even shares and with the whole budget at
+each router. Units in use are counted at the engines. Further parts simulate hundreds of routers, and measure
+the time that a check for room takes.
 """
 
 from __future__ import annotations
@@ -29,46 +31,62 @@
 from marbleworks.lab.stage import TENANTS, Stage, divided, until
 
 ROUTERS, ENGINES, CORES = 6, 4, 16
-WHOLE = 48  # look-ups out, all routers together; less than the engines' cores, so that nothing queues there
-WORK = (50, 150)  # milliseconds
-PARTS = f'(budget "looks" (profile "date-lookup") (out {WHOLE}))'
-TERMS = "(settle 500 ms) (tenants off)"
-DIVIDED = f"(peers) (budgets {TERMS} {PARTS})"
-EVEN = f"(budgets {TERMS} {PARTS})"
-EACH = f'(budgets {TERMS} (budget "looks" (profile "date-lookup") (out {WHOLE * ROUTERS})))'
-ASKED = 1.3 * WHOLE / (sum(WORK) / 2000)  # look-ups a second, more than the whole can do
-BEAT = 0.05  # seconds between looks at the engines
+WHOLE = 48  # look-ups in flight at all routers; fewer than the engines' cores, so none queues at an engine
+WORK_RANGE_MS = (50, 150)
+BUDGET_SECTION = f'(budget "looks" (profile "date-lookup") (out {WHOLE}))'
+BUDGET_OPTIONS = "(settle 500 ms) (tenants off)"
+DIVIDED = f"(peers) (budgets {BUDGET_OPTIONS} {BUDGET_SECTION})"
+EVEN_SHARES = f"(budgets {BUDGET_OPTIONS} {BUDGET_SECTION})"
+WHOLE_FOR_EACH = (
+    f'(budgets {BUDGET_OPTIONS} (budget "looks" (profile "date-lookup") (out {WHOLE * ROUTERS})))'
+)
+OFFERED_RATE = 1.3 * WHOLE / (sum(WORK_RANGE_MS) / 2000)  # look-ups per second; more than the whole budget
+SAMPLE_INTERVAL_S = 0.05  # between samples at the engines
 
 
 @dataclass
-class Day:
-    """What a day came to. most: that was out at all engines within each beat; outs: at its end."""
-
-    asks: list[tuple[int, Ask]] = field(default_factory=list)
-    most: list[tuple[float, int]] = field(default_factory=list)
-    outs: list[tuple[float, int]] = field(default_factory=list)
+class RunResult:
+    """Measurements of one run.
+
+    Attributes:
+        outcomes: Router number and outcome of each request.
+        max_out_samples: Time in seconds since the start, and the largest number of look-ups in flight at all
+            engines since the previous sample.
+        out_samples: Time in seconds since the start, and the number of look-ups in flight when the sample was
+            taken.
+        failures: Log events "failed" of all routers.
+    """
+
+    outcomes: list[tuple[int, Ask]] = field(default_factory=list)
+    max_out_samples: list[tuple[float, int]] = field(default_factory=list)
+    out_samples: list[tuple[float, int]] = field(default_factory=list)
     failures: int = 0
 
     def over(self) -> int:
-        return sum(most > WHOLE for _, most in self.most)
+        """Returns the number of samples in which the whole budget was exceeded."""
+        return sum(max_out > WHOLE for _, max_out in self.max_out_samples)
 
     def use(self, start: float, end: float) -> float:
-        seen = [out for at, out in self.outs if start <= at < end]
-        return sum(seen) / max(len(seen), 1) / WHOLE
+        """Returns the mean fraction of the whole budget in use, from `start` to `end` in seconds."""
+        samples = [out for at, out in self.out_samples if start <= at < end]
+        return sum(samples) / max(len(samples), 1) / WHOLE
 
     def served(self) -> float:
-        """Part of all that was asked for that came in time."""
-        return sum(ask.in_time for _, ask in self.asks) / max(len(self.asks), 1)
+        """Returns the fraction of all requests that were answered within their latency target."""
+        return sum(ask.in_time for _, ask in self.outcomes) / max(len(self.outcomes), 1)
+
+    def served_at(self, router: int, start: float, end: float) -> float:
+        """Returns the same fraction for one router's requests that were sent from `start` to `end`."""
+        in_time = [ask.in_time for number, ask in self.outcomes if number == router and start <= ask.at < end]
+        return sum(in_time) / max(len(in_time), 1)
 
-    def served_at(self, at: int, start: float, end: float) -> float:
-        asked = [ask.in_time for n, ask in self.asks if n == at and start <= ask.at < end]
-        return sum(asked) / max(len(asked), 1)
 
+def skewed_rates(shifts: list[float]) -> Callable[[float, int], float]:
+    """Returns a function that gives the look-ups per second at a router at a time.
 
-def skewed(shifts: list[float]) -> Callable[[float, int], float]:
-    """Look-ups a second at a router: one has ten times what each other has, and another one after each
-    shift."""
-    unit = ASKED / (10 + ROUTERS - 1)
+    One router has ten times the rate of each other one; after each shift it is the next router.
+    """
+    unit = OFFERED_RATE / (10 + ROUTERS - 1)
 
     def rate(at: float, number: int) -> float:
         hot = sum(at >= shift for shift in shifts) % ROUTERS
@@ -77,65 +95,88 @@
     return rate
 
 
-def play(
+def run_load(
     operator: str,
     seconds: float,
     seed: int,
     shifts: list[float],
     faults: Callable[[Stage, FaultNet, set[int], float], None] | None = None,
-) -> Day:
-    """faults: called in a greenlet of its own once the load begins, with the set of routers that clients know
-    to be down, and the seconds. With it all routers have the same traffic."""
-    day, chance, net, down = Day(), np.random.default_rng(seed), FaultNet(ROUTERS, seed), set[int]()
+) -> RunResult:
+    """Runs one load and returns its measurements.
+
+    Args:
+        operator: Text of the operator's file of all routers.
+        seconds: Length of the load.
+        seed: Seed of arrivals, work and network faults.
+        shifts: Times in seconds at which the hot router changes.
+        faults: Called in a greenlet of its own when the load starts, with the stage, the network, the set of
+            routers that clients know to be down, and the length of the load. If given, all routers have the
+            same traffic.
+    """
+    result, rng, net, down = RunResult(), np.random.default_rng(seed), FaultNet(ROUTERS, seed), set[int]()
     with Stage(ENGINES, CORES, operator, routers=ROUTERS, net=net) as stage:
         if "(peers)" in operator:
             until(lambda: divided(stage, "named looks"))
-        free: dict[int, list[Caller]] = defaultdict(list)
-
-        def one(at: int) -> None:
-            caller = free[at].pop() if free[at] else Caller(stage.routers[at].address, TENANTS[at % 4], seed)
-            day.asks.append((at, caller.ask("date-lookup", int(chance.uniform(*WORK)), 600)))
-            free[at].append(caller)
-
-        def anywhere(at: int) -> None:
-            """A client whose router is down goes to another."""
-            one(at if at not in down else int(chance.choice([n for n in range(ROUTERS) if n not in down])))
-
-        rate, began, going = skewed(shifts), time.monotonic(), list[Any]()
+        idle_callers: dict[int, list[Caller]] = defaultdict(list)
+
+        def send_one(router_number: int) -> None:
+            caller = (
+                idle_callers[router_number].pop()
+                if idle_callers[router_number]
+                else Caller(stage.routers[router_number].address, TENANTS[router_number % 4], seed)
+            )
+            result.outcomes.append(
+                (router_number, caller.ask("date-lookup", int(rng.uniform(*WORK_RANGE_MS)), 600))
+            )
+            idle_callers[router_number].append(caller)
+
+        def send_to_live_router(router_number: int) -> None:
+            """Sends a request to another router if the client's own is known to be down."""
+            send_one(
+                router_number
+                if router_number not in down
+                else int(rng.choice([n for n in range(ROUTERS) if n not in down]))
+            )
+
+        rate, began, greenlets = skewed_rates(shifts), time.monotonic(), list[Any]()
         if faults is not None:
-            rate = lambda at, number: ASKED / ROUTERS  # noqa: E731
+            rate = lambda at, number: OFFERED_RATE / ROUTERS  # noqa: E731
         edges = [0.0, *shifts, seconds]
         for start, end in zip(edges, edges[1:], strict=False):
             for n in range(ROUTERS):
-                plan = chance.uniform(start, end, chance.poisson(rate(start, n) * (end - start)))
-                going += [gevent.spawn_later(float(t), anywhere, n) for t in sorted(plan)]
+                times = rng.uniform(start, end, rng.poisson(rate(start, n) * (end - start)))
+                greenlets += [gevent.spawn_later(float(t), send_to_live_router, n) for t in sorted(times)]
         if faults is not None:
-            going.append(gevent.spawn(faults, stage, net, down, seconds))
+            greenlets.append(gevent.spawn(faults, stage, net, down, seconds))
         while time.monotonic() < began + seconds:
             stage.tell_fleet(stats=True)
-            gauge = stage.profiles.get("date-lookup", {"most": 0, "out": 0})
+            profile_stats = stage.profiles.get("date-lookup", {"most": 0, "out": 0})
             at = time.monotonic() - began
-            day.most.append((at, gauge["most"]))
-            day.outs.append((at, gauge["out"]))
-            gevent.sleep(BEAT)
-        gevent.joinall(going, timeout=10)
-        day.failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
-        for _, ask in day.asks:
+            result.max_out_samples.append((at, profile_stats["most"]))
+            result.out_samples.append((at, profile_stats["out"]))
+            gevent.sleep(SAMPLE_INTERVAL_S)
+        gevent.joinall(greenlets, timeout=10)
+        result.failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
+        for _, ask in result.outcomes:
             ask.at -= began
     net.close()
-    return day
+    return result
 
 
 def kills_pauses_cuts(stage: Stage, net: FaultNet, down: set[int], seconds: float, seed: int) -> None:
-    """In turn until the end: one killed and started anew, one stopped for longer than its lease, a cut."""
-    chance, began, turn = random.Random(seed), time.monotonic(), 0
+    """Injects faults in turn until 6 s before the end of the load.
+
+    A router is killed and restarted, a router is stopped for longer than its lease, or the group is
+    partitioned.
+    """
+    rng, began, turn = random.Random(seed), time.monotonic(), 0
     while time.monotonic() < began + seconds - 6.0:
-        number = chance.randrange(ROUTERS)
+        number = rng.randrange(ROUTERS)
         router = stage.routers[number]
         if turn % 3 == 0:
             router.end(signal.SIGKILL)
             gevent.sleep(0.3)
-            down.add(number)  # now its clients know
+            down.add(number)  # clients learn of it after 0.3 s
             gevent.sleep(0.7)
             router.start()
             down.discard(number)
@@ -143,209 +184,234 @@
             router.tell(signal.SIGSTOP)
             gevent.sleep(0.3)
             down.add(number)
-            gevent.sleep(3.7)  # longer than its lease
+            gevent.sleep(3.7)  # longer than the lease
             router.tell(signal.SIGCONT)
             down.discard(number)
         else:
-            few = chance.sample(range(ROUTERS), chance.randrange(1, ROUTERS // 2))
-            net.part(few, [n for n in range(ROUTERS) if n not in few])
+            minority = rng.sample(range(ROUTERS), rng.randrange(1, ROUTERS // 2))
+            net.part(minority, [n for n in range(ROUTERS) if n not in minority])
             gevent.sleep(4.0)
             net.part()
         turn += 1
         gevent.sleep(4.0)
 
 
-def followed(day: Day, shift: float, hot: int) -> float:
-    """Seconds after a shift until the router that is hot now has been served as later, within a tenth."""
-    settled = day.served_at(hot, shift + 2.5, shift + 5.0)
+def time_to_follow_shift(result: RunResult, shift: float, hot_router: int) -> float:
+    """Returns the seconds after a shift until the new hot router is served almost as well as later.
+
+    "Almost" is 90% of the fraction served from 2.5 s to 5 s after the shift. The result is 5 s if that was
+    not reached.
+    """
+    settled = result.served_at(hot_router, shift + 2.5, shift + 5.0)
     step = 0.25
     for n in range(20):
         start = shift + n * step
-        if day.served_at(hot, start, start + 2 * step) >= 0.9 * settled:
+        if result.served_at(hot_router, start, start + 2 * step) >= 0.9 * settled:
             return start - shift
     return 5.0
 
 
-class Fellow:
-    """A router of the simulated fleet: commands come, wait a little, take a unit each, and end."""
+class SimulatedRouter:
+    """A router of the simulated fleet: each request waits in a queue, holds one unit, and completes."""
 
-    def __init__(self, number: int, count: int, whole: Budget) -> None:
-        self.purse = LocalBudgets(number, count, 0.25, 2.0, -10.0)
-        self.purse.set_budgets([whole], 0.0)
-        self.pocket = next(iter(self.purse.budgets.values()))
+    def __init__(self, number: int, count: int, budget: Budget) -> None:
+        self.local_budgets = LocalBudgets(number, count, 0.25, 2.0, -10.0)
+        self.local_budgets.set_budgets([budget], 0.0)
+        self.budget = next(iter(self.local_budgets.budgets.values()))
         self.ends: list[float] = []
         self.queue = 0
 
 
-def simulated(report: Report, count: int, seed: int) -> None:
-    """Zipf's traffic over so many routers in simulated time, a quarter more than the whole can do; after a
-    while the order of the routers is another one."""
-    chance, whole, took = (
+def simulate_fleet(report: Report, count: int, seed: int) -> None:
+    """Simulates a fleet with Zipf-distributed traffic at 125% of the whole budget.
+
+    After 8 s the order of the routers by traffic changes. Raises Broken if the whole budget is exceeded.
+    """
+    rng, budget, hold_s = (
         random.Random(seed),
         Budget("w", 4 * count, 0.0, 4.0 + ABANDONED_ATTEMPT_TIMEOUT_S),
         0.05,
     )
-    fleet = [Fellow(n, count, whole) for n in range(count)]
+    fleet = [SimulatedRouter(number, count, budget) for number in range(count)]
     ledger = AllocationLedger(0, count, 1, 1, 0.25, 2.0, 0.0)
-    ledger.set_budgets([whole])
+    ledger.set_budgets([budget])
     ranks = list(range(count))
-    weights = [1.0 / (n + 1) for n in range(count)]
-    unit = 1.25 * whole.units / took / sum(weights)
+    weights = [1.0 / (number + 1) for number in range(count)]
+    unit = 1.25 * budget.units / hold_s / sum(weights)
     step, seconds, shift = 0.01, 14.0, 8.0
-    told, uses, tops = 0, list[float](), list[float]()
+    datagrams, use_samples, max_units_samples = 0, list[float](), list[float]()
     now = 0.0
     while now < seconds:
         if abs(now - shift) < step / 2:
             ranks = ranks[count // 2 :] + ranks[: count // 2]
-        used = 0
-        for n, one in enumerate(fleet):
-            for _ in range(sum(end <= now for end in one.ends)):
-                one.purse.release(one.pocket, now, False)
-                one.pocket.record_hold(took)
-            one.ends = [end for end in one.ends if end > now]
-            rate = unit * weights[ranks[n]] * step
-            comes = int(rate) + (chance.random() < rate % 1.0)
-            one.pocket.arrivals += comes
-            one.queue = min(one.queue + comes, int(30 * rate) + 2)
-            while one.queue and one.pocket.has_room(now):
-                one.purse.acquire(one.pocket, now)
-                one.ends.append(now + took)
-                one.queue -= 1
-            one.pocket.waiting.update(str(i) for i in range(min(one.queue, 64)))
-            if round(now / step) % 20 == n % 20:
-                for r in one.purse.make_reports(0, 1, 1, now):
-                    answer = ledger.handle_report(n, r, now)
-                    told += 2
+        used_units = 0
+        for number, router in enumerate(fleet):
+            for _ in range(sum(end <= now for end in router.ends)):
+                router.local_budgets.release(router.budget, now, False)
+                router.budget.record_hold(hold_s)
+            router.ends = [end for end in router.ends if end > now]
+            rate = unit * weights[ranks[number]] * step
+            new_requests = int(rate) + (rng.random() < rate % 1.0)
+            router.budget.arrivals += new_requests
+            router.queue = min(router.queue + new_requests, int(30 * rate) + 2)
+            while router.queue and router.budget.has_room(now):
+                router.local_budgets.acquire(router.budget, now)
+                router.ends.append(now + hold_s)
+                router.queue -= 1
+            router.budget.waiting.update(str(i) for i in range(min(router.queue, 64)))
+            if round(now / step) % 20 == number % 20:
+                for r in router.local_budgets.make_reports(0, 1, 1, now):
+                    answer = ledger.handle_report(number, r, now)
+                    datagrams += 2
                     if answer is not None:
-                        one.purse.handle_answer(0, answer, now)
-            used += one.pocket.used_units(now)
-        if used > whole.units:
-            raise Broken(f"{used} of {whole.units} at {now:.2f}")
-        uses.append(used / whole.units)
-        tops.append(fleet[ranks.index(0)].pocket.max_units(now))
+                        router.local_budgets.handle_answer(0, answer, now)
+            used_units += router.budget.used_units(now)
+        if used_units > budget.units:
+            raise Broken(f"{used_units} of {budget.units} at {now:.2f}")
+        use_samples.append(used_units / budget.units)
+        max_units_samples.append(fleet[ranks.index(0)].budget.max_units(now))
         now += step
     at = round(shift / step)
-    later = tops[-1]
-    follows = next((i * step for i, top in enumerate(tops[at:]) if top >= 0.8 * later), seconds)
-    steady = uses[round(5.0 / step) : at]
+    later_max_units = max_units_samples[-1]
+    follows_s = next(
+        (
+            i * step
+            for i, max_units in enumerate(max_units_samples[at:])
+            if max_units >= 0.8 * later_max_units
+        ),
+        seconds,
+    )
+    steady = use_samples[round(5.0 / step) : at]
     report.figures |= {
         f"sim_{count}_use": sum(steady) / len(steady),
-        f"sim_{count}_follows_s": follows,
-        f"sim_{count}_datagrams_a_second": told / seconds / count,
-        f"sim_{count}_datagrams_a_second_at_divider": told / seconds,
+        f"sim_{count}_follows_s": follows_s,
+        f"sim_{count}_datagrams_a_second": datagrams / seconds / count,
+        f"sim_{count}_datagrams_a_second_at_divider": datagrams / seconds,
     }
     report.rows.append(
         {
             "day": f"{count} simulated, Zipf",
             "whole in use": f"{report.figures[f'sim_{count}_use']:.3f}",
-            "shift followed s": round(follows, 2),
+            "shift followed s": round(follows_s, 2),
         }
     )
 
 
-def cost(count: int) -> float:
-    """Median seconds of asking for a part."""
-    purse = LocalBudgets(0, 6, None, 2.0, -10.0)
-    purse.set_budgets([Budget(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
-    pockets, took = list(purse.budgets.values()), list[float]()
+def room_check_cost(count: int) -> float:
+    """Returns the median seconds of a check whether a budget has room."""
+    local_budgets = LocalBudgets(0, 6, None, 2.0, -10.0)
+    local_budgets.set_budgets([Budget(f"w{n}", 100, 0.0, 5.0) for n in range(40)], 0.0)
+    budgets, durations = list(local_budgets.budgets.values()), list[float]()
     for n in range(count):
-        pocket = pockets[n % 40]
+        budget = budgets[n % 40]
         began = time.perf_counter()
-        pocket.has_room(1.0)
-        took.append(time.perf_counter() - began)
-    return percentile(took, 50)
+        budget.has_room(1.0)
+        durations.append(time.perf_counter() - began)
+    return percentile(durations, 50)
+
 
+def run_further_sends(report: Report, seed: int, seconds: float) -> None:
+    """Measures the fleet-wide budget of further sends when one router's requests all fail.
 
-def further(report: Report, seed: int, seconds: float) -> None:
-    """What one router asks of engines errs, all of it; its further sends come from the whole fleet's budget,
-    as far as the other two leave it."""
+    The failing router may use what the other two leave of the budget.
+    """
     bound, net = 12.0, FaultNet(3, seed)
     operator = f"(peers) (budgets (further {bound:g}) (tenants off))"
     with Stage(3, CORES, operator, routers=3, net=net) as stage:
         until(lambda: divided(stage, "further sends"))
-        chance, asks = np.random.default_rng(seed), list[Ask]()
-        free: dict[int, list[Caller]] = defaultdict(list)
-
-        def one(at: int) -> None:
-            caller = free[at].pop() if free[at] else Caller(stage.routers[at].address, "oslo", seed)
-            caller.errs = " errs" if at == 0 else ""
-            asks.append(caller.ask("date-lookup", 30, 600))
-            free[at].append(caller)
-
-        going: list[Any] = []
-        for at in range(3):
-            going += arrivals(chance, 40.0, seconds, partial(one, at))
-        gevent.joinall(going, timeout=seconds + 8)
-        ran = sum(engine["ran"] for engine in stage.tell_fleet(stats=True))
+        rng, outcomes = np.random.default_rng(seed), list[Ask]()
+        idle_callers: dict[int, list[Caller]] = defaultdict(list)
+
+        def send_one(router_number: int) -> None:
+            caller = (
+                idle_callers[router_number].pop()
+                if idle_callers[router_number]
+                else Caller(stage.routers[router_number].address, "oslo", seed)
+            )
+            caller.errs = " errs" if router_number == 0 else ""
+            outcomes.append(caller.ask("date-lookup", 30, 600))
+            idle_callers[router_number].append(caller)
+
+        greenlets: list[Any] = []
+        for router_number in range(3):
+            greenlets += arrivals(rng, 40.0, seconds, partial(send_one, router_number))
+        gevent.joinall(greenlets, timeout=seconds + 8)
+        started_attempts = sum(engine["ran"] for engine in stage.tell_fleet(stats=True))
         commands = stage.profiles["date-lookup"]["commands"]
     net.close()
-    again = ran - commands
-    report.figures |= {"further_asked": len(asks), "further_sends": again}
+    further_sends = started_attempts - commands
+    report.figures |= {"further_asked": len(outcomes), "further_sends": further_sends}
     report.claim(
         "further sends a second, all routers, where all that one asks for errs",
-        again / seconds,
+        further_sends / seconds,
         bound * (1 + 1 / seconds),
     )
     report.claim(
         "the same: what one router had of them, times its even part",
-        again / seconds / (bound / 3),
+        further_sends / seconds / (bound / 3),
         1.5,
         least=True,
     )
 
 
 def run(report: Report, seed: int, quick: bool) -> None:
+    """Runs all parts of the experiment."""
     seconds = 12.0 if quick else 40.0
     shifts = [6.0] if quick else [10.0 * n for n in range(1, 4)]
-    days = {
-        "divided by need": play(DIVIDED, seconds, seed, shifts),
-        "even parts": play(EVEN, seconds, seed, shifts),
-        "each the whole": play(EACH, seconds, seed, shifts),
-        "divided, kills, pauses, cuts": play(
+    results = {
+        "divided by need": run_load(DIVIDED, seconds, seed, shifts),
+        "even parts": run_load(EVEN_SHARES, seconds, seed, shifts),
+        "each the whole": run_load(WHOLE_FOR_EACH, seconds, seed, shifts),
+        "divided, kills, pauses, cuts": run_load(
             DIVIDED, 24.0 if quick else 120.0, seed, [], partial(kills_pauses_cuts, seed=seed)
         ),
     }
-    for name, day in days.items():
-        end = day.most[-1][0]
+    for name, result in results.items():
+        end = result.max_out_samples[-1][0]
         report.rows.append(
             {
                 "day": name,
-                "asked": len(day.asks),
-                "served in time": f"{day.served():.3f}",
-                "whole in use": f"{day.use(2.0, end - 0.5):.3f}",
-                "most out": max(m for _, m in day.most),
-                "beats over the whole": day.over(),
-                "lost": sum(a.end == "lost" for _, a in day.asks),
+                "asked": len(result.outcomes),
+                "served in time": f"{result.served():.3f}",
+                "whole in use": f"{result.use(2.0, end - 0.5):.3f}",
+                "most out": max(max_out for _, max_out in result.max_out_samples),
+                "beats over the whole": result.over(),
+                "lost": sum(a.end == "lost" for _, a in result.outcomes),
             }
         )
-        report.figures |= {f"{name}: served": day.served(), f"{name}: use": day.use(2.0, end - 0.5)}
-    need, even, faults = days["divided by need"], days["even parts"], days["divided, kills, pauses, cuts"]
+        report.figures |= {f"{name}: served": result.served(), f"{name}: use": result.use(2.0, end - 0.5)}
+    need, even, faults = (
+        results["divided by need"],
+        results["even parts"],
+        results["divided, kills, pauses, cuts"],
+    )
     report.claim("moments above the whole, counted at the engines", need.over() + faults.over(), 0)
     use = need.use(2.0, seconds - 0.5)
     report.claim("use of the whole while more is wanted", use, 0.9, least=True)
     report.claim(
         "use over a day of kills, pauses and cuts",
-        faults.use(2.0, faults.most[-1][0] - 0.5),
+        faults.use(2.0, faults.max_out_samples[-1][0] - 0.5),
         0.75,
         least=True,
     )
-    follow = [followed(need, shift, (n + 1) % ROUTERS) for n, shift in enumerate(shifts)]
+    follow = [time_to_follow_shift(need, shift, (n + 1) % ROUTERS) for n, shift in enumerate(shifts)]
     report.claim("a shift followed within, s", max(follow), 1.5)
     report.claim(
         "served in time, points over even parts", 100 * (need.served() - even.served()), 10, least=True
     )
-    report.claim("exceptions", sum(day.failures for day in days.values()), 0)
-    report.figures["asking_us"] = 1e6 * cost(20_000)
+    report.claim("exceptions", sum(result.failures for result in results.values()), 0)
+    report.figures["asking_us"] = 1e6 * room_check_cost(20_000)
     report.claim("microseconds to ask for a part", report.figures["asking_us"], 3)
-    further(report, seed, 6.0 if quick else 20.0)
+    run_further_sends(report, seed, 6.0 if quick else 20.0)
     for count in (200,) if quick else (200, 1000):
-        simulated(report, count, seed)
+        simulate_fleet(report, count, seed)
     acts = sum(
         stroll(1000 * seed + n, 800, 2 + n % 4, (0.0, 1.0)[n % 2], (3, 7, 20)[n % 3])
         for n in range(40 if quick else 600)
     )
     report.figures |= {"explored_acts": acts, "explored_states": exhaust(3) + exhaust(3, 2, 1.0)}
     charts = {
-        name: ([at for at, _ in day.outs], [float(out) for _, out in day.outs]) for name, day in days.items()
+        name: ([at for at, _ in result.out_samples], [float(out) for _, out in result.out_samples])
+        for name, result in results.items()
     }
     report.charts.append(("look-ups out, all routers", "seconds", "out at the engines", charts))
--- a/marbleworks/lab/command.py
+++ b/marbleworks/lab/command.py
@@ -1,4 +1,4 @@
-"""The lab's part of the command line. Imported only by its own sub-commands."""
+"""Implementation of the `lab` sub-commands. Only those sub-commands import it."""
 
 from __future__ import annotations
 
@@ -11,33 +11,51 @@
 
 Experiment = Callable[[Report, int, bool], None]
 EXPERIMENTS: dict[str, tuple[str, Experiment]] = {
-    "spool": ("large results kept on disk, slow readers, a full spool, kills; against no spool", spool.run),
+    "spool": (
+        "large results on disk, slow readers, a full spool, router kills; compared with no spool",
+        spool.run,
+    ),
     "peers": (
-        "routers that know each other: deaths, pauses, cuts, one right; against settings alone",
+        "group membership: deaths, pauses, partitions, a single leader; compared with fixed settings",
         peers.run,
     ),
     "budgets": (
-        "budgets of the whole fleet, skew, shifts, kills, pauses, cuts; against even parts",
+        "fleet-wide budgets: skew, shifts, kills, pauses, partitions; compared with even shares",
         budgets.run,
     ),
-    "door": ("one member that floods beside fifty quiet ones, times told; against no door", door.run),
+    "door": (
+        "one flooding tenant beside fifty quiet ones, retry promises; compared with no admission control",
+        door.run,
+    ),
     "capacity": (
-        "how each cost grows with routers, engines, budgets, clients; what that is at 4,600 routers",
+        "how each cost grows with routers, engines, budgets and clients; its value at 4,600 routers",
         capacity.run,
     ),
 }
 
 
 def listed() -> list[str]:
+    """Returns one line for each experiment: its name and what it measures."""
     return [f"{name}: {meaning}" for name, (meaning, _) in EXPERIMENTS.items()]
 
 
 def tried(seconds: float, seed: int) -> Report:
+    """Runs the trial of `lab try`: a mixed load for a number of seconds."""
     return trial.run(seconds, seed)
 
 
 def run(name: str, seed: int, quick: bool, out: Path) -> Report:
-    """Plays an experiment and writes its files; KeyError where there is none of that name."""
+    """Runs an experiment and writes its result files to a folder.
+
+    Args:
+        name: Name of the experiment.
+        seed: Seed of all random draws.
+        quick: Whether to run a short version.
+        out: Folder of the result files.
+
+    Raises:
+        KeyError: There is no experiment of that name.
+    """
     _, experiment = EXPERIMENTS[name]
     report, began = Report(name), time.monotonic()
     report.figures["seed"], report.figures["quick"] = seed, float(quick)
--- a/marbleworks/lab/door.py
+++ b/marbleworks/lab/door.py
@@ -1,8 +1,8 @@
-"""The door's experiment: three routers, six engines, fifty quiet members and one that floods; with and
-without it.
+"""Experiment on the admission controller: three routers, six engines, fifty quiet tenants and one flood.
 
-Then two floods at once, and five thousand clients without a member, each from its own network: in the plain
-model of the decisions, and on sockets from as many loopback networks.
+The same load runs with and without admission control, then with two floods. Further parts send requests of
+five thousand clients at once, each from its own network: in a model of the decisions without sockets, and on
+sockets with addresses of as many loopback networks.
 """
 
 from __future__ import annotations
@@ -28,141 +28,170 @@
 QUIET = [f"quiet-{n:02d}" for n in range(50)]
 FLOODS = ["flood-a", "flood-b"]
 ENGINES, CORES, ROUTERS = 6, 2, 3
-ASKS = 1.5  # a second, of each quiet member
-WORK = (20, 120)  # milliseconds, of all look-ups
+QUIET_RATE = 1.5  # requests per second of each quiet tenant
+WORK_RANGE_MS = (20, 120)  # ms of a look-up
 ENDS = ("answered", "shed", "failed", "lost", "error")
-DOOR = "(door (waiting 2000) (memory 4 MB) (bookings 4000) (trace on))"
+ADMISSION_ON = "(door (waiting 2000) (memory 4 MB) (bookings 4000) (trace on))"
 
 
 @dataclass
-class Day:
-    """What a day of load came to."""
+class RunResult:
+    """Measurements of one run.
+
+    Attributes:
+        name: What was run; a value of the results table.
+        outcomes: Outcomes of the requests, keyed by tenant.
+        came_back: For each client that returned after a Retry-After: the announced delay and the real wait in
+            seconds, and whether it was admitted.
+        used: Fraction of the engines' cores in use.
+        log: Log entries of the event "door".
+    """
 
     name: str
-    asks: dict[str, list[Ask]] = field(default_factory=lambda: defaultdict(list))  # by member
-    came_back: list[tuple[float, float, bool]] = field(default_factory=list)  # told, waited in all, let in
-    used: float = 0.0  # part of the engines' cores
+    outcomes: dict[str, list[Ask]] = field(default_factory=lambda: defaultdict(list))
+    came_back: list[tuple[float, float, bool]] = field(default_factory=list)
+    used: float = 0.0
     waiting: float = 0.0
     log: list[dict[str, str]] = field(default_factory=list)
 
     def quiet(self) -> list[Ask]:
-        return [ask for name in QUIET for ask in self.asks[name]]
-
-
-def play(name: str, operator: str, flood: dict[str, float], seconds: float, seed: int) -> Day:
-    """flood: commands a second by member."""
-    day = Day(name)
-    net = FaultNet(ROUTERS, seed) if "(peers)" in operator else None  # the fleet's relays reach all or nobody
-    members = [*QUIET, *FLOODS]
-    with Stage(ENGINES, CORES, operator, 5.0, tenants=members, routers=ROUTERS, net=net) as stage:
-        chance, back = np.random.default_rng(seed), np.random.default_rng(seed + 1)
-        free: dict[tuple[str, int], list[Caller]] = defaultdict(list)
+        """Returns the outcomes of all quiet tenants."""
+        return [ask for name in QUIET for ask in self.outcomes[name]]
+
+
+def run_load(name: str, operator: str, flood: dict[str, float], seconds: float, seed: int) -> RunResult:
+    """Runs one load and returns its measurements.
+
+    Args:
+        name: What is run; a value of the results table.
+        operator: Text of the operator's file of all routers.
+        flood: Requests per second, keyed by flooding tenant.
+        seconds: Length of the load.
+        seed: Seed of arrivals and work.
+    """
+    result = RunResult(name)
+    # Needed with peers because the relays of the fleet reach all routers or none.
+    net = FaultNet(ROUTERS, seed) if "(peers)" in operator else None
+    tenants = [*QUIET, *FLOODS]
+    with Stage(ENGINES, CORES, operator, 5.0, tenants=tenants, routers=ROUTERS, net=net) as stage:
+        arrival_rng, request_rng = np.random.default_rng(seed), np.random.default_rng(seed + 1)
+        idle_callers: dict[tuple[str, int], list[Caller]] = defaultdict(list)
         if "(peers)" in operator:
             until(lambda: divided(stage, "engine s-0"))
 
-        def one(member: str, comes_back: bool) -> None:
-            at = int(back.integers(ROUTERS))
+        def send_one(tenant: str, returns: bool) -> None:
+            router_number = int(request_rng.integers(ROUTERS))
             caller = (
-                free[member, at].pop()
-                if free[member, at]
-                else Caller(stage.routers[at].address, member, seed)
+                idle_callers[tenant, router_number].pop()
+                if idle_callers[tenant, router_number]
+                else Caller(stage.routers[router_number].address, tenant, seed)
             )
-            work = int(back.uniform(*WORK))
-            what = int(back.integers(1_000_000_000))
-            ask = caller.ask("date-lookup", work, 600, what)
-            day.asks[member].append(ask)
-            if comes_back and ask.end == "shed" and ask.after is not None and ask.after < 5.0:
+            work = int(request_rng.uniform(*WORK_RANGE_MS))
+            row_id = int(request_rng.integers(1_000_000_000))
+            ask = caller.ask("date-lookup", work, 600, row_id)
+            result.outcomes[tenant].append(ask)
+            if returns and ask.end == "shed" and ask.after is not None and ask.after < 5.0:
                 gevent.sleep(ask.after)
-                again = caller.ask("date-lookup", work, 600, what)
-                whole = time.monotonic() - ask.at - again.took
-                day.came_back.append((ask.after, whole, again.end == "answered"))
-            free[member, at].append(caller)
-
-        going: list[gevent.Greenlet[..., None]] = []
-        for member in QUIET:
-            going += arrivals(chance, ASKS, seconds, partial(one, member, True))
-        for member, rate in flood.items():
-            going += arrivals(chance, 0.3 * rate, seconds, partial(one, member, True))
-            going += arrivals(chance, 0.7 * rate, seconds, partial(one, member, False))
+                retry = caller.ask("date-lookup", work, 600, row_id)
+                waited_s = time.monotonic() - ask.at - retry.took
+                result.came_back.append((ask.after, waited_s, retry.end == "answered"))
+            idle_callers[tenant, router_number].append(caller)
+
+        greenlets: list[gevent.Greenlet[..., None]] = []
+        for tenant in QUIET:
+            greenlets += arrivals(arrival_rng, QUIET_RATE, seconds, partial(send_one, tenant, True))
+        for tenant, rate in flood.items():
+            greenlets += arrivals(arrival_rng, 0.3 * rate, seconds, partial(send_one, tenant, True))
+            greenlets += arrivals(arrival_rng, 0.7 * rate, seconds, partial(send_one, tenant, False))
         gevent.sleep(seconds)
-        held = sum(engine["held"] for engine in stage.tell_fleet(stats=True))
-        day.used = held / (seconds * ENGINES * CORES)
-        gevent.joinall(going, timeout=12)
-        for router in stage.routers:
-            day.log += [json.loads(line) for line in router.log().splitlines() if '"event": "door"' in line]
-    return day
-
-
-def grouped(peers: bool, seconds: float, seed: int) -> list[float]:
-    """Two floods, one at all three routers and one at two of them; the work that each was given."""
-    done = {name: 0.0 for name in FLOODS}
+        held_s = sum(engine["held"] for engine in stage.tell_fleet(stats=True))
+        result.used = held_s / (seconds * ENGINES * CORES)
+        gevent.joinall(greenlets, timeout=12)
+        for router_process in stage.routers:
+            result.log += [
+                json.loads(line) for line in router_process.log().splitlines() if '"event": "door"' in line
+            ]
+    return result
+
+
+def run_group_floods(peers: bool, seconds: float, seed: int) -> list[float]:
+    """Runs two floods, one at all three routers and one at two of them.
+
+    Returns:
+        Seconds of engine work that each flood received.
+    """
+    work_s = {name: 0.0 for name in FLOODS}
     operator = f"(door (peers {'on' if peers else 'off'}))"
     with Stage(ENGINES, CORES, operator, 5.0, tenants=FLOODS, routers=ROUTERS) as stage:
-        chance = np.random.default_rng(seed)
+        rng = np.random.default_rng(seed)
 
-        def one(member: str, at: int) -> None:
-            caller = Caller(stage.routers[at].address, member, seed)
+        def send_one(tenant: str, router_number: int) -> None:
+            caller = Caller(stage.routers[router_number].address, tenant, seed)
             ask = caller.ask(
-                "date-lookup", int(chance.uniform(*WORK)), 600, int(chance.integers(1_000_000_000))
+                "date-lookup", int(rng.uniform(*WORK_RANGE_MS)), 600, int(rng.integers(1_000_000_000))
             )
             if ask.end == "answered" and began + 1.0 < ask.at < began + seconds:
-                done[member] += ask.work / 1000.0
+                work_s[tenant] += ask.work / 1000.0
 
-        going: list[gevent.Greenlet[..., None]] = []
+        greenlets: list[gevent.Greenlet[..., None]] = []
         began = time.monotonic()
-        for at in range(ROUTERS):
-            for member in FLOODS[: 1 if at == 2 else 2]:
-                going += arrivals(chance, 120.0, seconds, partial(one, member, at))
-        gevent.joinall(going, timeout=seconds + 10)
-    return list(done.values())
+        for router_number in range(ROUTERS):
+            for tenant in FLOODS[: 1 if router_number == 2 else 2]:
+                greenlets += arrivals(rng, 120.0, seconds, partial(send_one, tenant, router_number))
+        gevent.joinall(greenlets, timeout=seconds + 10)
+    return list(work_s.values())
 
 
-def crowd(report: Report, count: int, seed: int) -> None:
-    """So many clients, each of another loopback network, connected to three routers, ask within one moment;
-    who is told a time comes back then, once."""
+def run_client_burst(report: Report, count: int, seed: int) -> None:
+    """Sends one request from each of many clients at once, each from another loopback network.
+
+    The clients are connected to three routers. A client that is shed with a Retry-After below 5 s returns
+    once, at the announced time.
+    """
     operator = "(door (waiting 2000) (memory 4 MB) (bookings 4000))"
-    asks, again = list[Ask](), list[Ask]()
+    outcomes, retries = list[Ask](), list[Ask]()
     with Stage(ENGINES, CORES, operator, 5.0, 4 * count, tenants=[], routers=ROUTERS) as stage:
-        rest = max(router.memory() for router in stage.routers)
+        rest_mb = max(router.memory() for router in stage.routers)
         callers = [
             Caller(stage.routers[n % ROUTERS].address, "", seed, f"127.{1 + n // 250}.{n % 250}.9")
             for n in range(count)
         ]
-        for at in range(0, count, 100):
-            gevent.joinall([gevent.spawn(caller.connect) for caller in callers[at : at + 100]])
-        idle = max(router.memory() for router in stage.routers)
+        for first in range(0, count, 100):
+            gevent.joinall([gevent.spawn(caller.connect) for caller in callers[first : first + 100]])
+        connected_mb = max(router.memory() for router in stage.routers)
 
-        def one(caller: Caller, what: int) -> None:
-            ask = caller.ask("date-lookup", 20, 600, what)
-            asks.append(ask)
+        def send_one(caller: Caller, row_id: int) -> None:
+            ask = caller.ask("date-lookup", 20, 600, row_id)
+            outcomes.append(ask)
             if ask.end == "shed" and ask.after is not None and ask.after < 5.0:
                 gevent.sleep(ask.after)
-                again.append(caller.ask("date-lookup", 20, 600, what))
+                retries.append(caller.ask("date-lookup", 20, 600, row_id))
 
-        going = [gevent.spawn(one, caller, n) for n, caller in enumerate(callers)]
-        peak = idle
-        while not all(one.ready() for one in going):
-            peak = max(peak, *(router.memory() for router in stage.routers))
+        greenlets = [gevent.spawn(send_one, caller, n) for n, caller in enumerate(callers)]
+        peak_mb = connected_mb
+        while not all(send_one.ready() for send_one in greenlets):
+            peak_mb = max(peak_mb, *(router.memory() for router in stage.routers))
             gevent.sleep(0.1)
         failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
     ends = {
-        end: sum(ask.end == end for ask in asks) for end in ("answered", "shed", "failed", "lost", "error")
+        end: sum(ask.end == end for ask in outcomes)
+        for end in ("answered", "shed", "failed", "lost", "error")
     }
-    kept = sum(ask.end == "answered" for ask in again) / max(len(again), 1)
+    answered_fraction = sum(ask.end == "answered" for ask in retries) / max(len(retries), 1)
     report.figures |= {f"crowd_{end}": n for end, n in ends.items()}
     report.figures |= {
-        "crowd_came_back": len(again),
-        "crowd_came_back_answered": kept,
-        "crowd_rest_mb": rest,
-        "crowd_connected_mb": idle,
-        "crowd_peak_mb": peak,
+        "crowd_came_back": len(retries),
+        "crowd_came_back_answered": answered_fraction,
+        "crowd_rest_mb": rest_mb,
+        "crowd_connected_mb": connected_mb,
+        "crowd_peak_mb": peak_mb,
     }
     report.rows.append(
         {
             "day": f"{count} members at once",
             "quiet asked": count,
             "flood answered": ends["answered"],
-            "in time": f"{service(asks):.3f}",
+            "in time": f"{in_time_fraction(outcomes):.3f}",
         }
     )
     report.claim(
@@ -170,34 +199,54 @@
         ends["lost"] + ends["error"] + failures,
         0,
     )
-    report.claim(f"{count} members at once: who came back when told was answered", kept, 0.95, least=True)
-    report.claim(f"{count} members at once: MB over what their connections take", peak - idle, 16.0)
+    report.claim(
+        f"{count} members at once: who came back when told was answered", answered_fraction, 0.95, least=True
+    )
+    report.claim(
+        f"{count} members at once: MB over what their connections take", peak_mb - connected_mb, 16.0
+    )
 
 
-def service(asks: list[Ask]) -> float:
-    return sum(ask.in_time for ask in asks) / max(len(asks), 1)
+def in_time_fraction(outcomes: list[Ask]) -> float:
+    """Returns the fraction of requests that were answered within their latency target."""
+    return sum(ask.in_time for ask in outcomes) / max(len(outcomes), 1)
 
 
-def p99(asks: list[Ask]) -> float:
-    return percentile([ask.took for ask in asks if ask.end == "answered"], 99)
+def p99_seconds(outcomes: list[Ask]) -> float:
+    """Returns the 99th percentile of the seconds to an answer."""
+    return percentile([ask.took for ask in outcomes if ask.end == "answered"], 99)
 
 
-def jain(values: list[float]) -> float:
-    """1 where all have the same."""
+def jain_index(values: list[float]) -> float:
+    """Returns Jain's fairness index, which is 1 if all values are equal."""
     return sum(values) ** 2 / (len(values) * sum(v * v for v in values)) if any(values) else 0.0
 
 
-def work_of(asks: list[Ask]) -> float:
-    return sum(ask.work for ask in asks if ask.end == "answered") / 1000.0
+def answered_work(outcomes: list[Ask]) -> float:
+    """Returns the seconds of engine work of the answered requests."""
+    return sum(ask.work for ask in outcomes if ask.end == "answered") / 1000.0
 
 
 class Yard:
-    """In place of engines behind one door or several, without sockets: work is shared evenly among all that
-    runs. passes: whether a summary from one door gets to another."""
+    """Model of engines behind one admission controller or several, without sockets.
+
+    The cores are shared evenly among all running requests.
+
+    Attributes:
+        cores: Number of cores of all engines.
+        bounds: Limits of each admission controller.
+        now: Simulated time in seconds.
+        running: Admitted requests by ref, with their gate and a list of the work left and the whole work.
+        away: Requests shed.
+        done: Requests completed.
+        ended: How often a request was completed or shed, by ref. More than once is a fault.
+        passes: Whether a datagram from one controller, by number, reaches another.
+        gates: The admission controllers.
+    """
 
     def __init__(self, cores: float, bounds: Bounds, doors: int = 1) -> None:
         self.cores, self.bounds, self.now = cores, bounds, 0.0
-        self.running: dict[str, tuple[Gate, list[float]]] = {}  # by ref: work left, and in all
+        self.running: dict[str, tuple[Gate, list[float]]] = {}
         self.away, self.done, self.ended = 0, 0, dict[str, int]()
         self.passes: Callable[[int, int], bool] = lambda sender, to: True
         self.gates: list[Gate] = []
@@ -205,35 +254,38 @@
 
     @property
     def door(self) -> AdmissionController:
+        """The first admission controller."""
         return self.gates[0].door
 
-    def ends(self, ref: str) -> None:
+    def record_end(self, ref: str) -> None:
+        """Records that a request was completed or shed."""
         self.ended[ref] = self.ended.get(ref, 0) + 1
 
     def restart(self, number: int) -> None:
-        """A router is killed with all that it has, and begins anew."""
-        self.running = {r: one for r, one in self.running.items() if one[0].number != number}
+        """Replaces an admission controller by a fresh one; its running requests are lost."""
+        self.running = {ref: entry for ref, entry in self.running.items() if entry[0].number != number}
         self.gates[number] = Gate(self, number, len(self.gates))
 
     def work(self, seconds: float) -> None:
+        """Advances the time, and the work of all running requests."""
         self.now += seconds
-        part = min(self.cores / max(len(self.running), 1), 1.0) * seconds
-        over = []
+        progress = min(self.cores / max(len(self.running), 1), 1.0) * seconds
+        completed = []
         for ref, (_, left) in self.running.items():
-            left[0] -= part
+            left[0] -= progress
             if left[0] <= 0:
-                over.append(ref)
-        for ref in over:
-            gate, (_, took) = self.running.pop(ref)
+                completed.append(ref)
+        for ref in completed:
+            gate, (_, work_s) = self.running.pop(ref)
             self.done += 1
-            self.ends(ref)
-            gate.door.answered(ref, took, took, self.now)
+            self.record_end(ref)
+            gate.door.answered(ref, work_s, work_s, self.now)
         for gate in self.gates:
             gate.door.tick(self.now)
 
 
 class Gate:
-    """One door of a yard, and what it asks of whoever stands behind it."""
+    """An admission controller of the model, and the port that it calls."""
 
     def __init__(self, yard: Yard, number: int, doors: int) -> None:
         self.yard, self.number = yard, number
@@ -242,6 +294,7 @@
         )
 
     def come(self, new: Arrival) -> None:
+        """Passes a new request to the controller."""
         self.door.arrive(new, self.yard.now)
 
     def let_in(self, ref: str) -> None:
@@ -250,7 +303,7 @@
 
     def turn_away(self, ref: str, after: float) -> None:
         self.yard.away += 1
-        self.yard.ends(ref)
+        self.yard.record_end(ref)
 
     def tell_peers(self, data: bytes) -> None:
         for gate in self.yard.gates:
@@ -263,33 +316,39 @@
 
 
 def arrival(n: int, address: str = "", name: str = "m") -> Arrival:
+    """Returns a request with 50 ms of work on one thread."""
     return Arrival(str(n), name, address, 0, 0.05, 1, 200, 0.4, 1.8, n)
 
 
-def cost(count: int, full: bool) -> float:
-    """Median seconds of the door's own work for a command from its coming to its end."""
-    yard, took = Yard(8.0, Bounds(2000, 4e6, 4000, False, False)), list[float]()
-    chance = random.Random(1)
+def request_cost(count: int, full: bool) -> float:
+    """Returns the median seconds that the controller takes for a request, from arrival to completion.
+
+    Args:
+        count: Number of requests that are measured.
+        full: Whether 1,500 other requests have arrived before.
+    """
+    yard, durations = Yard(8.0, Bounds(2000, 4e6, 4000, False, False)), list[float]()
+    rng = random.Random(1)
     if full:
         for n in range(1500):
             yard.door.arrive(arrival(-n - 1, name=f"m{n % 50}"), 0.0)
     for n in range(count):
-        ref, member, now = str(n), f"m{chance.randrange(50)}", n * 1e-3
-        one = Arrival(ref, member, "", n % 8, 0.05, 1, 200, 30.0, 60.0, n)
+        ref, tenant, now = str(n), f"m{rng.randrange(50)}", n * 1e-3
+        request = Arrival(ref, tenant, "", n % 8, 0.05, 1, 200, 30.0, 60.0, n)
         began = time.perf_counter()
-        yard.door.arrive(one, now)
+        yard.door.arrive(request, now)
         if full and yard.running:
             ref = next(iter(yard.running))
             del yard.running[ref]
         yard.door.answered(ref, 0.05, 0.05, now)
-        took.append(time.perf_counter() - began)
+        durations.append(time.perf_counter() - began)
         if not full:
             yard.running.clear()
-    return percentile(took, 50)
+    return percentile(durations, 50)
 
 
-def burst(report: Report) -> None:
-    """Five thousand clients at once, each of another network."""
+def model_burst(report: Report) -> None:
+    """Sends five thousand requests at once to the model, each from another network."""
     bounds = Bounds(2000, 2e6, 4000, False, False)
     yard = Yard(12.0, bounds)
     peak = slowest = 0.0
@@ -314,72 +373,85 @@
 
 
 def run(report: Report, seed: int, quick: bool) -> None:
+    """Runs all parts of the experiment."""
     seconds = 4.0 if quick else 20.0
-    left = ENGINES * CORES - len(QUIET) * ASKS * sum(WORK) / 2000
-    flood = 10 * left / (sum(WORK) / 2000)  # ten times what is left
-    flood = min(flood, 900.0)  # what three routers on this machine take in
-    days = {
-        "alone": play("no flood, door on", DOOR, {}, seconds, seed),
-        "off": play("one flood, door off", "", {FLOODS[0]: flood}, seconds, seed),
-        "on": play("one flood, door on", DOOR, {FLOODS[0]: flood}, seconds, seed),
-        "two": play("two floods, door on", DOOR, {name: flood / 2 for name in FLOODS}, seconds, seed),
+    spare_cores = ENGINES * CORES - len(QUIET) * QUIET_RATE * sum(WORK_RANGE_MS) / 2000
+    # Ten times the capacity that the quiet tenants leave.
+    flood_rate = 10 * spare_cores / (sum(WORK_RANGE_MS) / 2000)
+    flood_rate = min(flood_rate, 900.0)  # the most that three routers on one machine accept
+    results = {
+        "alone": run_load("no flood, door on", ADMISSION_ON, {}, seconds, seed),
+        "off": run_load("one flood, door off", "", {FLOODS[0]: flood_rate}, seconds, seed),
+        "on": run_load("one flood, door on", ADMISSION_ON, {FLOODS[0]: flood_rate}, seconds, seed),
+        "two": run_load(
+            "two floods, door on", ADMISSION_ON, {name: flood_rate / 2 for name in FLOODS}, seconds, seed
+        ),
     }
-    for key, day in days.items():
-        quiet, floods = day.quiet(), [ask for name in FLOODS for ask in day.asks[name]]
+    for key, result in results.items():
+        quiet, floods = result.quiet(), [ask for name in FLOODS for ask in result.outcomes[name]]
         report.rows.append(
             {
-                "day": day.name,
+                "day": result.name,
                 "quiet asked": len(quiet),
-                "in time": f"{service(quiet):.3f}",
+                "in time": f"{in_time_fraction(quiet):.3f}",
                 "quiet p50 ms": round(1e3 * percentile([a.took for a in quiet if a.end == "answered"], 50)),
-                "quiet p99 ms": round(1e3 * p99(quiet)),
+                "quiet p99 ms": round(1e3 * p99_seconds(quiet)),
                 "flood asked": len(floods),
                 "flood answered": sum(ask.end == "answered" for ask in floods),
-                "cores used": f"{day.used:.3f}",
+                "cores used": f"{result.used:.3f}",
             }
         )
-        report.figures |= {f"{key}_quiet_in_time": service(quiet), f"{key}_quiet_p99_ms": 1e3 * p99(quiet)}
-        report.figures[f"{key}_used"] = day.used
-    on, alone, off = days["on"], days["alone"], days["off"]
-    report.claim("quiet members' service lost to a flood", service(alone.quiet()) - service(on.quiet()), 0.01)
-    ratio = p99(on.quiet()) / max(p99(alone.quiet()), 1e-3)
+        report.figures |= {
+            f"{key}_quiet_in_time": in_time_fraction(quiet),
+            f"{key}_quiet_p99_ms": 1e3 * p99_seconds(quiet),
+        }
+        report.figures[f"{key}_used"] = result.used
+    on, alone, off = results["on"], results["alone"], results["off"]
+    report.claim(
+        "quiet members' service lost to a flood",
+        in_time_fraction(alone.quiet()) - in_time_fraction(on.quiet()),
+        0.01,
+    )
+    ratio = p99_seconds(on.quiet()) / max(p99_seconds(alone.quiet()), 1e-3)
     report.claim("quiet members' p99 with a flood over without", ratio, 1.10)
-    shares = [work_of(days["two"].asks[name]) for name in FLOODS]
-    report.claim("Jain's index over the two floods", jain(shares), 0.95, least=True)
-    back = [entry for day in (on, days["two"]) for entry in day.came_back]
-    kept = sum(let_in for _, _, let_in in back) / max(len(back), 1)
-    differ = [abs(waited - told) for told, waited, _ in back]
+    shares = [answered_work(results["two"].outcomes[name]) for name in FLOODS]
+    report.claim("Jain's index over the two floods", jain_index(shares), 0.95, least=True)
+    returned = [entry for result in (on, results["two"]) for entry in result.came_back]
+    kept_fraction = sum(let_in for _, _, let_in in returned) / max(len(returned), 1)
+    differences = [abs(waited - announced) for announced, waited, _ in returned]
     report.figures |= {
-        "came_back": len(back),
-        "told_against_waited_p50_s": percentile(differ, 50),
-        "told_against_waited_p95_s": percentile(differ, 95),
-        "flood_a_second": flood,
+        "came_back": len(returned),
+        "told_against_waited_p50_s": percentile(differences, 50),
+        "told_against_waited_p95_s": percentile(differences, 95),
+        "flood_a_second": flood_rate,
     }
-    report.claim("promises kept", kept, 0.99, least=True)
+    report.claim("promises kept", kept_fraction, 0.99, least=True)
     report.claim("engines' use lost with the door", off.used - on.used, 0.02)
     if not quick:
         for peers in (False, True):
-            shares = grouped(peers, 12.0, seed)
+            shares = run_group_floods(peers, 12.0, seed)
             report.figures[f"group_share_peers_{'on' if peers else 'off'}"] = shares[1] / max(
                 sum(shares), 1e-9
             )
-        off_by = abs(report.figures["group_share_peers_on"] - 0.5) / 0.5
-        report.claim("a member's share of the group with peers, off by", off_by, 0.15)
-    report.figures["cost_idle_us"] = 1e6 * cost(4000, False)
-    report.figures["cost_flood_us"] = 1e6 * cost(4000, True)
+        relative_error = abs(report.figures["group_share_peers_on"] - 0.5) / 0.5
+        report.claim("a member's share of the group with peers, off by", relative_error, 0.15)
+    report.figures["cost_idle_us"] = 1e6 * request_cost(4000, False)
+    report.figures["cost_flood_us"] = 1e6 * request_cost(4000, True)
     report.claim("microseconds for a command when idle", report.figures["cost_idle_us"], 15)
     report.claim("microseconds for a command under flood", report.figures["cost_flood_us"], 40)
-    burst(report)
-    crowd(report, 1500 if quick else 5000, seed)
-    took = {day.name: [a.took for a in day.quiet() if a.end == "answered"] for day in (alone, off, on)}
-    series = {name: spread(values) for name, values in took.items() if values}
+    model_burst(report)
+    run_client_burst(report, 1500 if quick else 5000, seed)
+    durations = {
+        result.name: [a.took for a in result.quiet() if a.end == "answered"] for result in (alone, off, on)
+    }
+    series = {name: spread(values) for name, values in durations.items() if values}
     report.charts.append(("quiet members' look-ups", "seconds", "share answered", series))
-    told = sorted((told, waited) for told, waited, _ in back)
+    announced = sorted((announced, waited) for announced, waited, _ in returned)
     report.charts.append(
         (
             "times told and waited",
             "told, s",
             "waited, s",
-            {"clients": ([t for t, _ in told], [w for _, w in told])},
+            {"clients": ([t for t, _ in announced], [w for _, w in announced])},
         )
     )
--- a/marbleworks/lab/faultnet.py
+++ b/marbleworks/lab/faultnet.py
@@ -1,8 +1,10 @@
-"""A fault net between router processes: each pair's datagrams pass a relay of their own, which loses, delays,
-doubles, reorders and cuts them as it is told; each router's clients and engines may pass one too.
+"""Network fault injection between router processes.
 
-It owns the relays' sockets and what is on its way. What it does to a datagram is drawn from a seed and the
-pair's own counter, so that the same script has the same weather for each pair whatever the others send.
+The datagrams of each pair of routers pass a relay of their own, which can drop, delay, duplicate, reorder or
+cut them. The connections of a router's clients and engines can pass relays too.
+
+The module owns the sockets of the relays and the datagrams in transit. The faults of a datagram are drawn
+from a seed and the pair's own counter, so that a pair sees the same faults whatever the other pairs send.
 """
 
 from __future__ import annotations
@@ -25,88 +27,135 @@
 
 
 class FaultNet:
-    """loss, doubled: parts of the datagrams; delay and jitter in seconds. cut: pairs (sender, receiver)
-    between which nothing passes."""
+    """Relays for the datagrams between routers.
+
+    Attributes:
+        routers: Number of routers.
+        seed: Seed of all random faults.
+        loss: Fraction of datagrams that are dropped.
+        doubled: Fraction of datagrams that are delivered twice.
+        delay: Delay of each datagram in seconds.
+        jitter: Largest random addition to the delay in seconds.
+        cut: Whether nothing passes from a sender to a receiver, by router number.
+        ports: Ports on which the routers listen, by router number.
+        twins: Port of a second process with the same router name, keyed by router number.
+        passed: Number of datagrams delivered.
+        dropped: Number of datagrams dropped when they were sent.
+        bytes: Bytes sent, by router number.
+        counters: Number of datagrams sent, keyed by sender and receiver.
+        spy: Called with sender, receiver and data for each datagram sent.
+        pair_sockets: Sockets keyed by (router, peer). A socket's address is that of the peer as the router
+            sees it.
+        broadcast_sockets: Sockets whose addresses reach all peers, by router number.
+        greenlets: The running relays.
+    """
 
     def __init__(self, routers: int, seed: int) -> None:
         self.routers, self.seed = routers, seed
         self.loss = self.doubled = self.delay = self.jitter = 0.0
-        self.cut: Callable[[int, int], bool] = lambda sender, to: False
+        self.cut: Callable[[int, int], bool] = lambda sender, receiver: False
         self.ports: list[int] = []
-        self.twins: dict[int, int] = {}  # by router: the port of a second process of its name
+        self.twins: dict[int, int] = {}
         self.passed, self.dropped, self.bytes = 0, 0, [0] * routers
         self.counters: dict[tuple[int, int], int] = {}
-        self.spy: Callable[[int, int, bytes], None] = lambda sender, to, data: None
-        # What router i sees as the address of router j, and the address by which it reaches all.
-        self.pairs = {(i, j): _datagrams() for i in range(routers) for j in range(routers) if i != j}
-        self.to_all = [_datagrams() for _ in range(routers)]
+        self.spy: Callable[[int, int, bytes], None] = lambda sender, receiver, data: None
+        self.pair_sockets = {
+            (i, j): _datagram_socket() for i in range(routers) for j in range(routers) if i != j
+        }
+        self.broadcast_sockets = [_datagram_socket() for _ in range(routers)]
         self.greenlets: list[gevent.Greenlet[..., None]] = []
-        self.greenlets += [gevent.spawn(self._pair, i, j) for i, j in self.pairs]
-        self.greenlets += [gevent.spawn(self._all, i) for i in range(routers)]
+        self.greenlets += [gevent.spawn(self._relay_pair, i, j) for i, j in self.pair_sockets]
+        self.greenlets += [gevent.spawn(self._relay_broadcasts, i) for i in range(routers)]
+
+    def of(self, router: int) -> tuple[list[tuple[str, int]], tuple[str, int]]:
+        """Returns the addresses that a router needs.
 
-    def of(self, me: int) -> tuple[list[tuple[str, int]], tuple[str, int]]:
-        """The addresses of all routers as that one has them, and the one for all."""
-        own = (HOST, self.ports[me])
-        seen = [own if j == me else self.pairs[me, j].getsockname() for j in range(self.routers)]
-        return seen, self.to_all[me].getsockname()
+        Args:
+            router: Number of the router.
+
+        Returns:
+            The addresses of all routers as this one sees them, and the address that reaches all of them.
+        """
+        own = (HOST, self.ports[router])
+        seen = [
+            own if j == router else self.pair_sockets[router, j].getsockname() for j in range(self.routers)
+        ]
+        return seen, self.broadcast_sockets[router].getsockname()
 
     def listen(self, ports: list[int]) -> None:
+        """Sets the ports on which the routers listen."""
         self.ports = ports
 
     def part(self, *parts: Iterable[int]) -> None:
-        """Cuts the group into these parts; without any it is whole."""
-        side = {n: i for i, part in enumerate(parts) for n in part}
-        self.cut = lambda sender, to: side.get(sender) != side.get(to)
+        """Partitions the group into these parts. Without arguments, removes the partition."""
+        side = {router: index for index, part in enumerate(parts) for router in part}
+        self.cut = lambda sender, receiver: side.get(sender) != side.get(receiver)
 
-    def send(self, sender: int, to: int, data: bytes) -> None:
-        """As if that router had sent it."""
-        self._pass(sender, to, data)
+    def send(self, sender: int, receiver: int, data: bytes) -> None:
+        """Sends a datagram in the name of a router."""
+        self._forward(sender, receiver, data)
 
     def close(self) -> None:
+        """Stops the relays and closes their sockets."""
         gevent.killall(self.greenlets)
-        for sock in [*self.pairs.values(), *self.to_all]:
+        for sock in [*self.pair_sockets.values(), *self.broadcast_sockets]:
             sock.close()
 
-    def _pair(self, sender: int, to: int) -> None:
+    def _relay_pair(self, sender: int, receiver: int) -> None:
         while True:
-            data, _ = self.pairs[sender, to].recvfrom(2048)
-            self._pass(sender, to, data)
+            data, _ = self.pair_sockets[sender, receiver].recvfrom(2048)
+            self._forward(sender, receiver, data)
 
-    def _all(self, sender: int) -> None:
+    def _relay_broadcasts(self, sender: int) -> None:
         while True:
-            data, _ = self.to_all[sender].recvfrom(2048)
-            for to in range(self.routers):
-                if to != sender:
-                    self._pass(sender, to, data)
+            data, _ = self.broadcast_sockets[sender].recvfrom(2048)
+            for receiver in range(self.routers):
+                if receiver != sender:
+                    self._forward(sender, receiver, data)
 
-    def _pass(self, sender: int, to: int, data: bytes) -> None:
+    def _forward(self, sender: int, receiver: int, data: bytes) -> None:
         self.bytes[sender] += len(data)
-        self.spy(sender, to, data)
-        number = self.counters[sender, to] = self.counters.get((sender, to), 0) + 1
-        chance = random.Random(struct.pack("<QIII", self.seed, sender, to, number))
-        if self.cut(sender, to) or chance.random() < self.loss:
+        self.spy(sender, receiver, data)
+        sequence = self.counters[sender, receiver] = self.counters.get((sender, receiver), 0) + 1
+        rng = random.Random(struct.pack("<QIII", self.seed, sender, receiver, sequence))
+        if self.cut(sender, receiver) or rng.random() < self.loss:
             self.dropped += 1
             return
-        for _ in range(1 + (chance.random() < self.doubled)):
-            late = self.delay + self.jitter * chance.random()
-            if late:
-                gevent.spawn_later(late, self._arrive, sender, to, data)
+        for _ in range(1 + (rng.random() < self.doubled)):
+            delay_s = self.delay + self.jitter * rng.random()
+            if delay_s:
+                gevent.spawn_later(delay_s, self._deliver, sender, receiver, data)
             else:
-                self._arrive(sender, to, data)
+                self._deliver(sender, receiver, data)
 
-    def _arrive(self, sender: int, to: int, data: bytes) -> None:
-        if not self.cut(sender, to):
+    def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        if not self.cut(sender, receiver):
             self.passed += 1
-            for port in [self.ports[to], *[p for n, p in self.twins.items() if n == to]]:
-                self.pairs[to, sender].sendto(data, (HOST, port))
+            for port in [
+                self.ports[receiver],
+                *[twin_port for router, twin_port in self.twins.items() if router == receiver],
+            ]:
+                self.pair_sockets[receiver, sender].sendto(data, (HOST, port))
 
 
 class Lines:
-    """The connections of one router: its clients' and those to its engines, and the directory that tells it
-    the engines' addresses as they are here.
-
-    held: ("clients" or "engines", whether towards the router) whose bytes stay where they are, as in a cut.
-    delay: seconds for each piece on its way."""
+    """Relays for one router's connections with clients and engines, and for its engine directory.
+
+    Directory responses are rewritten, so that the router connects to the relays of its engines.
+
+    Attributes:
+        held: Pairs of connection kind ("clients" or "engines") and direction (True is towards the router)
+            whose bytes are held back, as in a network partition.
+        changed: Set when `held` changes, then replaced.
+        delay: Delay of each piece of data in seconds.
+        socks: Open sockets, keyed by connection kind.
+        greenlets: The running relays.
+        front: Address to which clients connect.
+        engines: Relay address of each engine, keyed by name.
+        ports: Relay port of each engine, keyed by its real port.
+        directory_socket: Socket that receives the router's directory queries.
+        directory: Address of that socket.
+    """
 
     def __init__(self, front: Address, directory: Address, engines: dict[str, Address]) -> None:
         self.held, self.changed, self.delay = set[tuple[str, bool]](), Event(), 0.0
@@ -115,62 +164,70 @@
         self.front = self._listen("clients", front)
         self.engines = {name: self._listen("engines", address) for name, address in engines.items()}
         self.ports = {port: self.engines[name][1] for name, (_, port) in engines.items()}
-        self.asked = _datagrams()
-        self.directory: Address = self.asked.getsockname()
-        self.greenlets.append(gevent.spawn(self._told, directory))
-
-    def hold(self, kind: str, *ways: bool) -> None:
-        """Bytes of that kind stay where they are, towards the router (True), from it (False); none: they go
-        on."""
-        self.held = {h for h in self.held if h[0] != kind} | {(kind, way) for way in ways}
+        self.directory_socket = _datagram_socket()
+        self.directory: Address = self.directory_socket.getsockname()
+        self.greenlets.append(gevent.spawn(self._relay_directory, directory))
+
+    def hold(self, kind: str, *directions: bool) -> None:
+        """Sets the directions in which bytes of connections of a kind are held back.
+
+        Args:
+            kind: "clients" or "engines".
+            *directions: True for bytes towards the router, False for bytes from it. Without any, all bytes
+                pass.
+        """
+        self.held = {entry for entry in self.held if entry[0] != kind} | {
+            (kind, direction) for direction in directions
+        }
         self.changed.set()
         self.changed = Event()
 
     def reset(self, kind: str) -> None:
-        """Ends all connections of that kind."""
+        """Closes all connections of a kind."""
         for sock in list(self.socks[kind]):
             sock.close()
 
     def close(self) -> None:
+        """Stops the relays and closes all sockets."""
         gevent.killall(self.greenlets)
         for kind in self.socks:
             self.reset(kind)
-        self.asked.close()
+        self.directory_socket.close()
 
-    def _listen(self, kind: str, to: Address) -> Address:
+    def _listen(self, kind: str, target: Address) -> Address:
         sock = socket.socket()
         sock.bind((HOST, 0))
         sock.listen(1024)
-        self.greenlets.append(gevent.spawn(self._accept, kind, sock, to))
+        self.greenlets.append(gevent.spawn(self._accept, kind, sock, target))
         address: Address = sock.getsockname()
         return address
 
-    def _accept(self, kind: str, sock: Any, to: Address) -> None:
+    def _accept(self, kind: str, sock: Any, target: Address) -> None:
         with sock:
             while True:
-                near, _ = sock.accept()
-                self.greenlets = [g for g in self.greenlets if not g.dead]
-                self.greenlets.append(gevent.spawn(self._join, kind, near, to))
+                accepted, _ = sock.accept()
+                self.greenlets = [greenlet for greenlet in self.greenlets if not greenlet.dead]
+                self.greenlets.append(gevent.spawn(self._connect, kind, accepted, target))
 
-    def _join(self, kind: str, near: Any, to: Address) -> None:
+    def _connect(self, kind: str, accepted: Any, target: Address) -> None:
         try:
-            far = socket.create_connection(to, timeout=5)
+            upstream = socket.create_connection(target, timeout=5)
         except OSError:
-            near.close()
+            accepted.close()
             return
-        ways = [(near, far, kind == "clients"), (far, near, kind != "clients")]
-        for sock in (near, far):
+        directions = [(accepted, upstream, kind == "clients"), (upstream, accepted, kind != "clients")]
+        for sock in (accepted, upstream):
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.socks[kind].add(sock)
-        gevent.joinall([gevent.spawn(self._pump, kind, *way) for way in ways])
+        gevent.joinall([gevent.spawn(self._copy, kind, *direction) for direction in directions])
 
-    def _pump(self, kind: str, source: Any, sink: Any, inward: bool) -> None:
+    def _copy(self, kind: str, source: Any, sink: Any, towards_router: bool) -> None:
         try:
             while data := source.recv(65536):
                 if self.delay:
                     gevent.sleep(self.delay)
-                while (kind, inward) in self.held:
+                while (kind, towards_router) in self.held:
                     self.changed.wait()
                 sink.sendall(data)
         except OSError:
@@ -179,28 +236,30 @@
             self.socks[kind].discard(sock)
             sock.close()
 
-    def _told(self, directory: Address) -> None:
-        """Questions go to the directory, and its answers come back with our ports."""
+    def _relay_directory(self, directory: Address) -> None:
+        """Relays directory queries, each in a greenlet of its own."""
         while True:
-            question, asker = self.asked.recvfrom(4096)
-            gevent.spawn(self._ask, question, asker, directory)
+            query, sender = self.directory_socket.recvfrom(4096)
+            gevent.spawn(self._answer_query, query, sender, directory)
 
-    def _ask(self, question: bytes, asker: Address, directory: Address) -> None:
-        with _datagrams() as sock:
+    def _answer_query(self, query: bytes, sender: Address, directory: Address) -> None:
+        """Forwards a query to the directory and returns the response with the ports of the relays."""
+        with _datagram_socket() as sock:
             sock.settimeout(2.0)
-            sock.sendto(question, directory)
+            sock.sendto(query, directory)
             try:
-                said = dns.message.from_wire(sock.recv(8192))
+                response = dns.message.from_wire(sock.recv(8192))
             except OSError:
                 return
-        for at, rrset in enumerate(said.answer):
+        for index, rrset in enumerate(response.answer):
             if rrset.rdtype == dns.rdatatype.SRV:
-                ours = [record.replace(port=self.ports.get(record.port, record.port)) for record in rrset]
-                said.answer[at] = dns.rrset.from_rdata_list(rrset.name, rrset.ttl, ours)
-        self.asked.sendto(said.to_wire(), asker)
+                records = [record.replace(port=self.ports.get(record.port, record.port)) for record in rrset]
+                response.answer[index] = dns.rrset.from_rdata_list(rrset.name, rrset.ttl, records)
+        self.directory_socket.sendto(response.to_wire(), sender)
 
 
-def _datagrams() -> Any:
+def _datagram_socket() -> Any:
+    """Returns a datagram socket that is bound to a free port."""
     sock = socket.socket(type=socket.SOCK_DGRAM)
     sock.bind((HOST, 0))
     return sock
