--- a/marbleworks/lab/door.py
+++ b/marbleworks/lab/door.py
@@ -169,7 +169,7 @@
 
         greenlets = [gevent.spawn(send_one, caller, n) for n, caller in enumerate(callers)]
         peak_mb = connected_mb
-        while not all(send_one.ready() for send_one in greenlets):
+        while not all(greenlet.ready() for greenlet in greenlets):
             peak_mb = max(peak_mb, *(router.memory() for router in stage.routers))
             gevent.sleep(0.1)
         failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
--- a/marbleworks/lab/group.py
+++ b/marbleworks/lab/group.py
@@ -1,8 +1,8 @@
-"""A group of routers in simulated time: the decisions of `peers/`, datagrams that get lost, late and doubled,
-clocks that run unevenly. No socket and no clock of the machine's.
+"""Simulation of a router group: the membership decisions of `membership/` in simulated time.
 
-It owns the simulated time. The decisions are the router's own; nothing here decides, but for what the network
-does, which is drawn from a seed.
+Datagrams are lost, delayed and duplicated, and clocks run at different rates. Neither a socket nor the
+machine's clock is used. The module owns the simulated time. The decisions are the router's own; only the
+behaviour of the network is decided here, drawn from a seed.
 """
 
 from __future__ import annotations
@@ -24,6 +24,16 @@
 
 @dataclass
 class Terms:
+    """Times of the group in seconds. The field names are options of the operator's file.
+
+    Attributes:
+        period: Interval between probes.
+        suspicion: Time from suspicion to death of a member.
+        term: Length of a leader's term.
+        lease: Length of a lease.
+        kept: Fraction of the quota that is divided by the number of configured routers and always usable.
+    """
+
     period: float = 0.2
     suspicion: float = 1.0
     term: float = 2.4
@@ -31,12 +41,21 @@
     kept: float = 0.25
 
     def options(self) -> MembershipOptions:
+        """Returns the membership options for these times."""
         return MembershipOptions.from_section({"group": "lab", "pace": 1e6} | asdict(self))
 
 
 @dataclass
 class Weather:
-    """What the network does: parts lost and doubled, seconds of delay and of its spread."""
+    """Behaviour of the simulated network.
+
+    Attributes:
+        loss: Fraction of datagrams that are lost.
+        doubled: Fraction of datagrams that are duplicated.
+        delay: Delay in seconds.
+        jitter: Largest random addition to the delay in seconds.
+        cut: Whether nothing passes from a sender to a receiver, by router number.
+    """
 
     loss: float = 0.0
     doubled: float = 0.0
@@ -46,58 +65,104 @@
 
 
 class Router:
+    """A simulated router: a membership node with a clock of its own.
+
+    Attributes:
+        group: The group.
+        number: Number of the router.
+        pace: Rate of its clock, where 1 is true time.
+        born: Simulated time at which the router was first created.
+        alive: Whether the process runs.
+        paused_until: Simulated time until which the process is paused.
+        slow: Largest random delay in seconds of its timers and of datagrams to it.
+        fellow: The membership node.
+        members: Failure detector of the node.
+        rights: Leader election of the node.
+        wake: Sequence number of the latest timer; older timers have no effect.
+    """
+
     def __init__(self, group: Group, number: int, pace: float) -> None:
         self.group, self.number, self.pace, self.born = group, number, pace, group.now
         self.alive, self.paused_until, self.slow = True, 0.0, 0.0
         self.begin()
 
     def begin(self) -> None:
+        """Creates the membership node, as a process start does."""
         seed, options = self.group.chance.getrandbits(32), self.group.terms.options()
         self.fellow = MembershipNode(self.number, self.group.count, seed, self.clock(), options)
         self.members, self.rights = self.fellow.failure_detector, self.fellow.election
         self.wake = 0
 
     def clock(self) -> float:
+        """Returns the time of the router's own clock in seconds."""
         return 1000.0 + self.group.now * self.pace
 
     def ring(self) -> None:
+        """Runs the node's timers."""
         self.say(self.fellow.tick(self.clock()))
         self.settle()
 
     def heard(self, peer: int, data: bytes) -> None:
+        """Passes a datagram to the node."""
         self.say(self.fellow.receive(peer, decode(GROUP, self.group.count, data), self.clock()))
         self.settle()
 
     def settle(self) -> None:
+        """Records the node's changes and sets the next timer."""
         for change in self.fellow.take_changes():
             self.group.changed(self.number, change)
         due = self.fellow.next_due()
         self.wake += 1
         at = max((due - 1000.0) / self.pace, self.group.now + 0.005) + self.slow * self.group.chance.random()
-        self.group.at(max(at, self.paused_until), self._rung, self.wake)
+        self.group.at(max(at, self.paused_until), self._on_timer, self.wake)
 
-    def _rung(self, wake: int) -> None:
+    def _on_timer(self, wake: int) -> None:
         if self.alive and wake == self.wake:
             self.ring()
 
-    def say(self, out: list[OutgoingMessage]) -> None:
-        for to, message in out:
-            self.group.send(self.number, to, encode(GROUP, message))
+    def say(self, messages: list[OutgoingMessage]) -> None:
+        """Sends the node's messages."""
+        for receiver, message in messages:
+            self.group.send(self.number, receiver, encode(GROUP, message))
 
     def part(self) -> float:
-        """What it may use of the whole, at this moment."""
+        """Returns the fraction of the whole quota that the router may use now."""
         return self.standing().quota_share if self.alive else 0.0
 
     def standing(self) -> PartitionStatus:
+        """Returns what the node knows of leader and quota."""
         return self.fellow.partition_status(self.clock())
 
 
 class Group:
-    """uneven: how far clocks run from true, at most, as a part."""
+    """The simulated routers, their network and the simulated time.
+
+    Attributes:
+        count: Number of routers.
+        terms: Times of the group.
+        chance: Random generator of the simulation.
+        now: Simulated time in seconds.
+        weather: Behaviour of the network.
+        line: Heap of pending events: time, sequence number, function and arguments.
+        numbered: Number of events so far.
+        sent_bytes: Bytes sent, by router number.
+        sent: Number of datagrams sent.
+        changes: Time, observing router and member change of each change.
+        routers: The routers by number.
+    """
 
     def __init__(
         self, count: int, seed: int, terms: Terms | None = None, uneven: float = 0.0, hold: bool = False
     ) -> None:
+        """Creates the routers and their first timers.
+
+        Args:
+            count: Number of routers.
+            seed: Seed of all random draws.
+            terms: Times of the group; the defaults if not given.
+            uneven: Largest deviation of a clock's rate from 1.
+            hold: Whether routers get no first timer, so that the caller starts them.
+        """
         self.count, self.terms, self.chance = count, terms or Terms(), random.Random(seed)
         self.now, self.weather, self.line = (
             0.0,
@@ -114,13 +179,16 @@
                 self.at(self.chance.random() * 0.2, self.routers[-1].ring)
 
     def changed(self, by: int, change: Any) -> None:
+        """Records a change of a member as a router observed it."""
         self.changes.append((self.now, by, change))
 
     def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
+        """Schedules a call at a simulated time."""
         self.numbered += 1
         heapq.heappush(self.line, (when, self.numbered, what, args))
 
     def send(self, sender: int, to: int, data: bytes) -> None:
+        """Sends a datagram over the simulated network."""
         self.sent_bytes[sender] += len(data)
         self.sent += 1
         weather = self.weather
@@ -143,16 +211,21 @@
         if self.now < router.paused_until:
             self.at(router.paused_until + 0.001, self._arrive, sender, to, data)
         elif router.slow:
-            self.at(self.now + router.slow * self.chance.random(), self._heard, sender, to, data)
+            self.at(self.now + router.slow * self.chance.random(), self._deliver_late, sender, to, data)
         else:
             router.heard(sender, data)
 
-    def _heard(self, sender: int, to: int, data: bytes) -> None:
+    def _deliver_late(self, sender: int, to: int, data: bytes) -> None:
         if self.routers[to].alive:
             self.routers[to].heard(sender, data)
 
     def run(self, seconds: float, each: Callable[[], None] | None = None) -> None:
-        """Lets time pass; each: called after each event."""
+        """Advances the simulated time.
+
+        Args:
+            seconds: Time to advance by.
+            each: Called after each event.
+        """
         end = self.now + seconds
         while self.line and self.line[0][0] <= end:
             when, _, what, args = heapq.heappop(self.line)
@@ -165,32 +238,36 @@
     # Faults.
 
     def kill(self, number: int) -> None:
+        """Kills a router."""
         self.routers[number].alive = False
 
     def start(self, number: int) -> None:
-        """Anew, from nothing."""
+        """Starts a router again without any of its former state."""
         router = self.routers[number]
         router.alive, router.paused_until = True, 0.0
         router.begin()
         router.ring()
 
     def pause(self, number: int, seconds: float) -> None:
+        """Pauses a router's process for a number of seconds."""
         self.routers[number].paused_until = self.now + seconds
         self.routers[number].settle()
 
-    # What holds.
+    # State of the group.
 
     def living(self) -> list[Router]:
-        return [r for r in self.routers if r.alive]
+        """Returns the routers that are alive."""
+        return [router for router in self.routers if router.alive]
 
     def agreed(self) -> bool:
-        """All that live have all that live in their view, and no other."""
-        there = [r.number for r in self.living()]
-        return all(r.members.view.alive_routers() == there for r in self.living())
+        """Returns whether each live router sees exactly the live routers as alive."""
+        live_numbers = [router.number for router in self.living()]
+        return all(router.members.view.alive_routers() == live_numbers for router in self.living())
 
     def used(self) -> float:
-        """Of the whole, by all routers together, at this moment."""
-        return sum(r.part() for r in self.routers if r.alive)
+        """Returns the fraction of the whole quota that all routers together may use now."""
+        return sum(router.part() for router in self.routers if router.alive)
 
     def dividers(self) -> list[int]:
-        return [r.number for r in self.routers if r.alive and r.standing().is_leader]
+        """Returns the numbers of the routers that act as leader."""
+        return [router.number for router in self.routers if router.alive and router.standing().is_leader]
--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -1,8 +1,11 @@
-"""Homes of table groups without sockets: a region's granter, two cells with a leader and routers each, plans
-that change, on a network that loses, doubles and delays at will, with clocks that run unevenly.
+"""Exploration of home leases of table groups without sockets.
 
-It owns the true time and what truly runs at the engines, and objects when two cells may take loads of one
-table group, or one may while the other's still run. The decisions are the routers' own.
+A region's granter and two cells with a leader and routers each follow plans that change. The network loses,
+duplicates and delays messages arbitrarily, and clocks run at different rates.
+
+The module owns the true time and the loads that really run at the engines. It raises Broken if two cells may
+take loads of one table group, or if one cell may while the other's loads still run. The decisions are the
+routers' own.
 """
 
 from __future__ import annotations
@@ -17,25 +20,39 @@
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 LEASE, SETTLE = 1.0, 0.8
-DOUBT = 0.3  # seconds for which an engine may go on with a load that ended in doubt
+DOUBT = 0.3  # seconds that an engine may go on with a load whose end is in doubt
 GROUPS = 2
 
 
 @dataclass(frozen=True)
 class Homes:
-    """A plan, as far as homes go."""
+    """The part of a plan that concerns homes.
+
+    Attributes:
+        number: Number of the plan.
+        cells: Home cell of each table group.
+    """
 
     number: int
-    cells: tuple[int, ...]  # by table group
+    cells: tuple[int, ...]
 
     def home(self, group: int) -> int:
+        """Returns the home cell of a table group."""
         return self.cells[group]
 
 
 @dataclass
 class Running:
-    """A load at the engines. ends: by true time, at the latest. owner: the router that awaits its end, and
-    its start; -1: none."""
+    """A load that runs at the engines.
+
+    Attributes:
+        cell: Cell of the load.
+        group: Table group of the load.
+        ends: Latest true time at which it ends.
+        owner: Node of the router that awaits its end; -1 if there is none.
+        start: Generation of that router.
+        here: Lease under which the load began.
+    """
 
     cell: int
     group: int
@@ -47,13 +64,29 @@
 
 @dataclass
 class World:
-    """Nodes by number: 0 the region's granter, 1 and 2 the cells' leaders, then the routers, each cell's in
-    turn. paces: of their clocks."""
+    """The nodes, their messages and the running loads.
+
+    Nodes are numbered: 0 is the region's granter, 1 and 2 are the leaders of the cells, and the others are
+    routers of the two cells in turn.
+
+    Attributes:
+        paces: Clock rate of each node.
+        now: True time in seconds.
+        newest: The newest plan.
+        plans: The plan that each node knows.
+        starts: Generation of each node.
+        region: The region's granter.
+        leaders: Leaders of the cells.
+        routers: Routers of the cells.
+        running: Loads at the engines.
+        flying: Messages in transit: sender, receiver and message.
+        acts: The last actions, for the error message.
+    """
 
     paces: list[float]
     now: float = 0.0
     newest: Homes = Homes(1, (0,) * GROUPS)
-    plans: list[Homes] = field(default_factory=list)  # by node
+    plans: list[Homes] = field(default_factory=list)
     starts: list[int] = field(default_factory=list)
     region: Granter = field(default_factory=lambda: Granter(1, 0.0, LEASE, SETTLE))
     leaders: list[Leader] = field(default_factory=list)
@@ -70,9 +103,11 @@
         self.routers = [self._router(node) for node in range(3, len(self.paces))]
 
     def clock(self, node: int) -> float:
+        """Returns the time of a node's clock in seconds."""
         return 100.0 + self.now * self.paces[node]
 
     def cell(self, node: int) -> int:
+        """Returns the cell of a node."""
         return (node + 1) % 2
 
     def _leader(self, node: int) -> Leader:
@@ -84,28 +119,38 @@
         return router
 
     def check(self) -> None:
+        """Raises Broken if two cells hold a table group or run loads of it."""
         self.running = [load for load in self.running if load.ends > self.now]
         for group in range(GROUPS):
-            hold = {r.cell for n, r in enumerate(self.routers, 3) if r.holds(group, self.clock(n))}
-            runs = {load.cell for load in self.running if load.group == group}
-            if len(hold | runs) > 1:
-                raise Broken(f"group {group}: {hold} take loads, {runs} run after {', '.join(self.acts)}")
-
-    def does(self, act: str, do: Callable[[World], None]) -> None:
+            holders = {
+                router.cell
+                for node, router in enumerate(self.routers, 3)
+                if router.holds(group, self.clock(node))
+            }
+            running_in = {load.cell for load in self.running if load.group == group}
+            if len(holders | running_in) > 1:
+                raise Broken(
+                    f"group {group}: held by {holders}, runs in {running_in} after {', '.join(self.acts)}"
+                )
+
+    def does(self, act: str, action: Callable[[World], None]) -> None:
+        """Takes an action and checks the invariant."""
         self.acts = (*self.acts[-40:], act)
-        do(self)
+        action(self)
         self.check()
 
-    # Acts.
+    # Actions.
 
     def passes(self, step: float) -> None:
+        """Lets time pass, in seconds."""
         self.now += step
 
     def planned(self, cells: tuple[int, ...]) -> None:
+        """Makes a new plan."""
         self.newest = Homes(self.newest.number + 1, cells)
 
     def learns(self, node: int) -> None:
-        """The newest plan; those between it may have missed."""
+        """Gives a node the newest plan. The node may have missed earlier ones."""
         plan, now = self.newest, self.clock(node)
         self.plans[node] = plan
         if node == 0:
@@ -116,25 +161,32 @@
             self.routers[node - 3].adopted(plan, now)
 
     def asks(self, node: int) -> None:
+        """Sends a lease request from a node to the one above it."""
         if node < 3:
             self.flying.append((node, 0, self.leaders[node - 1].next_ask(self.clock(node))))
         else:
-            to = 1 + self.cell(node)
-            self.flying.append((node, to, self.routers[node - 3].next_ask(self.clock(node))))
+            leader = 1 + self.cell(node)
+            self.flying.append((node, leader, self.routers[node - 3].next_ask(self.clock(node))))
 
     def comes(self, i: int, keep: bool) -> None:
-        sender, to, said = self.flying[i] if keep else self.flying.pop(i)
-        now = self.clock(to)
-        if isinstance(said, Grant):
-            holder = self.leaders[to - 1] if to < 3 else self.routers[to - 3]
-            holder.granted(said, now)
-        elif to == 0:
-            self.flying.append((0, sender, self.region.asked(sender, said, now)))
+        """Delivers a message.
+
+        Args:
+            i: Index of the message.
+            keep: Whether the message stays in transit, to be delivered once more.
+        """
+        sender, receiver, message = self.flying[i] if keep else self.flying.pop(i)
+        now = self.clock(receiver)
+        if isinstance(message, Grant):
+            holder = self.leaders[receiver - 1] if receiver < 3 else self.routers[receiver - 3]
+            holder.granted(message, now)
+        elif receiver == 0:
+            self.flying.append((0, sender, self.region.asked(sender, message, now)))
         else:
-            self.flying.append((to, sender, self.leaders[to - 1].asked(sender, said, now)))
+            self.flying.append((receiver, sender, self.leaders[receiver - 1].asked(sender, message, now)))
 
     def anew(self, node: int) -> None:
-        """Another has the right, or the process was killed and started; what it had out runs on."""
+        """Replaces a node by one without state: another leader, or a restarted process. Its loads run on."""
         self.starts[node] += 1
         if node == 0:
             self.region = Granter(self.plans[0].number, self.clock(0), LEASE, SETTLE)
@@ -144,13 +196,21 @@
             self.routers[node - 3] = self._router(node)
 
     def begins(self, node: int, group: int) -> None:
+        """Starts a load at a router if the router may take it."""
         router = self.routers[node - 3]
-        told = router.begin(group, SETTLE, self.clock(node))
-        if isinstance(told, Here):
+        lease = router.begin(group, SETTLE, self.clock(node))
+        if isinstance(lease, Here):
             ends = self.now + SETTLE / self.paces[node]
-            self.running.append(Running(router.cell, group, ends, node, self.starts[node], told))
+            self.running.append(Running(router.cell, group, ends, node, self.starts[node], lease))
 
     def ends(self, load: int, doubt: bool) -> None:
+        """Ends a load.
+
+        Args:
+            load: Index of the load.
+            doubt: Whether the router does not know that the load has ended; the engine may go on with it for
+                `DOUBT` seconds.
+        """
         running = self.running[load]
         router, node = self.routers[running.owner - 3], running.owner
         if running.start == self.starts[node]:
@@ -161,6 +221,7 @@
             self.running.pop(load)
 
     def moves(self, step: float) -> Iterator[tuple[str, Callable[[World], None]]]:
+        """Yields the name and function of each action that is possible now."""
         yield f"time {step}", lambda w: w.passes(step)
         for cells in ((1, 0), (0, 0)):
             if cells != self.newest.cells:
@@ -179,8 +240,8 @@
             if load.owner >= 0:
                 yield f"{load.owner} ends {load.group}", partial(World.ends, load=i, doubt=False)
                 yield f"{load.owner} ends {load.group} in doubt", partial(World.ends, load=i, doubt=True)
-        for i, (sender, to, said) in enumerate(self.flying):
-            name = f"{sender}>{to} {type(said).__name__}"
+        for i, (sender, receiver, message) in enumerate(self.flying):
+            name = f"{sender}>{receiver} {type(message).__name__}"
             yield name, partial(World.comes, i=i, keep=False)
             yield name + " again", partial(World.comes, i=i, keep=True)
             yield name + " lost", lambda w, i=i: w.flying.pop(i) and None  # type: ignore[misc]
@@ -200,7 +261,7 @@
 
 
 def paces(routers: int) -> list[float]:
-    """Of the region's granter, two leaders and so many routers in each cell, as uneven as they may be."""
+    """Returns clock rates that differ by the largest drift, for granter, leaders and routers of each cell."""
     slow, fast = 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2
     return [fast, slow, fast] + [slow if i % 2 == 0 else fast for i in range(2 * routers)]
 
@@ -212,9 +273,18 @@
     without: Collection[int] = (),
     deaf: Collection[int] = (),
 ) -> None:
-    """Time passes, all but some nodes learn the newest plan (nor do the deaf), and their asks and answers
-    arrive. What was on its way before stays there."""
-    late, world.flying = world.flying, []
+    """Lets time pass while nodes learn the newest plan, ask, and are answered.
+
+    Messages that were in transit before stay there.
+
+    Args:
+        world: The state to change.
+        rounds: Number of rounds.
+        step: Seconds of a round.
+        without: Nodes that neither learn nor ask.
+        deaf: Nodes that ask but do not learn the plan.
+    """
+    in_transit, world.flying = world.flying, []
     for _ in range(rounds):
         world.does(f"time {step}", lambda w: w.passes(step))
         for node in range(len(world.paces)):
@@ -226,34 +296,57 @@
                 world.does(f"{node} asks", lambda w, node=node: w.asks(node))  # type: ignore[misc]
             while world.flying:
                 world.does("answered", lambda w: w.comes(0, False))
-    world.flying = late
+    world.flying = in_transit
 
 
 def stroll(seed: int, acts: int, routers: int = 1) -> int:
-    """A random walk of so many acts: now this, now that comes more often, with spells in which all is well
-    but for a node or two; how many loads began. Raises Broken."""
-    chance, began = random.Random(seed), 0
+    """Takes a random walk.
+
+    The weights of the actions change every 100 actions. In some spells all nodes but a few work without
+    faults.
+
+    Args:
+        seed: Seed of the walk.
+        acts: Number of actions.
+        routers: Number of routers in each cell.
+
+    Returns:
+        The number of loads that began.
+
+    Raises:
+        Broken: The invariant does not hold.
+    """
+    rng, loads_begun = random.Random(seed), 0
     world = World(paces(routers))
     settled(world)
     weights: dict[str, float] = {}
     for act in range(acts):
         if act % 100 == 0:
-            weights = {word: weight * chance.choice([0.1, 1.0, 4.0]) for word, weight in WEIGHTS.items()}
-        if chance.random() < 0.06:
-            without = chance.sample(range(len(world.paces)), chance.choice([0, 1, 1, 2]))
-            deaf = chance.sample(range(len(world.paces)), chance.choice([0, 0, 1, 2, 3]))
-            settled(world, chance.choice([1, 3, 8]), chance.choice([0.05, 0.1, 0.3]), without, deaf)
-        moves = list(world.moves(chance.choice([0.01, 0.03, 0.1, 0.3, 0.8])))
-        likely = [next((w for word, w in weights.items() if word in name), 1.0) for name, _ in moves]
-        name, do = chance.choices(moves, likely)[0]
-        began += "begins" in name
-        world.does(name, do)
-    return began
+            weights = {word: weight * rng.choice([0.1, 1.0, 4.0]) for word, weight in WEIGHTS.items()}
+        if rng.random() < 0.06:
+            without = rng.sample(range(len(world.paces)), rng.choice([0, 1, 1, 2]))
+            deaf = rng.sample(range(len(world.paces)), rng.choice([0, 0, 1, 2, 3]))
+            settled(world, rng.choice([1, 3, 8]), rng.choice([0.05, 0.1, 0.3]), without, deaf)
+        moves = list(world.moves(rng.choice([0.01, 0.03, 0.1, 0.3, 0.8])))
+        action_weights = [next((w for word, w in weights.items() if word in name), 1.0) for name, _ in moves]
+        name, action = rng.choices(moves, action_weights)[0]
+        loads_begun += "begins" in name
+        world.does(name, action)
+    return loads_begun
 
 
 def exhaust(depth: int, step: float = 0.5) -> int:
-    """Every order of acts to that depth, from cells that hold their homes, a load out, and a plan that moves
-    one which nobody has learnt; the number of states. Raises Broken."""
+    """Tries every order of actions up to a depth.
+
+    The cells hold their homes at the start, a load is running, and no node has learnt a new plan that moves
+    one home.
+
+    Returns:
+        The number of states.
+
+    Raises:
+        Broken: The invariant does not hold.
+    """
     world = World(paces(1))
     settled(world)
     world.begins(3, 0)
--- a/marbleworks/lab/kills.py
+++ b/marbleworks/lab/kills.py
@@ -1,5 +1,4 @@
-"""A router killed at random moments while it takes in and gives out spooled results; what was answered is
-counted."""
+"""Repeated kills of a router while it stores and serves spooled results; counts results lost or wrong."""
 
 from __future__ import annotations
 
@@ -13,64 +12,83 @@
 from marbleworks.lab.stage import TENANTS, Stage
 from marbleworks.lab.standins import RpcClient
 
-WRITERS = 3  # clients that ask at a time
+WRITERS = 3  # concurrent clients
 SPOOL = """
 (background (bytes 100 MB/s))
 (spool (folder "FOLDER") (room 200 MB) (segment 1 MB) (checkpoint 200 ms) (keep 5 min) (hand-over 2 s))
 """
 
 
-class Answered:
-    """A spooled result as its client knows it."""
+class SpooledResult:
+    """A spooled result as its client knows it.
 
-    def __init__(self, ref: str, size: int, tenant: str, told: dict[str, str]) -> None:
+    Attributes:
+        ref: Id of the request.
+        size: Size of the result in bytes.
+        tenant: The client's tenant.
+        token: Token of the result.
+        pages: Number of pages.
+    """
+
+    def __init__(self, ref: str, size: int, tenant: str, reply_fields: dict[str, str]) -> None:
         self.ref, self.size, self.tenant, self.token, self.pages = (
             ref,
             size,
             tenant,
-            told["spool"],
-            int(told["pages"]),
+            reply_fields["spool"],
+            int(reply_fields["pages"]),
         )
 
     def read(self, client: RpcClient) -> tuple[bytes | None, str]:
-        """All of it, or None and why."""
+        """Returns the whole result and an empty string, or None and the reason why it could not be read."""
         data = bytearray()
         for page in range(1, self.pages + 1):
             client.last += 1
             client.send(
                 0, client.last, "page", [{"spool": self.token, "page": str(page), "tenant": self.tenant}]
             )
-            said = client.hear()
-            if said is None or said[2]:
-                return None, str(said)
-            data += said[3][0]
+            reply = client.hear()
+            if reply is None or reply[2]:
+                return None, str(reply)
+            data += reply[3][0]
         return bytes(data), ""
 
-    def right(self, data: bytes) -> bool:
+    def matches(self, data: bytes) -> bool:
+        """Returns whether the data is what the engine produced."""
         return data == result_of(self.ref, self.size)
 
 
 def rounds(count: int, seed: int) -> dict[str, int]:
-    """Kills the router so often; figures: answered, lost, wrong, started (how often it came back)."""
-    chance, kept = random.Random(seed), list[Answered]()
+    """Kills and restarts a router repeatedly under load.
+
+    Args:
+        count: Number of kills.
+        seed: Seed of the load and of the times of the kills.
+
+    Returns:
+        Numbers of results answered, lost, wrong and released, and of router starts.
+    """
+    rng, results = random.Random(seed), list[SpooledResult]()
     figures = {"answered": 0, "lost": 0, "wrong": 0, "started": 0, "released": 0}
 
     def write(stage: Stage) -> None:
         try:
             client = RpcClient(stage.router.address)
             while True:
-                ref, size = f"{chance.getrandbits(64):016x}", chance.randrange(7_000, 400_000)
-                tenant = chance.choice(TENANTS)
+                ref, size = f"{rng.getrandbits(64):016x}", rng.randrange(7_000, 400_000)
+                tenant = rng.choice(TENANTS)
                 text = f"select 1 /* work=5 size={size} */"
                 client.ask("market-report", text, ref=ref, tenant=tenant, wait="5000", spool="1")
-                said = client.hear()
-                if said is not None and said[2] is None:
-                    kept.append(Answered(ref, size, tenant, said[3][1]))
+                reply = client.hear()
+                if reply is not None and reply[2] is None:
+                    results.append(SpooledResult(ref, size, tenant, reply[3][1]))
                     figures["answered"] += 1
-                if said is not None and chance.random() < 0.3 and kept:
-                    old = kept.pop(chance.randrange(len(kept)))
+                if reply is not None and rng.random() < 0.3 and results:
+                    released = results.pop(rng.randrange(len(results)))
                     client.last += 1
-                    client.send(0, client.last, "release", [{"spool": old.token, "tenant": old.tenant}])
+                    client.send(
+                        0, client.last, "release", [{"spool": released.token, "tenant": released.tenant}]
+                    )
                     client.hear()
                     figures["released"] += 1
         except (OSError, TypeError, Timeout, AttributeError):
@@ -79,18 +97,18 @@
     with Stage(engines=2, operator=SPOOL) as stage:
         for _ in range(count):
             writers = [gevent.spawn(write, stage) for _ in range(WRITERS)]
-            gevent.sleep(0.05 + 0.35 * chance.random())
+            gevent.sleep(0.05 + 0.35 * rng.random())
             stage.router.end(signal.SIGKILL)
             gevent.joinall(writers, timeout=6)
             stage.router.start()
             figures["started"] += 1
             client = RpcClient(stage.router.address)
-            for one in kept:
-                data, why = one.read(client)
+            for result in results:
+                data, reason = result.read(client)
                 if data is None:
                     figures["lost"] += 1
-                elif not one.right(data):
+                elif not result.matches(data):
                     figures["wrong"] += 1
-            while len(kept) > 40:
-                kept.pop(0)
+            while len(results) > 40:
+                results.pop(0)
     return figures
--- a/marbleworks/lab/load.py
+++ b/marbleworks/lab/load.py
@@ -1,4 +1,4 @@
-"""Clients of the lab: each keeps a connection, asks at its own times and writes down what became of it."""
+"""Clients of the lab: each keeps a connection, sends requests at given times and records their outcomes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,26 @@
 from marbleworks.lab.stage import PROFILES, TENANTS
 from marbleworks.lab.standins import RpcClient
 
-PATIENCE = 0.5  # seconds more than its timeout that a client waits before it counts the command as lost
+EXTRA_WAIT_S = 0.5  # seconds beyond its timeout after which a client counts a request as lost
 
 
 @dataclass(slots=True)
 class Ask:
-    """One command and its end: answered, shed, failed, lost or error."""
+    """A request and its outcome.
+
+    Attributes:
+        profile: Request class.
+        at: Time at which it was sent, by the monotonic clock.
+        work: Work in milliseconds.
+        size: Size of the result in bytes.
+        end: "answered", "shed", "failed", "lost" or "error".
+        took: Seconds until the reply.
+        after: Seconds of the Retry-After, if there was one.
+        told: Fields of the answer.
+        ref: Id of the request.
+        tenant: Tenant of the client.
+        body: Rows of the answer.
+    """
 
     profile: str
     at: float
@@ -27,7 +41,7 @@
     size: int
     end: str = "lost"
     took: float = 0.0
-    after: float | None = None  # seconds, where it was told when to come back
+    after: float | None = None
     told: dict[str, str] = field(default_factory=dict)
     ref: str = ""
     tenant: str = ""
@@ -35,30 +49,48 @@
 
     @property
     def in_time(self) -> bool:
+        """Whether it was answered within the latency target of its class."""
         return self.end == "answered" and self.took <= PROFILES[self.profile][1]
 
 
 class Caller:
-    """One client; its connection is made anew where it has ended."""
+    """A client, which reconnects if its connection has ended.
+
+    Attributes:
+        address: Address of the router.
+        tenant: Tenant of the client.
+        salt: First part of its request ids.
+        source: Source address of its connection; chosen by the system if empty.
+        errs: " errs" if engines have to answer its requests with an error, else empty.
+        client: The connection, if there is one.
+    """
 
     refs = itertools.count(1)
 
     def __init__(self, address: tuple[str, int], tenant: str, salt: int, source: str = "") -> None:
         self.address, self.tenant, self.salt, self.source = address, tenant, salt, source
-        self.errs = ""  # " errs": engines answer its commands by an error
+        self.errs = ""
         self.client: RpcClient | None = None
 
     def connect(self) -> None:
+        """Opens the connection."""
         self.client = RpcClient(self.address, self.source)
 
     def ask(self, profile: str, work: int, size: int, what: int = 0, **fields: str) -> Ask:
-        """Asks once and waits for the end; work in milliseconds, size of the result in bytes. what: a literal
-        of the statement."""
+        """Sends a request once and waits for its outcome.
+
+        Args:
+            profile: Request class.
+            work: Work in milliseconds.
+            size: Size of the result in bytes.
+            what: A literal of the statement.
+            **fields: Further fields of the request.
+        """
         ask = Ask(profile, time.monotonic(), work, size, tenant=self.tenant)
         ask.ref = f"{self.salt & 0xFFFFFFFF:08x}{next(self.refs):08x}"
         mark = f"/* work={work} size={size}{self.errs} */"
         text = f"select * from hall_{1 + size % 7}.moves where id = {what} {mark}"
-        wait = PROFILES[profile][2]
+        timeout_s = PROFILES[profile][2]
         try:
             if self.client is None:
                 self.connect()
@@ -68,25 +100,25 @@
                 text,
                 ref=ask.ref,
                 tenant=self.tenant,
-                wait=str(round(1000 * wait)),
+                wait=str(round(1000 * timeout_s)),
                 cost=str(work),
                 **fields,
             )
-            said = self.client.hear(wait + PATIENCE)
+            reply = self.client.hear(timeout_s + EXTRA_WAIT_S)
             ask.took = time.monotonic() - ask.at
-            if said is None:
+            if reply is None:
                 self.client = None
-            elif said[2] is None:
-                ask.end, (ask.body, ask.told) = "answered", said[3]
+            elif reply[2] is None:
+                ask.end, (ask.body, ask.told) = "answered", reply[3]
             else:
-                ask.end = {"Rejected": "shed", "Failed": "failed"}.get(said[2][0], "error")
-                ask.after = int(said[2][1]["after"]) / 1000.0 if "after" in said[2][1] else None
+                ask.end = {"Rejected": "shed", "Failed": "failed"}.get(reply[2][0], "error")
+                ask.after = int(reply[2][1]["after"]) / 1000.0 if "after" in reply[2][1] else None
         except (OSError, Timeout):
             self.client = None
         return ask
 
     def page(self, token: str, number: int, method: str = "page") -> bytes | str:
-        """A page of a spooled result, or why there is none."""
+        """Returns a page of a spooled result, or a text that says why there is none."""
         try:
             if self.client is None:
                 self.connect()
@@ -94,39 +126,55 @@
             self.client.last += 1
             fields = {"spool": token, "page": str(number), "tenant": self.tenant}
             self.client.send(0, self.client.last, method, [fields])
-            said = self.client.hear(10.0)
+            reply = self.client.hear(10.0)
         except (OSError, Timeout) as err:
             self.client = None
             return f"lost: {err!r}"
-        if said is None:
+        if reply is None:
             self.client = None
             return "lost"
-        return said[3][0] if said[2] is None else str(said[2])
+        return reply[3][0] if reply[2] is None else str(reply[2])
 
 
 def arrivals(
-    chance: Generator, rate: float, seconds: float, each: Callable[[], None]
+    rng: Generator, rate: float, seconds: float, each: Callable[[], None]
 ) -> list[gevent.Greenlet[..., None]]:
-    """Calls at random times, so many a second on average, each in a greenlet of its own; the plan is drawn
-    first."""
-    count = chance.poisson(rate * seconds)
-    times = sorted(float(t) for t in chance.uniform(0.0, seconds, count))
-    return [gevent.spawn_later(t, each) for t in times]
+    """Schedules calls at random times, each in a greenlet of its own.
+
+    All times are drawn before the first call.
+
+    Args:
+        rng: Random generator.
+        rate: Mean number of calls per second.
+        seconds: Length of the schedule.
+        each: The call.
+    """
+    count = rng.poisson(rate * seconds)
+    times = sorted(float(at) for at in rng.uniform(0.0, seconds, count))
+    return [gevent.spawn_later(at, each) for at in times]
+
 
+class CallerPool:
+    """A pool of callers. A new caller is created if none is idle, so no request waits for a connection.
 
-class Crowd:
-    """Callers that are free, so that a command at any time finds a connection."""
+    Attributes:
+        address: Address of the router.
+        salt: First part of the request ids.
+        idle_callers: Callers without a request.
+        created: Number of callers created.
+    """
 
     def __init__(self, address: tuple[str, int], salt: int) -> None:
-        self.address, self.salt, self.free, self.made = address, salt, list[Caller](), 0
+        self.address, self.salt, self.idle_callers, self.created = address, salt, list[Caller](), 0
 
     def ask(self, profile: str, work: int, size: int, **fields: str) -> Ask:
-        if self.free:
-            caller = self.free.pop()
+        """Sends a request through an idle caller and waits for its outcome; see `Caller.ask`."""
+        if self.idle_callers:
+            caller = self.idle_callers.pop()
         else:
-            caller = Caller(self.address, TENANTS[self.made % len(TENANTS)], self.salt)
-            self.made += 1
+            caller = Caller(self.address, TENANTS[self.created % len(TENANTS)], self.salt)
+            self.created += 1
         try:
             return caller.ask(profile, work, size, 0, **fields)
         finally:
-            self.free.append(caller)
+            self.idle_callers.append(caller)
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -1,5 +1,7 @@
-"""The experiment of routers that know each other: groups in simulated time, then seven processes under load
-that are killed, stopped and cut from each other; against the same with the section off."""
+"""Experiment on group membership: simulated groups, then seven processes under load with injected faults.
+
+Processes are killed, stopped and partitioned. Results are compared with the section `(peers)` switched off.
+"""
 
 from __future__ import annotations
 
@@ -28,30 +30,32 @@
 from marbleworks.settings import Settings
 
 ROUTERS, OPERATOR = 7, "(peers)"
-LOOK_UPS = 25.0  # a second, at each router
-WITHIN = 30.0  # seconds for a group to agree
-LOOKS = 0.05  # seconds between looks at all views
+LOOK_UP_RATE = 25.0  # per second at each router
+AGREEMENT_TIMEOUT_S = 30.0  # time limit for a group to agree
+SAMPLE_INTERVAL_S = 0.05  # between samples of a view
+
 
+def measure_deaths(report: Report, count: int, kills: int, seed: int) -> None:
+    """Kills routers of a simulated group one after the other and restarts them; then partitions the group.
 
-def deaths(report: Report, count: int, kills: int, seed: int) -> None:
-    """Kills in a group in simulated time, one after the other, each started anew; then a cut, which a
-    thousand routers are spared: it would take an hour."""
+    A group of 1,000 routers is neither restarted nor partitioned, because that would take an hour.
+    """
     group = Group(count, seed)
     group.run(20.0 if count < 1000 else 8.0)
-    found, heals, chance = list[float](), list[float](), random.Random(seed)
-    spent, began = sum(group.sent_bytes), group.now
+    detection_times, heal_times, rng = list[float](), list[float](), random.Random(seed)
+    bytes_before, began = sum(group.sent_bytes), group.now
     group.run(10.0 if count < 1000 else 4.0)
-    a_second = (sum(group.sent_bytes) - spent) / (group.now - began) / count
+    bytes_per_second = (sum(group.sent_bytes) - bytes_before) / (group.now - began) / count
     for _ in range(kills):
-        number, at = chance.randrange(count), group.now
+        number, at = rng.randrange(count), group.now
         group.changes.clear()
         group.kill(number)
         group.run(8.0, partial(object_to, group) if count <= ROUTERS else None)
-        first: dict[int, float] = {}
+        first_seen: dict[int, float] = {}
         for when, by, change in group.changes:
             if change.router == number and change.state is MemberState.DEAD:
-                first.setdefault(by, when - at)
-        found += [first.get(r.number, 8.0) for r in group.living()]
+                first_seen.setdefault(by, when - at)
+        detection_times += [first_seen.get(router.number, 8.0) for router in group.living()]
         if count < 1000:
             group.start(number)
             group.run(8.0)
@@ -61,57 +65,73 @@
     group.weather.cut, at = lambda a, b: False, group.now
     while count < 1000 and not group.agreed() and group.now < at + 60.0:
         group.run(0.1)
-    heals.append(group.now - at)
+    heal_times.append(group.now - at)
     report.figures |= {
-        f"sim_{count}_death_p50_s": percentile(found, 50),
-        f"sim_{count}_death_p99_s": percentile(found, 99),
-        f"sim_{count}_bytes_a_second": a_second,
+        f"sim_{count}_death_p50_s": percentile(detection_times, 50),
+        f"sim_{count}_death_p99_s": percentile(detection_times, 99),
+        f"sim_{count}_bytes_a_second": bytes_per_second,
     }
     if count < 1000:
-        report.figures[f"sim_{count}_heals_s"] = heals[0]
+        report.figures[f"sim_{count}_heals_s"] = heal_times[0]
     report.rows.append(
         {
             "group": f"{count} simulated",
-            "death known p50 s": round(percentile(found, 50), 2),
-            "death known p99 s": round(percentile(found, 99), 2),
-            "bytes a second": round(a_second),
-            "agreed after a cut, s": round(heals[0], 1) if count < 1000 else "",
+            "death known p50 s": round(percentile(detection_times, 50), 2),
+            "death known p99 s": round(percentile(detection_times, 99), 2),
+            "bytes a second": round(bytes_per_second),
+            "agreed after a cut, s": round(heal_times[0], 1) if count < 1000 else "",
             "false removals an hour": "",
         }
     )
 
 
-def quiet(report: Report, name: str, seconds: float, seed: int, loss: float, slow: int = 0) -> float:
-    """Nobody dies; removals an hour of healthy routers, as all others together see them."""
+def count_false_removals(
+    report: Report, name: str, seconds: float, seed: int, loss: float, slow: int = 0
+) -> float:
+    """Simulates a group without deaths and counts removals of healthy routers.
+
+    Args:
+        report: Receives the figures.
+        name: Name of the network behaviour.
+        seconds: Simulated seconds.
+        seed: Seed of the simulation.
+        loss: Fraction of datagrams lost.
+        slow: Number of routers that handle everything up to 0.3 s late.
+
+    Returns:
+        Removals per hour, as all other routers together see them.
+    """
     group = Group(ROUTERS, seed)
     group.run(20.0)
     group.weather = Weather(loss=loss, delay=0.002, jitter=0.01)
     for number in range(slow):
-        group.routers[number].slow = 0.3  # seconds that it may be late with anything
+        group.routers[number].slow = 0.3  # up to 0.3 s late with everything
     group.changes.clear()
     group.run(seconds)
     object_to(group)
     removed = sum(change.state is MemberState.DEAD for _, _, change in group.changes)
-    an_hour = removed / seconds * 3600.0
-    report.figures[f"sim_false_removals_an_hour_{name}"] = an_hour
-    report.rows.append({"group": f"{ROUTERS} simulated, {name}", "false removals an hour": round(an_hour, 1)})
-    return an_hour
+    per_hour = removed / seconds * 3600.0
+    report.figures[f"sim_false_removals_an_hour_{name}"] = per_hour
+    report.rows.append(
+        {"group": f"{ROUTERS} simulated, {name}", "false removals an hour": round(per_hour, 1)}
+    )
+    return per_hour
 
 
-def divided(report: Report, seed: int) -> None:
-    """How much of the whole can be used after three of seven died."""
+def measure_usable_quota(report: Report, seed: int) -> None:
+    """Measures the fraction of the quota that is usable after three of seven routers died."""
     group = Group(ROUTERS, seed)
     group.run(20.0)
     for number in (2, 4, 5):
         group.kill(number)
     group.run(10.0, lambda: object_to(group))
-    on, off = group.used(), 4 / ROUTERS
-    report.figures |= {"usable_after_3_of_7_died_on": on, "usable_after_3_of_7_died_off": off}
-    report.claim("part of the whole usable after 3 of 7 died (off: 0.57)", on, 0.85, least=True)
+    usable_on, usable_off = group.used(), 4 / ROUTERS
+    report.figures |= {"usable_after_3_of_7_died_on": usable_on, "usable_after_3_of_7_died_off": usable_off}
+    report.claim("part of the whole usable after 3 of 7 died (off: 0.57)", usable_on, 0.85, least=True)
 
 
-class Still:
-    """A port behind which nothing happens, on a group's clock."""
+class IdlePort:
+    """A scheduler port that does nothing; its clock is that of a simulated group."""
 
     def __init__(self, group: Group) -> None:
         self.group = group
@@ -123,31 +143,45 @@
         return lambda *args: None
 
 
-def sponsored(report: Report, seed: int) -> None:
-    """Nine routers, of whom the four die that sponsor a fresh engine: how long until others may use it. Off:
-    not while it is cold. The divider is among the four, or is not."""
+def measure_sponsor_deaths(report: Report, seed: int) -> None:
+    """Measures when a fresh engine is used again after the four of nine routers that sponsor it died.
+
+    With the section off, other routers do not use the engine while it is cold. The leader is among the four
+    in one of two runs.
+    """
     for with_divider in (False, True):
         group = Group(9, seed)
-        gates = []
-        for n in range(9):
-            told = Settings(settings(8, routers=9, me=n))
-            gates.append(
-                Scheduler(cast(SchedulerPort, Still(group)), 1, told.request_classes, told.rules, told.fleet)
+        schedulers = []
+        for me in range(9):
+            router_settings = Settings(settings(8, routers=9, me=me))
+            schedulers.append(
+                Scheduler(
+                    cast(SchedulerPort, IdlePort(group)),
+                    1,
+                    router_settings.request_classes,
+                    router_settings.rules,
+                    router_settings.fleet,
+                )
             )
         group.run(20.0)
 
-        def divide(group: Group = group, gates: list[Scheduler] = gates) -> list[int]:
-            for router, gate in zip(group.routers, gates, strict=True):
-                stands = router.standing()
-                gate.set_router_share(stands.quota_share, stands.divisor, stands.index)
-            living = [gates[r.number] for r in group.living()]
-            senders = [g for g in living if g.parts.slow_start.share_of(g.engines[0], g.port.now())]
-            return [g.fleet.router_index for g in senders]
+        def divide(group: Group = group, schedulers: list[Scheduler] = schedulers) -> list[int]:
+            """Applies the quota shares; returns the live routers that may send to the engine."""
+            for router, scheduler in zip(group.routers, schedulers, strict=True):
+                status = router.standing()
+                scheduler.set_router_share(status.quota_share, status.divisor, status.index)
+            living = [schedulers[live_router.number] for live_router in group.living()]
+            senders = [
+                sender
+                for sender in living
+                if sender.parts.slow_start.share_of(sender.engines[0], sender.port.now())
+            ]
+            return [sender.fleet.router_index for sender in senders]
 
         for number in range(1000):
             started = 1000.0 + group.now
-            for gate in gates:
-                gate.update_engines(
+            for scheduler in schedulers:
+                scheduler.update_engines(
                     [EngineEntry(0, f"s-{number}", 0, 0, 0, EngineStatus.UP, started)], complete=True
                 )
             sponsors = divide()
@@ -158,16 +192,17 @@
         at = group.now
         while not divide() and group.now < at + 14.0:
             group.run(0.05, partial(object_to, group))
-        key, took = "with" if with_divider else "without", group.now - at
-        report.figures[f"fresh_engine_without_sponsors_{key}_divider_s"] = took
+        key, took_s = "with" if with_divider else "without", group.now - at
+        report.figures[f"fresh_engine_without_sponsors_{key}_divider_s"] = took_s
         report.rows.append(
-            {"group": f"9, four sponsors die, {key} the divider", "used again, s": round(took, 2)}
+            {"group": f"9, four sponsors die, {key} the divider", "used again, s": round(took_s, 2)}
         )
         name = f"a fresh engine used again after its four sponsors died, {key} the divider, s (off: 14)"
-        report.claim(name, took, 3.0)
+        report.claim(name, took_s, 3.0)
 
 
-def explored(report: Report, quick: bool, seed: int) -> None:
+def explore_decisions(report: Report, quick: bool, seed: int) -> None:
+    """Explores the group's decisions: every order of a few actions, and random walks."""
     states = exhaust(5, 2) + exhaust(5, 2, warm=10) + exhaust(4, 3, warm=10)
     acts, broken = 0, 0
     try:
@@ -182,180 +217,228 @@
     report.claim("the right held twice or more than the whole used, explored", broken, 0)
 
 
-class Watch:
-    """Looks at the views of all processes, as fast as they answer."""
+class ViewMonitor:
+    """Polls the views of all router processes, as fast as they answer.
+
+    Attributes:
+        stage: The processes.
+        views: Latest view of each router that answers.
+        history: Time, router and view of each answer.
+        double_leaders: Samples in which more than one router acted as leader.
+        over_quota: Samples in which more than the whole quota was in use.
+        samples: Number of samples.
+        greenlets: The polling greenlets.
+    """
 
     def __init__(self, stage: Stage) -> None:
         self.stage, self.views = stage, dict[int, dict[str, Any]]()
         self.history: list[tuple[float, int, dict[str, Any]]] = []
-        self.double = self.over = self.looks = 0
-        self.going = [gevent.spawn(self._look, n) for n in range(ROUTERS)]
+        self.double_leaders = self.over_quota = self.samples = 0
+        self.greenlets = [gevent.spawn(self._poll_views, n) for n in range(ROUTERS)]
 
-    def _look(self, number: int) -> None:
+    def _poll_views(self, number: int) -> None:
         client = None
         while True:
             try:
                 client = client or RpcClient(self.stage.routers[number].address)
                 client.send(0, 1, "health", [{"about": "peers"}])
-                said = client.hear(0.5)
-                self.views[number] = said[3][1]
-                self.history.append((time.monotonic(), number, said[3][1]))
-                self._check()
+                reply = client.hear(0.5)
+                self.views[number] = reply[3][1]
+                self.history.append((time.monotonic(), number, reply[3][1]))
+                self._check_sample()
             except (OSError, Timeout, TypeError):
                 client = None
                 self.views.pop(number, None)
-            gevent.sleep(LOOKS)
+            gevent.sleep(SAMPLE_INTERVAL_S)
 
-    def _check(self) -> None:
-        self.looks += 1
-        self.double += sum(v["right"] == "divides" for v in self.views.values()) > 1
-        self.over += sum(float(v["part"]) for v in self.views.values()) > 1.001
+    def _check_sample(self) -> None:
+        self.samples += 1
+        self.double_leaders += sum(view["right"] == "divides" for view in self.views.values()) > 1
+        self.over_quota += sum(float(view["part"]) for view in self.views.values()) > 1.001
 
     def up(self, number: int) -> list[int]:
+        """Returns the routers that one router sees as up."""
         view = self.views.get(number)
         return [int(row[0]) for row in view["rows"] if row[3] == "up"] if view else []
 
     def agreed(self, among: list[int]) -> bool:
+        """Returns whether each of these routers sees exactly them as up."""
         return all(self.up(n) == among for n in among)
 
     def until(self, among: list[int], gone: int = -1) -> bool:
-        """Whether those agree on themselves in time, and on one that it is gone."""
-        end = time.monotonic() + WITHIN
-        while not self.agreed(among) or (gone >= 0 and not all(self._gone(n, gone) for n in among)):
+        """Waits until routers agree.
+
+        Args:
+            among: The routers that have to see exactly each other as up.
+            gone: A router that each of them has to see as gone; -1 if there is none.
+
+        Returns:
+            Whether they agreed within `AGREEMENT_TIMEOUT_S`.
+        """
+        end = time.monotonic() + AGREEMENT_TIMEOUT_S
+        while not self.agreed(among) or (gone >= 0 and not all(self._sees_gone(n, gone) for n in among)):
             if time.monotonic() > end:
                 return False
-            gevent.sleep(LOOKS / 2)
+            gevent.sleep(SAMPLE_INTERVAL_S / 2)
         return True
 
-    def _gone(self, by: int, number: int) -> bool:
+    def _sees_gone(self, by: int, number: int) -> bool:
         view = self.views.get(by)
-        return view is not None and any(int(r[0]) == number and r[3] == "gone" for r in view["rows"])
+        return view is not None and any(int(row[0]) == number and row[3] == "gone" for row in view["rows"])
 
     def known(self, number: int, since: float, states: tuple[str, ...]) -> list[float]:
-        """For each of the others how long it took to have that one in one of the states."""
-        first: dict[int, float] = {}
+        """Returns how long each other router took to see a router in one of the states.
+
+        Args:
+            number: The router that is seen.
+            since: Start of the measurement, by the monotonic clock.
+            states: The states.
+
+        Returns:
+            Seconds for each other router; `AGREEMENT_TIMEOUT_S` if it was not seen.
+        """
+        first_seen: dict[int, float] = {}
         for at, by, view in self.history:
             if at > since and by != number:
-                row = next((r for r in view["rows"] if int(r[0]) == number), None)
+                row = next((candidate for candidate in view["rows"] if int(candidate[0]) == number), None)
                 if row is not None and row[3] in states:
-                    first.setdefault(by, at - since)
-        return [first.get(n, WITHIN) for n in range(ROUTERS) if n != number]
+                    first_seen.setdefault(by, at - since)
+        return [first_seen.get(n, AGREEMENT_TIMEOUT_S) for n in range(ROUTERS) if n != number]
 
 
-def load(stage: Stage, seconds: float, seed: int) -> tuple[list[Ask], list[Any]]:
-    chance, asks = np.random.default_rng(seed), list[Ask]()
-    free: dict[int, list[Caller]] = {n: [] for n in range(ROUTERS)}
+def start_load(stage: Stage, seconds: float, seed: int) -> tuple[list[Ask], list[Any]]:
+    """Starts look-ups at all routers. Returns the list that receives the outcomes, and the greenlets."""
+    rng, outcomes = np.random.default_rng(seed), list[Ask]()
+    idle_callers: dict[int, list[Caller]] = {n: [] for n in range(ROUTERS)}
 
-    def one(at: int) -> None:
-        caller = free[at].pop() if free[at] else Caller(stage.routers[at].address, TENANTS[at % 4], seed)
-        asks.append(caller.ask("date-lookup", int(chance.uniform(10, 40)), 600))
-        free[at].append(caller)
+    def send_one(at: int) -> None:
+        caller = (
+            idle_callers[at].pop()
+            if idle_callers[at]
+            else Caller(stage.routers[at].address, TENANTS[at % 4], seed)
+        )
+        outcomes.append(caller.ask("date-lookup", int(rng.uniform(10, 40)), 600))
+        idle_callers[at].append(caller)
 
-    going: list[Any] = []
+    greenlets: list[Any] = []
     for n in range(ROUTERS):
-        going += arrivals(chance, LOOK_UPS, seconds, lambda n=n: one(n))  # type: ignore[misc]
-    return asks, going
+        greenlets += arrivals(rng, LOOK_UP_RATE, seconds, lambda n=n: send_one(n))  # type: ignore[misc]
+    return outcomes, greenlets
 
 
-def processes(report: Report, rounds: int, seconds: float, seed: int) -> None:
-    """Seven processes: look-ups with the section off and on, then faults under load."""
-    took: dict[str, list[float]] = {"off": [], "on": []}
-    # In turn and twice over, so that a busy moment of the machine does not fall on one of them alone.
+def run_processes(report: Report, rounds: int, seconds: float, seed: int) -> None:
+    """Compares look-ups with the section off and on, then injects faults into seven processes under load."""
+    durations: dict[str, list[float]] = {"off": [], "on": []}
+    # Alternates, so that a busy period of the machine does not affect only one variant.
     for name, operator in itertools.chain(*[[("off", ""), ("on", OPERATOR)]] * 2):
         net = FaultNet(ROUTERS, seed)
         with Stage(6, 8, operator, routers=ROUTERS, net=net) as stage:
-            gevent.sleep(8.0)  # until a group has divided
-            asks, going = load(stage, seconds, seed)
-            gevent.joinall(going, timeout=seconds + 10)
-            took[name] += [ask.took for ask in asks if ask.end == "answered"]
+            gevent.sleep(8.0)  # by then a group has a leader and shares
+            outcomes, greenlets = start_load(stage, seconds, seed)
+            gevent.joinall(greenlets, timeout=seconds + 10)
+            durations[name] += [ask.took for ask in outcomes if ask.end == "answered"]
         net.close()
-    report.figures |= {f"look_ups_{n}_p99_ms": 1e3 * percentile(t, 99) for n, t in took.items()}
+    report.figures |= {f"look_ups_{n}_p99_ms": 1e3 * percentile(t, 99) for n, t in durations.items()}
     report.claim(
-        "look-ups' p99 with it on over off", percentile(took["on"], 99) / percentile(took["off"], 99), 1.05
+        "look-ups' p99 with it on over off",
+        percentile(durations["on"], 99) / percentile(durations["off"], 99),
+        1.05,
+    )
+    report.charts.append(
+        ("look-ups", "seconds", "share answered", {n: spread(t) for n, t in durations.items()})
     )
-    report.charts.append(("look-ups", "seconds", "share answered", {n: spread(t) for n, t in took.items()}))
     net = FaultNet(ROUTERS, seed)
-    chance = random.Random(seed)
-    dead, left, stuck, everyone = list[float](), list[float](), 0, list(range(ROUTERS))
+    rng = random.Random(seed)
+    death_times, stop_times, disagreements, all_routers = (
+        list[float](),
+        list[float](),
+        0,
+        list(range(ROUTERS)),
+    )
     with Stage(6, 8, OPERATOR, routers=ROUTERS, net=net) as stage:
-        watch = Watch(stage)
-        stuck += not watch.until(everyone)
+        watch = ViewMonitor(stage)
+        disagreements += not watch.until(all_routers)
         for kind in ("kill", "pause", "cut", "stop"):
             for _ in range(rounds):
-                number = chance.randrange(ROUTERS)
-                rest, at = [n for n in everyone if n != number], time.monotonic()
+                number = rng.randrange(ROUTERS)
+                others, at = [n for n in all_routers if n != number], time.monotonic()
                 router = stage.routers[number]
                 if kind == "kill":
                     router.end(signal.SIGKILL)
-                    stuck += not watch.until(rest, gone=number)
-                    dead += watch.known(number, at, ("gone",))
+                    disagreements += not watch.until(others, gone=number)
+                    death_times += watch.known(number, at, ("gone",))
                     router.start()
                 elif kind == "stop":
                     router.tell(signal.SIGTERM)
                     gevent.sleep(1.0)
-                    left += watch.known(number, at, ("left", "gone"))
+                    stop_times += watch.known(number, at, ("left", "gone"))
                     router.end()
                     router.start()
                 elif kind == "pause":
                     router.tell(signal.SIGSTOP)
-                    gevent.sleep(chance.choice([0.5, 3.0]))
+                    gevent.sleep(rng.choice([0.5, 3.0]))
                     router.tell(signal.SIGCONT)
                 else:
-                    size = chance.randrange(1, ROUTERS)
-                    part = chance.sample(everyone, size)
-                    net.part(part, [n for n in everyone if n not in part])
+                    size = rng.randrange(1, ROUTERS)
+                    part = rng.sample(all_routers, size)
+                    net.part(part, [n for n in all_routers if n not in part])
                     gevent.sleep(4.0)
                     net.part()
-                stuck += not watch.until(everyone)
+                disagreements += not watch.until(all_routers)
         net.loss, net.jitter = 0.05, 0.01
         starts = {n: int(row[1]) for n, row in enumerate(watch.views[0]["rows"])}
         before = [len(router.log()) for router in stage.routers]
         gevent.sleep(4.0 if rounds < 5 else 60.0)
         removed = sum(r.log()[b:].count("member dead") for r, b in zip(stage.routers, before, strict=True))
         net.loss = net.jitter = 0.0
-        gevent.killall(watch.going)
+        gevent.killall(watch.greenlets)
         failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
     net.close()
     report.figures |= {
-        "processes_death_p50_s": percentile(dead, 50),
-        "processes_death_p99_s": percentile(dead, 99),
-        "processes_stop_p99_s": percentile(left, 99),
-        "looks": watch.looks,
+        "processes_death_p50_s": percentile(death_times, 50),
+        "processes_death_p99_s": percentile(death_times, 99),
+        "processes_stop_p99_s": percentile(stop_times, 99),
+        "looks": watch.samples,
         "failures": failures,
         "highest_start": max(starts.values()),
     }
     report.rows.append(
         {
             "group": f"{ROUTERS} processes",
-            "death known p50 s": round(percentile(dead, 50), 2),
-            "death known p99 s": round(percentile(dead, 99), 2),
+            "death known p50 s": round(percentile(death_times, 50), 2),
+            "death known p99 s": round(percentile(death_times, 99), 2),
         }
     )
-    report.claim("processes: a death known by all the living, p99, s", percentile(dead, 99), 3.0)
-    report.claim("processes: a planned stop known, p99, s", percentile(left, 99), 0.3)
+    report.claim("processes: a death known by all the living, p99, s", percentile(death_times, 99), 3.0)
+    report.claim("processes: a planned stop known, p99, s", percentile(stop_times, 99), 0.3)
     report.claim("processes: healthy routers removed at 5% loss", removed, 0)
     report.claim(
-        "processes: looks at which two divided or more than the whole was used", watch.double + watch.over, 0
+        "processes: looks at which two divided or more than the whole was used",
+        watch.double_leaders + watch.over_quota,
+        0,
     )
-    report.claim("processes: times that a group did not agree within 30 s", stuck, 0)
+    report.claim("processes: times that a group did not agree within 30 s", disagreements, 0)
     report.claim("processes: exceptions", failures, 0)
 
 
 def run(report: Report, seed: int, quick: bool) -> None:
+    """Runs all parts of the experiment."""
     for count, kills in (
         ((3, 3), (7, 5), (50, 1)) if quick else ((3, 20), (7, 20), (50, 5), (200, 3), (1000, 1))
     ):
-        deaths(report, count, kills, seed)
+        measure_deaths(report, count, kills, seed)
     large = 50 if quick else 200
     ratio = report.figures[f"sim_{large}_bytes_a_second"] / report.figures["sim_7_bytes_a_second"]
     report.claim(f"bytes a second of a router among {large} over among 7", ratio, 1.2)
     report.claim("simulated: a death known, 7 routers, p99, s", report.figures["sim_7_death_p99_s"], 3.0)
-    span = 120.0 if quick else 3600.0
-    none = quiet(report, "no loss", span, seed, 0.0) + quiet(report, "5% loss", span, seed, 0.05)
-    quiet(report, "30% loss", span, seed, 0.3)
-    quiet(report, "a fifth slow", span, seed, 0.0, slow=1)
-    report.claim("simulated: healthy routers removed an hour, without loss and at 5%", none, 0)
-    divided(report, seed)
-    sponsored(report, seed)
-    explored(report, quick, seed)
-    processes(report, 2 if quick else 20, 4.0 if quick else 20.0, seed)
+    simulated_s = 120.0 if quick else 3600.0
+    false_removals = count_false_removals(report, "no loss", simulated_s, seed, 0.0) + count_false_removals(
+        report, "5% loss", simulated_s, seed, 0.05
+    )
+    count_false_removals(report, "30% loss", simulated_s, seed, 0.3)
+    count_false_removals(report, "a fifth slow", simulated_s, seed, 0.0, slow=1)
+    report.claim("simulated: healthy routers removed an hour, without loss and at 5%", false_removals, 0)
+    measure_usable_quota(report, seed)
+    measure_sponsor_deaths(report, seed)
+    explore_decisions(report, quick, seed)
+    run_processes(report, 2 if quick else 20, 4.0 if quick else 20.0, seed)
--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -1,8 +1,10 @@
-"""Budgets without sockets: purses and the books of whoever divides, on a network that loses, doubles and
-delays at will, with clocks that run unevenly, processes that stop and begin anew, and a right that moves.
+"""Exploration of fleet-wide budgets without sockets: local budgets and the allocation ledger of the leader.
 
-It owns the true count of what is in use at the engines, and objects when that is more than the whole. The
-decisions are the router's own.
+The network loses, duplicates and delays messages arbitrarily. Clocks run at different rates, processes stop
+and restart, and the leadership moves.
+
+The module owns the true number of units in use at the engines, and raises Broken if it exceeds the whole
+budget. The decisions are the router's own.
 """
 
 from __future__ import annotations
@@ -21,14 +23,22 @@
 from marbleworks.lab.explore import Broken, every_order
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-ENDS = ABANDONED_ATTEMPT_TIMEOUT_S - 0.3  # seconds after which an engine ends what nobody asks for
+ENDS = ABANDONED_ATTEMPT_TIMEOUT_S - 0.3  # seconds after which an engine ends an abandoned attempt
 LEASE = 1.0
 
 
 @dataclass
 class Process:
-    """One router. out: units taken and not given back; begins: what has room and has not begun, with the
-    latest time by its clock."""
+    """One router.
+
+    Attributes:
+        purse: Its local budgets.
+        start: Generation of the process.
+        reign: Number of its latest term as leader.
+        ledger: Its allocation ledger, if it has been leader.
+        out: Units in use by attempts of this process.
+        begins: For each acquired unit whose attempt has not begun, the latest time by its clock to begin.
+    """
 
     purse: LocalBudgets
     start: int = 1
@@ -40,16 +50,26 @@
 
 @dataclass
 class Fleet:
-    """Routers that take units, begin, and end. paces: of their clocks. engine: when each unit that is in use
-    no longer belongs to a process ends, by true time."""
-
-    wholes: list[Budget]  # by router: of its file
+    """Routers that acquire units, begin attempts and end them.
+
+    Attributes:
+        wholes: The budget in each router's file.
+        paces: Clock rate of each router.
+        kept: Fraction of the budget that is guaranteed to the routers.
+        now: True time in seconds.
+        routers: The routers.
+        engine: True end time of each unit in use that no process owns any more.
+        bound: Largest budget of any file, recently or now. Whoever changes a file sets it.
+        acts: The last actions, for the error message.
+    """
+
+    wholes: list[Budget]
     paces: list[float]
     kept: float = 0.25
     now: float = 0.0
     routers: list[Process] = field(default_factory=list)
     engine: list[float] = field(default_factory=list)
-    bound: int = 0  # the largest whole of late
+    bound: int = 0
     acts: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
@@ -57,49 +77,59 @@
         self.routers = [Process(self._purse(n)) for n in range(len(self.paces))]
 
     def _purse(self, number: int) -> LocalBudgets:
-        began = self.clock(number) if self.now else 0.0  # at first no process ran before
+        """Returns fresh local budgets of a router."""
+        began = self.clock(number) if self.now else 0.0  # 0 at the start: no process ran before
         purse = LocalBudgets(number, len(self.paces), self.kept, LEASE, began)
         purse.set_budgets([self.wholes[number]], self.clock(number))
         return purse
 
     def clock(self, number: int) -> float:
+        """Returns the time of a router's clock in seconds."""
         return 100.0 + self.now * self.paces[number]
 
     def pocket(self, number: int) -> LocalBudget:
+        """Returns the only local budget of a router."""
         return next(iter(self.routers[number].purse.budgets.values()))
 
     def used(self) -> int:
-        """Units in use at the engines, by true time."""
+        """Returns the units in use at the engines, by true time."""
         self.engine = [end for end in self.engine if end > self.now]
         return sum(router.out for router in self.routers) + len(self.engine)
 
     def check(self) -> None:
+        """Raises Broken if more units are in use than the largest budget has."""
         if self.used() > self.bound:
-            raise Broken(f"{self.used()} of {self.bound} in use after {', '.join(self.acts)}")
+            raise Broken(f"{self.used()} of {self.bound} units in use after {', '.join(self.acts)}")
 
-    def does(self, act: str, do: Callable[[Any], None]) -> None:
+    def does(self, act: str, action: Callable[[Any], None]) -> None:
+        """Takes an action and checks the invariant."""
         self.acts = (*self.acts[-40:], act)
-        do(self)
+        action(self)
         self.check()
 
-    # Acts.
+    # Actions.
 
     def passes(self, step: float) -> None:
+        """Lets time pass, in seconds; routers call off attempts beyond their lease."""
         self.now += step
         for number in range(len(self.routers)):
             self._call_off(number)
 
     def _call_off(self, number: int) -> None:
+        """Calls off the attempts of a router that exceed its budgets."""
         router = self.routers[number]
-        for pocket, beyond in router.purse.overdue(self.clock(number)):
-            for _ in range(min(beyond, router.out)):
+        for pocket, excess in router.purse.overdue(self.clock(number)):
+            for _ in range(min(excess, router.out)):
                 router.out -= 1
                 router.purse.release(pocket, self.clock(number), True)
                 self.engine.append(self.now + ENDS)
 
     def take(self, number: int) -> None:
-        """Room is looked for. Of a level the command begins by another act, or never; a rate is counted here,
-        where it is decided."""
+        """Acquires a unit.
+
+        For a level (no window), the attempt begins by another action or never. For a rate, the unit counts as
+        used now, because the decision is made here.
+        """
         router, pocket, now = self.routers[number], self.pocket(number), self.clock(number)
         begin_by = router.purse.acquire(pocket, now)
         if pocket.budget.window_s:
@@ -108,6 +138,7 @@
             router.begins.append(begin_by)
 
     def begin(self, number: int) -> None:
+        """Begins the attempt of the oldest acquired unit; releases the unit if it is too late."""
         router, pocket = self.routers[number], self.pocket(number)
         begin_by = router.begins.pop(0)
         if self.clock(number) <= begin_by:
@@ -116,6 +147,12 @@
             router.purse.release(pocket, self.clock(number), False)
 
     def end(self, number: int, doubt: bool) -> None:
+        """Ends an attempt.
+
+        Args:
+            number: The router.
+            doubt: Whether the end at the engine is not known; the engine may go on for `ENDS` seconds.
+        """
         router = self.routers[number]
         router.out -= 1
         router.purse.release(self.pocket(number), self.clock(number), doubt)
@@ -123,17 +160,17 @@
             self.engine.append(self.now + ENDS)
 
     def wants(self, number: int) -> None:
-        """Some wait for a unit."""
+        """Lets some requests wait for a unit."""
         self.pocket(number).waiting.update(str(n) for n in range(3))
 
     def anew(self, number: int) -> None:
-        """Killed and started: engines end what it had within a while."""
+        """Kills and restarts a router; engines end its attempts within `ENDS` seconds."""
         router = self.routers[number]
         self.engine += [self.now + ENDS] * router.out
         self.routers[number] = Process(self._purse(number), router.start + 1)
 
     def traffic(self, number: int) -> Iterator[tuple[str, Callable[[Any], None]]]:
-        """What commands may do at a router."""
+        """Yields the name and function of each action that requests may cause at a router."""
         router, n = self.routers[number], number
         if self.pocket(n).has_room(self.clock(n)):
             yield f"{n} takes", lambda w: w.take(n)
@@ -146,38 +183,51 @@
 
 @dataclass
 class World(Fleet):
-    """A fleet that is one group, of which one router divides, or none."""
+    """Routers of one group, of which at most one is the leader.
+
+    Attributes:
+        divider: Number of the leader, or -1.
+        flying: Messages in transit: sender, receiver and message.
+    """
 
     divider: int = -1
     flying: list[tuple[int, int, BudgetReport | BudgetAnswer]] = field(default_factory=list)
 
     def tells(self, number: int) -> None:
+        """Sends the reports of a router to the leader."""
         if self.divider < 0:
             return
-        router, to = self.routers[number], self.divider
+        router, leader = self.routers[number], self.divider
         self.wants(number)
-        start = self.routers[to].start
-        reports = router.purse.make_reports(to, start, router.start, self.clock(number))
-        self.flying += [(number, to, report) for report in reports]
+        start = self.routers[leader].start
+        reports = router.purse.make_reports(leader, start, router.start, self.clock(number))
+        self.flying += [(number, leader, report) for report in reports]
 
     def comes(self, i: int, keep: bool) -> None:
-        sender, to, said = self.flying[i] if keep else self.flying.pop(i)
-        router, now = self.routers[to], self.clock(to)
-        if isinstance(said, BudgetAnswer):
-            router.purse.handle_answer(sender, said, now)
-        elif router.ledger is not None and self.divider == to:
-            answer = router.ledger.handle_report(sender, said, now)
+        """Delivers a message.
+
+        Args:
+            i: Index of the message.
+            keep: Whether the message stays in transit, to be delivered once more.
+        """
+        sender, receiver, message = self.flying[i] if keep else self.flying.pop(i)
+        router, now = self.routers[receiver], self.clock(receiver)
+        if isinstance(message, BudgetAnswer):
+            router.purse.handle_answer(sender, message, now)
+        elif router.ledger is not None and self.divider == receiver:
+            answer = router.ledger.handle_report(sender, message, now)
             if answer is not None:
-                self.flying.append((to, sender, answer))
+                self.flying.append((receiver, sender, answer))
 
     def moves_right(self, to: int) -> None:
+        """Makes a router the leader, with a fresh ledger, or none if the number is -1."""
         self.divider = to
         if to >= 0:
             router = self.routers[to]
             router.reign += 1
-            seen = {w.budget_id: {w.units} for w in [self.wholes[to]]}
+            known_units = {budget.budget_id: {budget.units} for budget in [self.wholes[to]]}
             args = (to, len(self.paces), router.start, router.reign, self.kept, LEASE, self.clock(to))
-            router.ledger = AllocationLedger(*args, seen)
+            router.ledger = AllocationLedger(*args, known_units)
             router.ledger.set_budgets([self.wholes[to]])
 
     def anew(self, number: int) -> None:
@@ -186,7 +236,7 @@
             self.divider = -1
 
     def rewritten(self, number: int, units: int) -> None:
-        """Its file has another whole from now on."""
+        """Changes the size of the budget in a router's file."""
         old = self.wholes[number]
         self.wholes[number] = Budget(old.name, units, old.window_s, old.settle_s)
         router = self.routers[number]
@@ -195,6 +245,7 @@
             router.ledger.set_budgets([self.wholes[number]])
 
     def moves(self, step: float) -> Iterator[tuple[str, Callable[[World], None]]]:
+        """Yields the name and function of each action that is possible now."""
         yield f"time {step}", lambda w: w.passes(step)
         for n in range(len(self.routers)):
             if len(self.flying) < 6 and self.divider >= 0:
@@ -205,11 +256,11 @@
             yield f"{n} anew", lambda w, n=n: w.anew(n)  # type: ignore[misc]
         if self.divider >= 0:
             yield f"right again to {self.divider}", lambda w: w.moves_right(w.divider)
-        for i, (sender, to, said) in enumerate(self.flying):
-            name = f"{sender}>{to} {type(said).__name__}"
+        for i, (sender, receiver, message) in enumerate(self.flying):
+            name = f"{sender}>{receiver} {type(message).__name__}"
             yield name, partial(World.comes, i=i, keep=False)
             yield name + " again", partial(World.comes, i=i, keep=True)
-            yield f"{sender}>{to} lost", lambda w, i=i: w.flying.pop(i) and None  # type: ignore[misc]
+            yield f"{sender}>{receiver} lost", lambda w, i=i: w.flying.pop(i) and None  # type: ignore[misc]
 
 
 WEIGHTS = {
@@ -224,26 +275,57 @@
 
 
 def drawn(chance: random.Random, moves: list[tuple[str, Any]], weights: dict[str, float]) -> tuple[str, Any]:
-    """One of the moves; weights: by a word in its name, others 1."""
+    """Draws an action.
+
+    Args:
+        chance: Random generator.
+        moves: Names and functions of the actions.
+        weights: Weight by a word in the action's name; 1 for others.
+    """
     weighed = [next((w for word, w in weights.items() if word in name), 1.0) for name, _ in moves]
     return chance.choices(moves, weighed)[0]
 
 
 def stroll(seed: int, acts: int, count: int = 3, span: float = 0.0, units: int = 7) -> int:
-    """A random walk of so many acts, which favours what uses the budget up. Raises Broken."""
-    chance = random.Random(seed)
-    settle = span if span else chance.choice([0.5, 1.5]) + ABANDONED_ATTEMPT_TIMEOUT_S
+    """Takes a random walk that favours actions which use up the budget.
+
+    Args:
+        seed: Seed of the walk.
+        acts: Number of actions.
+        count: Number of routers, at most 5.
+        span: Window of a rate in seconds; 0 for a level.
+        units: Units of the budget.
+
+    Returns:
+        The number of actions.
+
+    Raises:
+        Broken: The invariant does not hold.
+    """
+    rng = random.Random(seed)
+    settle = span if span else rng.choice([0.5, 1.5]) + ABANDONED_ATTEMPT_TIMEOUT_S
     paces = [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0, 1.0, 1.0][:count]
-    world = World([Budget("w", units, span, settle)] * count, paces, chance.choice([0.0, 0.25, 0.5]))
+    world = World([Budget("w", units, span, settle)] * count, paces, rng.choice([0.0, 0.25, 0.5]))
     for _ in range(acts):
-        moves = list(world.moves(chance.choice([0.02, 0.1, 0.3, 0.9])))
-        world.does(*drawn(chance, moves, WEIGHTS))
+        moves = list(world.moves(rng.choice([0.02, 0.1, 0.3, 0.9])))
+        world.does(*drawn(rng, moves, WEIGHTS))
     return acts
 
 
 def exhaust(depth: int, count: int = 2, span: float = 0.0) -> int:
-    """Every order of acts to that depth from a group of which one has all there is to have; the number of
-    states. Raises Broken."""
+    """Tries every order of actions up to a depth, starting from a group that has a leader and units in use.
+
+    Args:
+        depth: Number of actions.
+        count: Number of routers, at most 3.
+        span: Window of a rate in seconds; 0 for a level.
+
+    Returns:
+        The number of states.
+
+    Raises:
+        Broken: The invariant does not hold.
+    """
     settle = span if span else 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S
     world = World(
         [Budget("w", 3, span, settle)] * count,
@@ -259,4 +341,4 @@
                 world.comes(0, False)
             if world.pocket(n).has_room(world.clock(n)):
                 world.take(n)
-    return every_order(world, depth, lambda one: one.moves(0.9))
+    return every_order(world, depth, lambda state: state.moves(0.9))
--- a/marbleworks/lab/report.py
+++ b/marbleworks/lab/report.py
@@ -1,6 +1,6 @@
-"""What an experiment found: figures, claims with their bounds, a table and a chart, written to files.
+"""The results of an experiment: figures, claims with their bounds, a table and charts, written to files.
 
-It must never decide whether an experiment was good beyond its claims' own bounds.
+Whether an experiment succeeded depends on the bounds of its claims alone.
 """
 
 from __future__ import annotations
@@ -15,14 +15,23 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """By linear interpolation; 0 where there are no values."""
+    """Returns a percentile by linear interpolation; 0 if there are no values."""
     return float(np.percentile(values, part)) if values else 0.0
 
 
 @dataclass
 class Report:
-    """figures: one flat map. rows: the table, a dict a row. series: for the chart, name to x and y.
-    logarithmic: both axes of the charts. extra: what the results file keeps besides, by name."""
+    """The results of an experiment.
+
+    Attributes:
+        name: Name of the experiment and of its files.
+        figures: Figures by name.
+        claims: Claims with their value, bound and whether they hold.
+        rows: Rows of the table, each a dict by column.
+        charts: Title, label of the x axis, label of the y axis, and the x and y values by name of the series.
+        logarithmic: Whether both axes of the charts are logarithmic.
+        extra: Further content of the results file, by name.
+    """
 
     name: str
     figures: dict[str, float] = field(default_factory=dict)
@@ -35,16 +44,25 @@
     extra: dict[str, Any] = field(default_factory=dict)
 
     def claim(self, name: str, value: float, bound: float, least: bool = False) -> None:
-        """value is at most the bound, or at least."""
+        """Adds a claim.
+
+        Args:
+            name: Name of the claim.
+            value: Measured value.
+            bound: Bound of the value.
+            least: Whether the bound is a minimum instead of a maximum.
+        """
         holds = value >= bound if least else value <= bound
         rounded = round(value, 4)
         self.claims.append({"name": name, "value": rounded, "bound": bound, "least": least, "holds": holds})
 
     @property
     def holds(self) -> bool:
+        """Whether all claims hold."""
         return all(claim["holds"] for claim in self.claims)
 
     def write(self, folder: Path) -> None:
+        """Writes the results as JSON, the table as CSV and the charts as SVG to a folder."""
         folder.mkdir(parents=True, exist_ok=True)
         figures = {name: round(value, 4) for name, value in self.figures.items()}
         text = json.dumps({**figures, "claims": self.claims, **self.extra}, indent=1)
@@ -54,9 +72,10 @@
             table = csv.DictWriter(file, columns, lineterminator="\n")
             table.writeheader()
             table.writerows(self.rows)
-        self._draw(folder / f"{self.name}.svg")
+        self._draw_charts(folder / f"{self.name}.svg")
 
-    def _draw(self, path: Path) -> None:
+    def _draw_charts(self, path: Path) -> None:
+        """Draws the charts."""
         import matplotlib as mpl
 
         mpl.use("svg")
@@ -77,22 +96,22 @@
         plt.close(figure)
 
     def lines(self) -> list[str]:
-        """For a person: the table, then the claims."""
+        """Returns the table and the claims as lines of text."""
         columns = list(dict.fromkeys(name for row in self.rows for name in row))
         cells = [columns, *[[str(row.get(name, "")) for name in columns] for row in self.rows]]
         widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
-        out = [
+        text_lines = [
             "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
             for row in cells
         ]
         for claim in self.claims:
-            word = "holds" if claim["holds"] else "FAILS"
+            verdict = "holds" if claim["holds"] else "FAILS"
             sign = ">=" if claim["least"] else "<="
-            out.append(f"{word}  {claim['name']}: {claim['value']:g} {sign} {claim['bound']:g}")
-        return out
+            text_lines.append(f"{verdict}  {claim['name']}: {claim['value']:g} {sign} {claim['bound']:g}")
+        return text_lines
 
 
 def spread(values: list[float]) -> tuple[list[float], list[float]]:
-    """A distribution for a chart: values against the share of them that is no larger."""
+    """Returns a distribution for a chart: the sorted values, and the fraction that is no larger."""
     ordered = sorted(values)
     return ordered, [(i + 1) / len(ordered) for i in range(len(ordered))]
--- a/marbleworks/lab/stage.py
+++ b/marbleworks/lab/stage.py
@@ -1,6 +1,6 @@
-"""What an experiment stands on: a fleet and routers as processes, on ports of their own, ended with it.
+"""Test stage of an experiment: a fleet of engines and routers as processes, on ports of their own.
 
-It owns the processes it started and a folder for their files, and ends just those.
+The module owns the processes that it started and a folder for their files, and ends only those.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from marbleworks.lab.faultnet import FaultNet, Lines
 from marbleworks.lab.standins import HOST, RpcClient, configuration
 
-READY_WITHIN = 20.0  # seconds for a process to answer
-PROFILES = {  # name: benefit, latency target and client timeout in seconds, what a second run would do
+START_TIMEOUT_S = 20.0  # for a process to answer
+PROFILES = {  # by name: benefit, latency target and client timeout in seconds, effect of a repetition
     "date-lookup": (1.0, 0.5, 2.0, "read_like"),
     "market-report": (4.0, 20.0, 30.0, "read_like"),
     "booking-load": (8.0, 3.0, 6.0, "non_idempotent"),
@@ -35,12 +35,26 @@
 def settings(
     cores: int, heed: float = 5.0, tenants: Sequence[str] = TENANTS, routers: int = 1, me: int = 0
 ) -> dict[str, Any]:
-    """A deployment of one hall. heed: the longest time to come back that its clients heed, in seconds."""
+    """Returns the settings of a deployment with one zone.
+
+    Args:
+        cores: Cores of an engine.
+        heed: Longest Retry-After in seconds that clients honour.
+        tenants: Names of the tenants.
+        routers: Number of routers.
+        me: Number of the router that gets the settings.
+    """
     classes = [
-        {"name": name, "credit": worth, "slo_ms": 1e3 * slo, "deadline_ms": 1e3 * wait, "repeat": repeat}
-        for name, (worth, slo, wait, repeat) in PROFILES.items()
+        {
+            "name": name,
+            "credit": benefit,
+            "slo_ms": 1e3 * latency_target_s,
+            "deadline_ms": 1e3 * client_timeout_s,
+            "repeat": repeat,
+        }
+        for name, (benefit, latency_target_s, client_timeout_s, repeat) in PROFILES.items()
     ]
-    none = [False] * len(classes)
+    all_false = [False] * len(classes)
     return {
         "zones": ["hall-a"],
         "kinds": ["std"],
@@ -71,8 +85,8 @@
             "look_back_ms": 10000.0,
         },
         "specifics": {
-            "class_load": none,
-            "class_waits": none,
+            "class_load": all_false,
+            "class_waits": all_false,
             "parallelism": [1] * len(classes),
             "takes_grants": True,
             "when_short": "queue",
@@ -83,8 +97,11 @@
 
 
 def held_port() -> Any:
-    """A socket that keeps a port for a listener which may bind it too (both with SO_REUSEADDR, and this one
-    never listens), so that nobody takes the port between the look and the bind."""
+    """Returns a bound socket that reserves a port for a listener.
+
+    The listener can bind the same port because both set SO_REUSEADDR and this socket never listens. No other
+    process can take the port between its choice and the listener's bind.
+    """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((HOST, 0))
@@ -92,6 +109,7 @@
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
+    """Returns a port that is free now."""
     with socket.socket(type=kind) as sock:
         sock.bind((HOST, 0))
         port: int = sock.getsockname()[1]
@@ -99,7 +117,17 @@
 
 
 class RouterProcess:
-    """One router, which may be killed and started again under its address."""
+    """A router process, which can be killed and started again at the same address.
+
+    Attributes:
+        folder: Folder of its files.
+        address: Address on which it serves clients.
+        config: Its configuration file.
+        operator: Its operator's file.
+        args: Further arguments of its command line.
+        module: Python module that is run.
+        process: The process, if it was started.
+    """
 
     def __init__(self, folder: Path, config: str, listen: int, operator: str = "") -> None:
         self.folder, self.address = folder, (HOST, listen)
@@ -112,14 +140,19 @@
         self.module = "marbleworks"
         self.process: subprocess.Popen[bytes] | None = None
 
-    def start(self, wait: float = READY_WITHIN) -> None:
+    def start(self, wait: float = START_TIMEOUT_S) -> None:
+        """Starts the process and waits until it reports that it is healthy.
+
+        Raises:
+            RuntimeError: It ended or did not answer within `wait` seconds.
+        """
         with open(self.folder / "router.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, "serve", "--config", str(self.config), *self.args],
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
-        until = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         while True:
             try:
                 client = RpcClient(self.address)
@@ -127,15 +160,16 @@
                 if client.hear(1.0)[3][0]:
                     return
             except (OSError, TypeError, gevent.Timeout):
-                if time.monotonic() > until or self.process.poll() is not None:
-                    raise RuntimeError(f"the router did not start: {self.log()[-500:]}") from None
+                if time.monotonic() > deadline or self.process.poll() is not None:
+                    raise RuntimeError(f"router did not start; end of its log: {self.log()[-500:]}") from None
                 gevent.sleep(0.02)
 
     def log(self) -> str:
+        """Returns the text of its log."""
         return (self.folder / "router.log").read_text("utf-8", "replace")
 
     def memory(self) -> float:
-        """Resident megabytes."""
+        """Returns its resident memory in MiB."""
         assert self.process is not None
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
@@ -143,19 +177,23 @@
         return 0.0
 
     def tell(self, number: int) -> None:
-        """Sends a signal."""
+        """Sends a signal, given by its number."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def end(self, number: int = signal.SIGTERM, wait: float = 8.0) -> int | None:
-        """Its exit code; None where it had to be killed after the wait."""
+        """Sends a signal and waits for the end of the process.
+
+        Returns:
+            The exit code; None if there was no process or it had to be killed after `wait` seconds.
+        """
         if self.process is None:
             return None
         process, self.process = self.process, None
         if process.poll() is None:
             process.send_signal(number)
-        until = time.monotonic() + wait
-        while process.poll() is None and time.monotonic() < until:
+        deadline = time.monotonic() + wait
+        while process.poll() is None and time.monotonic() < deadline:
             gevent.sleep(0.01)
         if process.poll() is None:
             process.kill()
@@ -165,7 +203,18 @@
 
 
 class Stage:
-    """A fleet of engines and a router, or a group of them, for a `with`."""
+    """A fleet of engines with a router or a group of routers, as a context manager.
+
+    Attributes:
+        folder: Folder of all files.
+        fleet: Process of the engines.
+        spool: Folder of the spool.
+        routers: The router processes.
+        router: The first of them.
+        ports: Sockets that reserve the routers' ports.
+        lines: Relays for connections, by router number, if there are any.
+        profiles: Statements in flight by profile, at all engines together, as of the last `tell_fleet`.
+    """
 
     def __init__(
         self,
@@ -179,8 +228,20 @@
         net: FaultNet | None = None,
         lines: bool = False,
     ) -> None:
-        """net: what datagrams between the routers pass, in place of the fleet's relays. lines: whether each
-        router's clients and engines pass relays too, whose fronts clients then connect to."""
+        """Starts the engines and writes the routers' files.
+
+        Args:
+            engines: Number of engines.
+            cores: Cores of an engine.
+            operator: Text of the operator's file; FOLDER stands for the folder of the spool.
+            heed: Longest Retry-After in seconds that clients honour.
+            sockets: Most sockets that a router may have open.
+            tenants: Names of the tenants.
+            routers: Number of routers.
+            net: Network for datagrams between the routers; by default the relays of the fleet.
+            lines: Whether the connections of each router's clients and engines pass relays; clients then
+                connect to the front of `lines`.
+        """
         self.folder = Path(tempfile.mkdtemp(prefix="marbleworks-lab-"))
         self.fleet: Any = subprocess.Popen(
             [sys.executable, "-m", "marbleworks.lab.fleet", str(engines), str(cores), str(routers)],
@@ -188,28 +249,30 @@
             stdout=subprocess.PIPE,
             env=os.environ | {"PYTHONUNBUFFERED": "1"},
         )
-        told = json.loads(self.fleet.stdout.readline())
-        listed: dict[str, Any] = dict(told["engines"])
+        fleet_addresses = json.loads(self.fleet.stdout.readline())
+        engine_addresses: dict[str, Any] = dict(fleet_addresses["engines"])
         self.spool = self.folder / "spool"
         self.routers: list[RouterProcess] = []
         self.ports = [held_port() for _ in range(routers)]
-        hear = [free_port(socket.SOCK_DGRAM) for _ in range(routers)]
-        self.tell_fleet(peers=hear)
+        peer_ports = [free_port(socket.SOCK_DGRAM) for _ in range(routers)]
+        self.tell_fleet(peers=peer_ports)
         if net is not None:
-            net.listen(hear)
-        seen = [(host, port) for _, (host, port) in told["relays"]]
+            net.listen(peer_ports)
+        peer_addresses = [(host, port) for _, (host, port) in fleet_addresses["relays"]]
         self.lines: list[Lines] = []
-        for me, (everyone, _) in enumerate(told["relays"]):
-            listen, directory = self.ports[me].getsockname()[1], tuple(told["directory"])
-            terms = settings(cores, heed, tenants, routers, me)
-            group = (seen, everyone) if net is None else net.of(me)
-            seen_engines = listed
+        for me, (broadcast_address, _) in enumerate(fleet_addresses["relays"]):
+            listen, directory = self.ports[me].getsockname()[1], tuple(fleet_addresses["directory"])
+            router_settings = settings(cores, heed, tenants, routers, me)
+            group = (peer_addresses, broadcast_address) if net is None else net.of(me)
+            visible_engines = engine_addresses
             if lines:
-                self.lines.append(Lines((HOST, listen), directory, listed))
-                directory, seen_engines = self.lines[me].directory, dict(self.lines[me].engines)
-            config = configuration(listen, hear[me], directory, seen_engines, terms, sockets, group)
-            home, text = self.folder / f"router-{me}", operator.replace("FOLDER", str(self.spool))
-            self.routers.append(RouterProcess(home, config, listen, text))
+                self.lines.append(Lines((HOST, listen), directory, engine_addresses))
+                directory, visible_engines = self.lines[me].directory, dict(self.lines[me].engines)
+            config = configuration(
+                listen, peer_ports[me], directory, visible_engines, router_settings, sockets, group
+            )
+            router_folder, text = self.folder / f"router-{me}", operator.replace("FOLDER", str(self.spool))
+            self.routers.append(RouterProcess(router_folder, config, listen, text))
         self.router = self.routers[0]
 
     def __enter__(self) -> Stage:
@@ -241,40 +304,40 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def twin(self, number: int, net: FaultNet) -> RouterProcess:
-        """A second process of a router's name and number, with ports of its own; the caller ends it."""
+        """Returns a second process of the same router on ports of its own, to be ended by the caller."""
         self.ports.append(held_port())
-        listen, hear = self.ports[-1].getsockname()[1], free_port(socket.SOCK_DGRAM)
-        net.twins[number] = hear
-        told = json.loads(self.routers[number].config.read_text())
-        told |= {"listen": f"{HOST}:{listen}", "peer_listen": f"{HOST}:{hear}"}
+        listen, peer_port = self.ports[-1].getsockname()[1], free_port(socket.SOCK_DGRAM)
+        net.twins[number] = peer_port
+        router_config = json.loads(self.routers[number].config.read_text())
+        router_config |= {"listen": f"{HOST}:{listen}", "peer_listen": f"{HOST}:{peer_port}"}
         operator = self.routers[number].operator
         text = operator.read_text() if operator.exists() else ""
-        return RouterProcess(self.folder / f"twin-{number}", json.dumps(told), listen, text)
+        return RouterProcess(self.folder / f"twin-{number}", json.dumps(router_config), listen, text)
 
-    def tell_fleet(self, **what: Any) -> list[dict[str, Any]]:
-        """Tells it something, and gives what each engine has done so far."""
-        self.fleet.stdin.write(json.dumps(what).encode() + b"\n")
+    def tell_fleet(self, **command: Any) -> list[dict[str, Any]]:
+        """Sends a command to the fleet and returns the counters of each engine."""
+        self.fleet.stdin.write(json.dumps(command).encode() + b"\n")
         self.fleet.stdin.flush()
-        said = json.loads(self.fleet.stdout.readline())
-        self.profiles: dict[str, dict[str, Any]] = said["profiles"]  # of all engines together
-        engines: list[dict[str, Any]] = said["engines"]
+        reply = json.loads(self.fleet.stdout.readline())
+        self.profiles: dict[str, dict[str, Any]] = reply["profiles"]
+        engines: list[dict[str, Any]] = reply["engines"]
         return engines
 
 
 def about(stage: Stage, number: int, what: str = "budgets") -> dict[str, Any]:
-    """What a router shows of a subsystem; nothing where it does not answer."""
+    """Returns what a router's `health` shows of a subsystem; empty if the router does not answer."""
     try:
         client = RpcClient(stage.routers[number].address)
         client.send(0, 1, "health", [{"about": what}])
-        told: dict[str, Any] = client.hear(1.0)[3][1]
+        report: dict[str, Any] = client.hear(1.0)[3][1]
         client.sock.close()
-        return told
+        return report
     except (OSError, TypeError, gevent.Timeout):
         return {}
 
 
 def divided(stage: Stage, name: str) -> bool:
-    """Whether some router's books have a budget of which nothing is free or not known."""
+    """Returns whether a leader's ledger shows the whole of a budget as known and allocated."""
     for n in range(len(stage.routers)):
         for row in about(stage, n).get("books", []):
             if row[0] == name:
@@ -282,10 +345,10 @@
     return False
 
 
-def until(true: Callable[[], bool], wait: float = READY_WITHIN) -> bool:
-    """Looks often, until it is true or the wait is over."""
+def until(condition: Callable[[], bool], wait: float = START_TIMEOUT_S) -> bool:
+    """Polls until a condition is true. Returns whether that was the case within `wait` seconds."""
     end = time.monotonic() + wait
-    while not true():
+    while not condition():
         if time.monotonic() > end:
             return False
         gevent.sleep(0.05)
--- a/marbleworks/lab/standins.py
+++ b/marbleworks/lab/standins.py
@@ -1,6 +1,7 @@
-"""Stand-ins on sockets, written from the protocol: an sql engine, a client, the directory, a configuration.
+"""Stand-ins on sockets, written from the protocol: a SQL engine, a client, the directory and a configuration.
 
-They do what they are told and keep what they saw. Nothing here decides, and the router never imports it.
+They follow instructions and record what they receive. They make no decisions, and the router never imports
+them.
 """
 
 from __future__ import annotations
@@ -19,6 +20,7 @@
 
 
 def answer(status: int, body: bytes = b"", **fields: object) -> bytes:
+    """Returns an HTTP response; underscores in the names of header fields become hyphens."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items())
     return f"HTTP/1.1 {status} Said\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -27,7 +29,15 @@
 
 
 class SqlEngine:
-    """Answers each call by the function given; None answers nothing, b"" ends the connection."""
+    """An engine that answers each call with a given function.
+
+    Attributes:
+        reply: Returns the response to a call. None sends nothing, and b"" closes the connection.
+        calls: Verb and path, header fields and body of each call.
+        sock: The listener.
+        address: Address of the listener.
+        connections: Number of connections accepted.
+    """
 
     def __init__(self, reply: Reply) -> None:
         self.reply, self.calls, self.sock = reply, list[tuple[str, dict[str, str], bytes]](), socket.socket()
@@ -41,9 +51,9 @@
         while True:
             sock, _ = self.sock.accept()
             self.connections += 1
-            spawn(self._talk, sock)
+            spawn(self._serve_connection, sock)
 
-    def _talk(self, sock: Any) -> None:
+    def _serve_connection(self, sock: Any) -> None:
         with sock, sock.makefile("rb") as lines:
             while first := lines.readline():
                 fields = {}
@@ -53,17 +63,26 @@
                 body = lines.read(int(fields.get("Content-Length", 0)))
                 call = first.decode().rpartition(" ")[0]
                 self.calls.append((call, fields, body))
-                said = self.reply(call, fields, body)
-                if said == b"":
+                response = self.reply(call, fields, body)
+                if response == b"":
                     return
-                if said is not None:
-                    sock.sendall(said)
+                if response is not None:
+                    sock.sendall(response)
 
     def asked(self, verb: str) -> list[str]:
+        """Returns verb and path of the calls with a verb."""
         return [call for call, _, _ in self.calls if call.startswith(verb)]
 
 
 class RpcClient:
+    """A client of the router.
+
+    Attributes:
+        sock: The connection.
+        unpacker: Decoder of received data.
+        last: Number of the last message sent by `ask`.
+    """
+
     def __init__(self, address: tuple[str, int], source: str = "") -> None:
         self.sock = socket.create_connection(
             address, timeout=5, source_address=(source, 0) if source else None
@@ -71,22 +90,38 @@
         self.unpacker, self.last = msgpack.Unpacker(), 0
 
     def send(self, *message: Any) -> None:
+        """Sends a message."""
         self.sock.sendall(msgpack.packb(list(message)))
 
     def ask(self, method: str, text: str = "select 1", ref: str = "", **fields: str) -> int:
+        """Sends a request.
+
+        Args:
+            method: Request class.
+            text: The statement.
+            ref: Id of the request; derived from the message number if empty.
+            **fields: Further fields of the request.
+
+        Returns:
+            The message number.
+        """
         self.last += 1
-        told = {
+        header = {
             "id": ref or f"{self.last:016x}",
             "wait": "3000",
             "tenant": "acme",
             "cost": "50",
             "need_mb": "9",
         }
-        self.send(0, self.last, method, [told | fields, text.encode()])
+        self.send(0, self.last, method, [header | fields, text.encode()])
         return self.last
 
     def hear(self, wait: float = 5.0) -> Any:
-        """The next message; None where the router ends the connection."""
+        """Returns the next message, or None if the router has closed the connection.
+
+        Raises:
+            Timeout: No message came within `wait` seconds.
+        """
         with Timeout(wait):
             while True:
                 for message in self.unpacker:
@@ -100,19 +135,28 @@
 def dns_answer(
     question: bytes, serial: int, engines: dict[str, tuple[str, int]], cut: bool = False, started: int = 5000
 ) -> bytes:
-    asked = dns.message.from_wire(question)
-    said = dns.message.make_response(asked)
-    name = asked.question[0].name
+    """Returns the directory's response to a query.
+
+    Args:
+        question: The query.
+        serial: Version of the list.
+        engines: Address of each engine, keyed by name.
+        cut: Whether the response is marked as truncated.
+        started: Start time of the engines as it is published.
+    """
+    query = dns.message.from_wire(question)
+    response = dns.message.make_response(query)
+    name = query.question[0].name
     for engine, (host, port) in engines.items():
         target = f"{engine}.hall-a.hosts."
-        said.answer.append(dns.rrset.from_text(name, 1, "IN", "SRV", f"0 40 {port} {target}"))
-        said.additional.append(dns.rrset.from_text(target, 1, "IN", "A", host))
-        said.additional.append(
+        response.answer.append(dns.rrset.from_text(name, 1, "IN", "SRV", f"0 40 {port} {target}"))
+        response.additional.append(dns.rrset.from_text(target, 1, "IN", "A", host))
+        response.additional.append(
             dns.rrset.from_text(target, 1, "IN", "TXT", f'"kind=std" "cell=2" "started={started}"')
         )
-    said.authority.append(dns.rrset.from_text(name, 1, "IN", "SOA", f"a. b. {serial} 1 1 1 1"))
-    said.flags |= dns.flags.TC if cut else 0
-    return said.to_wire()
+    response.authority.append(dns.rrset.from_text(name, 1, "IN", "SOA", f"a. b. {serial} 1 1 1 1"))
+    response.flags |= dns.flags.TC if cut else 0
+    return response.to_wire()
 
 
 def configuration(
@@ -124,9 +168,19 @@
     sockets: int = 256,
     group: tuple[list[tuple[str, int]], tuple[str, int]] | None = None,
 ) -> str:
-    """A router's configuration. group: the addresses of all peers, and the one that reaches them all; without
-    it, its only peer is itself."""
-    peers, everyone = group or ([(HOST, peer)], (HOST, peer))
+    """Returns the text of a router's configuration.
+
+    Args:
+        listen: Port for clients.
+        peer: Port for datagrams of peers.
+        nameserver: Address of the directory.
+        engines: Address of each engine, keyed by name.
+        settings: The settings.
+        sockets: Most sockets that the router may have open.
+        group: Addresses of all peers, and the address that reaches all of them. By default the router is its
+            only peer.
+    """
+    peers, broadcast_address = group or ([(HOST, peer)], (HOST, peer))
     members = [
         {
             "id": name,
@@ -149,7 +203,7 @@
             "limits": {"sockets": sockets},
             "peer_listen": f"{HOST}:{peer}",
             "peers": [f"{host}:{port}" for host, port in peers],
-            "peers_all": f"{everyone[0]}:{everyone[1]}",
+            "peers_all": f"{broadcast_address[0]}:{broadcast_address[1]}",
             "nameserver": f"{nameserver[0]}:{nameserver[1]}",
             "settings": settings,
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": pool}]},
--- a/marbleworks/lab/stepped.py
+++ b/marbleworks/lab/stepped.py
@@ -1,6 +1,6 @@
-"""A router whose clock for `time.time` steps when it is told to: at SIGUSR1, by MARBLEWORKS_LAB_STEP seconds.
+"""Runs a router whose wall clock (`time.time`) steps by MARBLEWORKS_LAB_STEP seconds at each SIGUSR1.
 
-It owns that one step and changes nothing else of the program it runs.
+Nothing else of the program is changed.
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 
 
 def main() -> None:
-    true, stepped = time.time, [0.0]
-    time.time = lambda: true() + stepped[0]
+    """Replaces `time.time`, installs the signal handler and runs the router."""
+    real_time, offset = time.time, [0.0]
+    time.time = lambda: real_time() + offset[0]
 
-    def step(number: int, frame: Any) -> None:
-        stepped[0] += float(os.environ["MARBLEWORKS_LAB_STEP"])
+    def step(signal_number: int, frame: Any) -> None:
+        offset[0] += float(os.environ["MARBLEWORKS_LAB_STEP"])
 
     signal.signal(signal.SIGUSR1, step)
     runpy.run_module("marbleworks", run_name="__main__", alter_sys=True)
