--- a/marbleworks/lab/purses.py
+++ b/marbleworks/lab/purses.py
@@ -110,7 +110,7 @@
     # Actions.
 
     def passes(self, step: float) -> None:
-        """Lets time pass, in seconds; routers call off attempts beyond their lease."""
+        """Lets time pass, in seconds; routers call off overdue attempts."""
         self.now += step
         for number in range(len(self.routers)):
             self._call_off(number)
--- a/marbleworks/lab/standins.py
+++ b/marbleworks/lab/standins.py
@@ -51,9 +51,9 @@
         while True:
             sock, _ = self.sock.accept()
             self.connections += 1
-            spawn(self._serve_connection, sock)
+            spawn(self._talk, sock)
 
-    def _serve_connection(self, sock: Any) -> None:
+    def _talk(self, sock: Any) -> None:
         with sock, sock.makefile("rb") as lines:
             while first := lines.readline():
                 fields = {}
