--- a/marbleworks/lab/home_moves.py
+++ b/marbleworks/lab/home_moves.py
@@ -351,4 +351,4 @@
     settled(world)
     world.begins(3, 0)
     world.planned((1, 0))
-    return every_order(world, depth, lambda one: one.moves(step))
+    return every_order(world, depth, lambda state: state.moves(step))
--- a/marbleworks/lab/report.py
+++ b/marbleworks/lab/report.py
@@ -14,9 +14,9 @@
 import numpy as np
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], percent: float) -> float:
     """Returns a percentile by linear interpolation; 0 if there are no values."""
-    return float(np.percentile(values, part)) if values else 0.0
+    return float(np.percentile(values, percent)) if values else 0.0
 
 
 @dataclass
