--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -250,7 +250,7 @@
     counts = (4, 8, 16)
     found = flat.sizes(counts, (2, 2, 1), (1, 1, 1), seed=2)
     assert set(found) == {
-        name for name, (_, against) in capacity.NAMES.items() if against == capacity.ROUTERS
+        name for name, (_, against) in capacity.MEASUREMENTS.items() if against == capacity.GROUP_ROUTERS
     }
     assert all(len(values) == 3 and min(values) > 0 for values in found.values())
     # The divider tells each of the others: what it sends grows with the group, what others send hardly.
@@ -383,22 +383,22 @@
 
 def whole() -> Slopes:
     slopes = Slopes()
-    for name, (what, against) in capacity.NAMES.items():
+    for name, (what, against) in capacity.MEASUREMENTS.items():
         slopes.add(fitted(name, what, against, "in process", SIZES, [0.001 * x for x in SIZES]))
     return slopes
 
 
 def test_what_is_worked_out_says_how_far_beyond_and_what_is_missing_first(tmp_path: Path) -> None:
     report, slopes = Report("capacity"), whole()
-    capacity.worked_out(report, slopes)
-    capacity.told(report, slopes)
+    capacity.add_extrapolations(report, slopes)
+    capacity.add_slopes(report, slopes)
     assert report.figures["flat_member_cpu"] == pytest.approx(4.6)
     assert report.figures["flat_member_cpu_of_allowed"] == pytest.approx(4.6 / 0.018)
     assert report.figures["flat_member_cpu_sizes_beyond"] == pytest.approx(4600 / 640)
     missing = [name for name in report.figures if name.startswith("missing_")]
     values = [report.figures[name] for name in missing]
     assert len(missing) == 5 and values == sorted(values, reverse=True)
-    assert len(report.rows) == len(report.claims) == len(capacity.NAMES) and report.holds
+    assert len(report.rows) == len(report.claims) == len(capacity.MEASUREMENTS) and report.holds
     report.write(tmp_path)
     import json
 
@@ -411,18 +411,18 @@
     report, slopes = Report("capacity"), whole()
     bent = [0.001 * x for x in SIZES[:-1]] + [0.8]
     slopes.by_name["member_cpu"] = fitted("member_cpu", "", "", "simulated", SIZES, bent)
-    capacity.told(report, slopes)
+    capacity.add_slopes(report, slopes)
     failed = [claim["name"] for claim in report.claims if not claim["holds"]]
     assert len(failed) == 1 and failed[0].startswith("member_cpu at 640")
 
 
 def test_simulated_and_hollow_routers_are_compared_where_both_were_measured() -> None:
     report, slopes = Report("capacity"), whole()
-    capacity.compared(report, slopes)
+    capacity.compare_with_hollow(report, slopes)
     assert not report.claims  # none without hollow ones
     hollow = (50.0, 100.0, 200.0, 400.0, 800.0, 1600.0)
     for name, times in (("hollow_bytes", 1.1), ("hollow_datagrams", 1.3)):
         slopes.add(fitted(name, "", "", "processes", hollow, [0.001 * times * x for x in hollow]))
-    capacity.compared(report, slopes)
+    capacity.compare_with_hollow(report, slopes)
     assert [claim["holds"] for claim in report.claims] == [True, False]
     assert "at 400" in report.claims[0]["name"]  # the largest that both reached
