--- a/marbleworks/lab/capacity.py
+++ b/marbleworks/lab/capacity.py
@@ -16,7 +16,7 @@
 
 from marbleworks.lab import flat, sizes
 from marbleworks.lab.report import Report
-from marbleworks.lab.slopes import Slopes, fitted
+from marbleworks.lab.slopes import Slopes, fit
 
 MAX_PREDICTION_ERROR = 0.15  # relative error of the prediction for the largest size
 MAX_SIMULATION_DIFFERENCE = 0.15  # relative difference between simulated and hollow routers
@@ -164,37 +164,45 @@
     """Adds the slopes that are measured in simulated time."""
 
     def add(name: str, xs: Sequence[float], ys: Sequence[float]) -> None:
-        slopes.add(fitted(name, *MEASUREMENTS[name], "simulated", xs, ys, seed))
+        slopes.add(fit(name, *MEASUREMENTS[name], "simulated", xs, ys, seed))
 
-    for name, values in flat.sizes(plan.groups, plan.starts_per_group, plan.deaths_per_group, seed).items():
+    for name, values in flat.measure_sizes(
+        plan.groups, plan.starts_per_group, plan.deaths_per_group, seed
+    ).items():
         add(name, plan.groups, values)
     add(
-        "restart_bytes", plan.restart_rates, flat.churned(plan.restart_rates, seed, seconds=plan.rate_seconds)
+        "restart_bytes",
+        plan.restart_rates,
+        flat.measure_restarts(plan.restart_rates, seed, seconds=plan.rate_seconds),
+    )
+    add(
+        "loss_bytes",
+        plan.loss_percents,
+        flat.measure_losses(plan.loss_percents, seed, seconds=plan.rate_seconds),
     )
-    add("loss_bytes", plan.loss_percents, flat.lossy(plan.loss_percents, seed, seconds=plan.rate_seconds))
 
 
 def measure_in_process(slopes: Slopes, plan: MeasurementPlan, seed: int) -> None:
     """Adds the slopes that are measured in this process."""
     families: list[tuple[Callable[..., dict[str, list[float]]], Sequence[Any]]] = [
-        (sizes.decisions, plan.engines),
-        (sizes.table_groups, plan.table_groups),
-        (sizes.tenants, plan.tenants),
-        (sizes.held, plan.held_requests),
-        (sizes.lists, plan.listed_engines),
-        (sizes.ledgers, plan.reporting_routers),
-        (sizes.ledger_states, plan.ledger_shapes),
-        (sizes.purses, plan.budgets),
-        (sizes.doors, plan.fair_queue_members),
+        (sizes.measure_decisions, plan.engines),
+        (sizes.measure_table_groups, plan.table_groups),
+        (sizes.measure_tenants, plan.tenants),
+        (sizes.measure_reviews, plan.held_requests),
+        (sizes.measure_lists, plan.listed_engines),
+        (sizes.measure_ledgers, plan.reporting_routers),
+        (sizes.measure_ledger_states, plan.ledger_shapes),
+        (sizes.measure_local_budgets, plan.budgets),
+        (sizes.measure_admission, plan.fair_queue_members),
     ]
     values_by_family = [(xs, family(xs, plan.passes, seed)) for family, xs in families]
     values_by_family.append(
-        (plan.idle_clients, sizes.clients(plan.idle_clients, plan.samples_per_client_count))
+        (plan.idle_clients, sizes.measure_clients(plan.idle_clients, plan.samples_per_client_count))
     )
     for xs, values_by_name in values_by_family:
         measured_sizes = [x[0] * x[1] if isinstance(x, tuple) else x for x in xs]
         for name, values in values_by_name.items():
-            slopes.add(fitted(name, *MEASUREMENTS[name], "in process", measured_sizes, values, seed))
+            slopes.add(fit(name, *MEASUREMENTS[name], "in process", measured_sizes, values, seed))
 
 
 def measure_optional_modules(slopes: Slopes, seed: int, quick: bool) -> None:
@@ -224,7 +232,13 @@
     ("flat_list_answer_bytes", "list_bytes", TARGET_ENGINES, 1, MAX_ANSWER_BYTES),
     ("flat_ledger_cpu", "ledger_cpu", TARGET_ROUTERS, REPORTS_PER_S * TARGET_ROUTERS, MAX_CPU),
     ("flat_ledger_datagrams_a_second", "ledger_datagrams", TARGET_ROUTERS, 1, 0),
-    ("flat_ledger_state_bytes", "ledger_state", sizes.FEW * TARGET_ROUTERS, 1, MAX_STATE_BYTES),
+    (
+        "flat_ledger_state_bytes",
+        "ledger_state",
+        sizes.SINGLE_DATAGRAM_BUDGETS * TARGET_ROUTERS,
+        1,
+        MAX_STATE_BYTES,
+    ),
     ("flat_report_bytes_a_second", "report_bytes", REPORTED_BUDGETS, REPORTS_PER_S, MAX_BYTES_PER_S),
     ("flat_purse_state_bytes", "purse_state", TARGET_ENGINES, 1, MAX_STATE_BYTES),
     ("client_state_bytes", "client_state", CONNECTIONS_PER_ROUTER, 1, 0),
@@ -318,7 +332,7 @@
             series[f"{name}, curve"] = curve_sizes, [slope.at(curve_size) for curve_size in curve_sizes]
         report.charts.append((title, x, y, series))
     report.logarithmic = True
-    report.extra["slopes"] = slopes.kept()
+    report.extra["slopes"] = slopes.to_dict()
 
 
 def run(report: Report, seed: int, quick: bool) -> None:
@@ -346,4 +360,4 @@
         Bytes for one table group and one engine. The scheduler keeps up to 1,024 table groups.
     """
     engines, groups = 200, 100
-    return (sizes.bare_state(engines, groups) - sizes.bare_state(engines)) / (engines * groups)
+    return (sizes.scheduler_state(engines, groups) - sizes.scheduler_state(engines)) / (engines * groups)
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -41,7 +41,7 @@
 from marbleworks.lab.group import Group
 from marbleworks.lab.purses import ENDS
 from marbleworks.lab.report import Report, percentile
-from marbleworks.lab.slopes import Slope, fitted
+from marbleworks.lab.slopes import Slope, fit
 from marbleworks.membership.messages import MemberState
 
 CELL_SIZE, SPARE_SLOTS = 20, 2  # routers in a cell, and free slots for routers that move there
@@ -697,7 +697,7 @@
 def fit_slopes(figures_by_size: dict[int, dict[str, float]], seed: int) -> list[Slope]:
     """Fits a slope through the measured values of each figure."""
     return [
-        fitted(
+        fit(
             name,
             what,
             "routers in the fleet",
--- a/marbleworks/lab/explore.py
+++ b/marbleworks/lab/explore.py
@@ -1,8 +1,8 @@
-"""An explorer of the group's rights: every order of a few acts to a stated depth, and long random walks.
+"""An explorer of leader election: every order of acts to a given depth, and long random walks.
 
-It plays the decisions alone, with a network that loses, doubles and delays, clocks that run unevenly, and
-routers that stop, go on and start anew without a disk. It owns no decision; it objects when the right is held
-twice or more than the whole is used.
+It runs only the decisions of the routers' code, on a network that loses, duplicates and delays messages, with
+clocks that drift, and with routers that pause, go on and restart without a disk. It raises Broken when there
+are two leaders, or when the quota shares in use exceed the whole.
 """
 
 from __future__ import annotations
@@ -20,25 +20,42 @@
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT, LeaderElection
 from marbleworks.membership.messages import Message
 
-SLACK = 1e-9
+SHARE_TOLERANCE = 1e-9  # tolerance for rounding in sums of quota shares
 
 
 class Broken(Exception):
-    """An invariant does not hold; the acts that led there."""
+    """An invariant does not hold; the message names the acts that led there."""
 
 
 def object_to(group: Group) -> None:
-    """Raises Broken where the right is held twice or more than the whole is used."""
+    """Checks the invariants of a group.
+
+    Raises:
+        Broken: Two routers lead, or the quota shares in use exceed the whole.
+    """
     dividers = group.dividers()
     if len(dividers) > 1:
-        raise Broken(f"at {group.now:.3f} routers {dividers} divide")
+        raise Broken(f"at {group.now:.3f} s routers {dividers} lead; at most one may")
     used = group.used()
-    if used > 1.0 + SLACK:
-        raise Broken(f"at {group.now:.3f} {used:.4f} of the whole are used")
+    if used > 1.0 + SHARE_TOLERANCE:
+        raise Broken(f"at {group.now:.3f} s quota shares of {used:.4f} are in use; at most 1 may be")
 
 
 def walk(seed: int, events: int, count: int = 4, uneven: float = MAX_CLOCK_DRIFT / 2) -> int:
-    """A walk of so many events with faults drawn from the seed; the number of events. Raises Broken."""
+    """Runs a group in simulated time with random faults and checks the invariants after each event.
+
+    Args:
+        seed: Seed of all random choices.
+        events: Events to run, at least.
+        count: Routers in the group.
+        uneven: Largest drift of a clock.
+
+    Returns:
+        The number of events.
+
+    Raises:
+        Broken: An invariant does not hold.
+    """
     chance = random.Random(seed)
     group = Group(count, seed, Terms(term=1.5, lease=1.0), uneven)
     seen = 0
@@ -72,93 +89,133 @@
 
 
 @dataclass
-class Small:
-    """The rights of two or three routers, and what is on its way between them."""
-
-    rights: list[LeaderElection]
-    now: list[float]  # by router's own clock
+class ElectionModel:
+    """Leader election of a few routers, and the messages between them.
+
+    Attributes:
+        elections: The election state of each router.
+        now: The time by each router's clock.
+        starts: The generation of each router.
+        flying: Messages in flight: sender, receiver, message.
+        acts: The latest acts.
+    """
+
+    elections: list[LeaderElection]
+    now: list[float]
     starts: list[int]
     flying: list[tuple[int, int, Message]] = field(default_factory=list)
     acts: tuple[str, ...] = ()
 
     def check(self) -> None:
-        stands = [
+        """Raises Broken if two routers lead, or the quota shares in use exceed the whole."""
+        statuses = [
             r.partition_status(r.router_count, r.router_count, now)
-            for r, now in zip(self.rights, self.now, strict=True)
+            for r, now in zip(self.elections, self.now, strict=True)
         ]
-        held = [r.router_index for r, s in zip(self.rights, stands, strict=True) if s.is_leader]
-        used = sum(s.quota_share for s in stands)
-        if len(held) > 1 or used > 1.0 + SLACK:
-            raise Broken(f"{held} divide and {used:.3f} is used after {', '.join(self.acts)}")
-
-    def does(self, act: str, do: Callable[[Small], None]) -> None:
+        leaders = [r.router_index for r, s in zip(self.elections, statuses, strict=True) if s.is_leader]
+        used = sum(s.quota_share for s in statuses)
+        if len(leaders) > 1 or used > 1.0 + SHARE_TOLERANCE:
+            raise Broken(
+                f"routers {leaders} lead, quota shares of {used:.3f} are in use after {', '.join(self.acts)}"
+            )
+
+    def does(self, act: str, do: Callable[[ElectionModel], None]) -> None:
+        """Performs an act and checks the invariants."""
         self.acts = (*self.acts[-40:], act)
         do(self)
         self.check()
 
-    def moves(self, paces: list[float], step: float) -> Iterator[tuple[str, Callable[[Small], None]]]:
-        """Time passes and any of them sees any upper part of the group; something arrives, twice, or never;
-        one starts anew."""
-        count = len(self.rights)
+    def moves(
+        self, clock_paces: list[float], step: float
+    ) -> Iterator[tuple[str, Callable[[ElectionModel], None]]]:
+        """Yields the acts that are possible, by name.
+
+        Time passes; a router asks for votes while it sees any majority of the group in which it has the
+        lowest number; a message arrives, arrives and stays in flight, or is lost; a router restarts.
+
+        Args:
+            clock_paces: Pace of each router's clock.
+            step: Seconds that pass in an act of time.
+        """
+        count = len(self.elections)
 
-        def passes(s: Small) -> None:
-            s.now = [now + step * pace for now, pace in zip(s.now, paces, strict=True)]
+        def let_time_pass(model: ElectionModel) -> None:
+            model.now = [now + step * pace for now, pace in zip(model.now, clock_paces, strict=True)]
 
-        yield "time", passes
+        yield "time", let_time_pass
         for n in range(count):
             higher = range(n + 1, count)
             subsets = [[n, *rest] for size in range(count - n) for rest in combinations(higher, size)]
             for seen in [part for part in subsets if 2 * len(part) > count]:
 
-                def rings(s: Small, n: int = n, seen: list[int] = seen) -> None:
-                    r = s.rights[n]
-                    r.next_round_at = -math.inf
-                    s.flying += [(n, to, m) for to, m in r.tick(seen, s.starts[n], s.now[n])]
+                def request_votes(model: ElectionModel, n: int = n, seen: list[int] = seen) -> None:
+                    election = model.elections[n]
+                    election.next_round_at = -math.inf
+                    model.flying += [
+                        (n, to, message) for to, message in election.tick(seen, model.starts[n], model.now[n])
+                    ]
 
                 if len(self.flying) < 8:
-                    yield f"{n} asks as of {seen}", rings
-
-            def anew(s: Small, n: int = n) -> None:
-                old = s.rights[n]
-                s.starts = [start + (i == n) for i, start in enumerate(s.starts)]
-                s.rights[n] = LeaderElection(
-                    n, count, s.now[n], old.vote_duration_s, old.lease_s, old.reserved_share
+                    yield f"{n} asks for votes as of {seen}", request_votes
+
+            def restart(model: ElectionModel, n: int = n) -> None:
+                old_election = model.elections[n]
+                model.starts = [start + (i == n) for i, start in enumerate(model.starts)]
+                model.elections[n] = LeaderElection(
+                    n,
+                    count,
+                    model.now[n],
+                    old_election.vote_duration_s,
+                    old_election.lease_s,
+                    old_election.reserved_share,
                 )
 
-            yield f"{n} starts anew", anew
+            yield f"{n} restarts", restart
         for i in range(len(self.flying)):
 
-            def comes(s: Small, i: int = i, twice: bool = False) -> None:
-                sender, to, message = s.flying[i] if twice else s.flying.pop(i)
-                said = s.rights[to].receive(sender, message, s.starts[to], s.now[to])
-                s.flying += [(to, who, m) for who, m in said]
+            def deliver(model: ElectionModel, i: int = i, keep: bool = False) -> None:
+                sender, to, message = model.flying[i] if keep else model.flying.pop(i)
+                replies = model.elections[to].receive(sender, message, model.starts[to], model.now[to])
+                model.flying += [(to, recipient, reply) for recipient, reply in replies]
 
-            def lost(s: Small, i: int = i) -> None:
-                s.flying.pop(i)
+            def lose(model: ElectionModel, i: int = i) -> None:
+                model.flying.pop(i)
 
             sender, to, message = self.flying[i]
             name = f"{sender}>{to} {message.message_type.name}"
-            yield name, comes
-            yield name + " again", partial(comes, twice=True)
-            yield name + " lost", lost
+            yield name, deliver
+            yield name + " again", partial(deliver, keep=True)
+            yield name + " lost", lose
 
 
 def stroll(seed: int, acts: int, count: int = 3) -> int:
-    """A random walk of so many acts, which favours what moves a group on. Raises Broken."""
-    chance, paces = (
+    """Takes a random walk that favours acts which let a group make progress.
+
+    Args:
+        seed: Seed of all random choices.
+        acts: Number of acts.
+        count: Routers.
+
+    Returns:
+        The number of acts.
+
+    Raises:
+        Broken: An invariant does not hold.
+    """
+    chance, clock_paces = (
         random.Random(seed),
         [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0, 1.0, 1.0][:count],
     )
     lease = chance.choice([0.3, 1.0])
-    small = Small(
+    model = ElectionModel(
         [LeaderElection(n, count, 0.0, 1.0, lease, 0.25) for n in range(count)], [0.0] * count, [1] * count
     )
     for _ in range(acts):
         step = chance.choice([0.05, 0.2, 0.45, 0.9])
-        moves = list(small.moves(paces, step))
+        moves = list(model.moves(clock_paces, step))
         weights = [
             0.02
-            if "anew" in name
+            if "restarts" in name
             else 0.15
             if "again" in name or "lost" in name
             else 2.0
@@ -167,48 +224,74 @@
             for name, _ in moves
         ]
         name, do = chance.choices(moves, weights)[0]
-        small.does(name, do)
+        model.does(name, do)
     return acts
 
 
 def exhaust(depth: int, count: int = 2, warm: int = 0, step: float = 0.7) -> int:
-    """Every order of acts to that depth, from a group at rest or one that has divided before (warm: rounds of
-    asking and time, all delivered); the number of states. Raises Broken."""
-    paces = [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0][:count]
-    first = Small(
+    """Tries every order of acts to a depth.
+
+    Args:
+        depth: Acts in a row.
+        count: Routers.
+        warm: Rounds before the first act in which time passes, router 0 asks for votes and all messages
+            arrive; 0 starts from a group without a leader.
+        step: Seconds that pass in an act of time.
+
+    Returns:
+        The number of states that were checked.
+
+    Raises:
+        Broken: An invariant does not hold.
+    """
+    clock_paces = [1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2, 1.0][:count]
+    first = ElectionModel(
         [LeaderElection(n, count, 0.0, 1.0, 1.0, 0.25) for n in range(count)], [0.0] * count, [1] * count
     )
     for _ in range(warm):
-        first.now = [now + 0.45 * pace for now, pace in zip(first.now, paces, strict=True)]
-        first.flying += [(0, to, m) for to, m in first.rights[0].tick(list(range(count)), 1, first.now[0])]
+        first.now = [now + 0.45 * pace for now, pace in zip(first.now, clock_paces, strict=True)]
+        first.flying += [
+            (0, to, message) for to, message in first.elections[0].tick(list(range(count)), 1, first.now[0])
+        ]
         while first.flying:
             sender, to, message = first.flying.pop(0)
-            said = first.rights[to].receive(sender, message, 1, first.now[to])
-            first.flying += [(to, who, m) for who, m in said]
-        first.rights[0].next_round_at = -math.inf
+            replies = first.elections[to].receive(sender, message, 1, first.now[to])
+            first.flying += [(to, recipient, message) for recipient, message in replies]
+        first.elections[0].next_round_at = -math.inf
         first.check()
-    return every_order(first, depth, lambda small: small.moves(paces, step))
+    return every_order(first, depth, lambda model: model.moves(clock_paces, step))
 
 
-class Acts(Protocol):
-    """What is explored: it does an act by its name, and raises Broken where that breaks what holds."""
+class Explorable(Protocol):
+    """A system that can be explored."""
 
-    def does(self, act: str, do: Any) -> None: ...
+    def does(self, act: str, do: Any) -> None:
+        """Performs an act; raises Broken if an invariant does not hold after it."""
+        ...
 
 
-Explored = TypeVar("Explored", bound=Acts)
+Explored = TypeVar("Explored", bound=Explorable)
 
 
 def every_order(first: Explored, depth: int, moves: Callable[[Explored], Iterator[tuple[str, Any]]]) -> int:
-    """Every order of acts to that depth; the number of states."""
-    layer, states = [first], 0
+    """Tries every order of acts to a depth.
+
+    Args:
+        first: The state to start from.
+        depth: Acts in a row.
+        moves: Yields the acts that are possible in a state: a name, and a function to apply to the state.
+
+    Returns:
+        The number of states that were checked.
+    """
+    states_at_depth, state_count = [first], 0
     for _ in range(depth):
-        following = []
-        for one in layer:
-            for name, do in moves(one):
-                nxt = copy.deepcopy(one)
-                nxt.does(name, do)
-                states += 1
-                following.append(nxt)
-        layer = following
-    return states
+        next_states = []
+        for state in states_at_depth:
+            for name, do in moves(state):
+                next_state = copy.deepcopy(state)
+                next_state.does(name, do)
+                state_count += 1
+                next_states.append(next_state)
+        states_at_depth = next_states
+    return state_count
--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -1,9 +1,9 @@
-"""What a flat group of routers costs by its size: the group in simulated time, with bytes, datagrams and
-processor time counted for each router.
+"""Measures what a flat group of routers costs by its size, in simulated time.
 
-It owns the counting alone. A router's processor time is all that is done at its events: its timers, and
-datagrams that come, with decoding, decisions and encoding; where it sends, the simulated network stands in
-for the socket, and takes less. What a socket and an actor cost besides, hollow routers show.
+Bytes, datagrams and processor time are counted for each router. A router's processor time is the time spent
+in its events: timers and received datagrams, with decoding, decisions and encoding. The simulated network
+takes the place of the socket when a router sends, and costs less than a socket does. The cost of sockets and
+actors is measured with hollow routers.
 """
 
 from __future__ import annotations
@@ -16,214 +16,297 @@
 from typing import Any
 
 from marbleworks.lab.group import Group, Router, Weather
-from marbleworks.lab.meter import OWN, PACE, state, uncollected
+from marbleworks.lab.meter import MEASUREMENT_OVERHEAD_S, PACE, collection_disabled, state_bytes
 from marbleworks.membership.messages import MemberState
 
-LOOK, SOON = 0.02, 0.002  # seconds between looks at whether a group has come to something, or has started
-WITHIN = 30.0  # seconds in which it must
-SETTLES = 1.2  # seconds that a group is left alone before it is measured
-WINDOW = 1.2  # seconds of a window over which processor time is counted, two rounds of votes ...
-WINDOWS = 7  # ... of which the middle one counts
-CHURNED, LOSSY = 48, 24  # routers of the group that is restarted, and of that which loses datagrams
+# Seconds between checks of a group's state, and between those of a starting group.
+CHECK_INTERVAL_S, START_CHECK_INTERVAL_S = 0.02, 0.002
+TIMEOUT_S = 30.0  # seconds in which a group must reach the state that is waited for
+SETTLING_S = 1.2  # seconds that a settled group runs before it is measured
+WINDOW_S = 1.2  # seconds over which processor time is counted; two rounds of votes
+WINDOW_COUNT = 7  # number of these, of which the median counts
+# Routers of the group with restarts, and of the group that loses datagrams.
+RESTARTED_GROUP_SIZE, LOSSY_GROUP_SIZE = 48, 24
 
 
-class Counted(Group):
-    """A group that counts, by router: bytes and datagrams sent, bytes heard, processor time in yardsticks."""
+class MeasuredGroup(Group):
+    """A group that counts the work of each router.
+
+    Attributes:
+        sent_datagrams: Datagrams sent, by router.
+        received_bytes: Bytes received, by router.
+        yardsticks: Processor time in yardsticks, by router.
+    """
 
     def __init__(self, count: int, seed: int) -> None:
-        self.sent_datagrams, self.heard_bytes, self.spent = [0] * count, [0] * count, [0.0] * count
+        self.sent_datagrams, self.received_bytes, self.yardsticks = [0] * count, [0] * count, [0.0] * count
         super().__init__(count, seed)
 
     def send(self, sender: int, to: int, data: bytes) -> None:
+        """Counts and sends a datagram."""
         self.sent_datagrams[sender] += 1
         super().send(sender, to, data)
 
-    def passes(self, seconds: float) -> None:
-        """As `run`, with each event's processor time on the account of its router."""
-        end, line, measure = self.now + seconds, self.line, time.process_time
+    def run_measured(self, seconds: float) -> None:
+        """Runs the group like `run` and adds the processor time of each event to its router."""
+        end, line, process_time = self.now + seconds, self.line, time.process_time
         while line and line[0][0] <= end:
             when, _, what, args = heapq.heappop(line)
             self.now = max(self.now, when)
-            number = self._whose(what, args)
-            began = measure()
+            number = self._router_of(what, args)
+            began = process_time()
             what(*args)
-            self.spent[number] += PACE.held(max(measure() - began - OWN, 0.0))
+            self.yardsticks[number] += PACE.to_yardsticks(
+                max(process_time() - began - MEASUREMENT_OVERHEAD_S, 0.0)
+            )
         self.now = end
 
-    def _whose(self, what: Any, args: Any) -> int:
-        owner = getattr(what, "__self__", None)
-        if isinstance(owner, Router):
-            return owner.number
+    def _router_of(self, what: Any, args: Any) -> int:
+        router = getattr(what, "__self__", None)
+        if isinstance(router, Router):
+            return router.number
         to: int = args[1]
         if self.routers[to].alive:
-            self.heard_bytes[to] += len(args[2])
+            self.received_bytes[to] += len(args[2])
         return to
 
-    def until(self, true: Callable[[], bool], step: float = LOOK) -> float:
-        """Seconds until it is, looked at in such steps. RuntimeError where it does not come to be."""
+    def run_until(self, condition: Callable[[], bool], step: float = CHECK_INTERVAL_S) -> float:
+        """Runs the group until a condition holds.
+
+        Args:
+            condition: The condition.
+            step: Seconds between checks of the condition.
+
+        Returns:
+            Seconds until the condition held.
+
+        Raises:
+            RuntimeError: The condition did not hold in time.
+        """
         began = self.now
-        while not true():
-            if self.now > began + WITHIN:
-                raise RuntimeError(f"a group of {self.count} did not come to it in {WITHIN:.0f} s")
-            self.passes(step)
+        while not condition():
+            if self.now > began + TIMEOUT_S:
+                raise RuntimeError(f"a group of {self.count} did not reach the state in {TIMEOUT_S:.0f} s")
+            self.run_measured(step)
         return self.now - began
 
-    def divider(self) -> int:
+    def leader(self) -> int:
+        """Returns the leader, -1 if there is none."""
         return next(iter(self.dividers()), -1)
 
-    def divided(self) -> bool:
-        """Whether one divides among all that live, and its division may be used."""
-        number = self.divider()
+    def is_divided(self) -> bool:
+        """Returns whether a leader has divided the quota among all live routers, in an active division."""
+        number = self.leader()
         rights = self.routers[number].rights if number >= 0 else None
-        there = {router.number for router in self.living()}
+        live_routers = {router.number for router in self.living()}
         return (
             rights is not None
             and rights.division_active
             and not rights.division_pending
-            and set(rights.index_by_router) == there
+            and set(rights.index_by_router) == live_routers
         )
 
 
-def started(count: int, seed: int) -> tuple[Counted, float, float]:
-    """A group whose routers start all at once, from nothing; yardsticks of all, and seconds."""
+def start_group(count: int, seed: int) -> tuple[MeasuredGroup, float, float]:
+    """Starts all routers of a group at once.
+
+    Returns:
+        The group, the processor time of all routers in yardsticks, and the seconds until all agreed.
+    """
     PACE.yardstick()
-    group = Counted(count, seed)
-    took = group.until(group.agreed, SOON)
-    return group, sum(group.spent), took
+    group = MeasuredGroup(count, seed)
+    duration = group.run_until(group.agreed, START_CHECK_INTERVAL_S)
+    return group, sum(group.yardsticks), duration
+
 
+def settle_group(group: MeasuredGroup) -> None:
+    """Brings a group into the state of one that started long ago.
 
-def settled(group: Counted) -> None:
-    """As a group is that started long ago. News of a start of all is told on for seconds that grow with the
-    group and its logarithm (some 45 at 200 routers), and views count as different until each two have spoken;
-    all agree by now, and here both count as over."""
-    group.until(lambda: group.agreed() and group.divided())
+    Gossip about the start of all routers goes on for seconds that grow with the group size and its logarithm
+    (some 45 s at 200 routers), and views count as different until each pair of routers has exchanged a
+    message. All routers agree by now, so this function ends both.
+    """
+    group.run_until(lambda: group.agreed() and group.is_divided())
     for router in group.routers:
         router.members.gossip.transmissions.clear()
         for member in router.members.view.members.values():
             member.differs_since = None
-    group.run(SETTLES)
+    group.run(SETTLING_S)
+
 
+def measure_window(group: MeasuredGroup) -> tuple[float, float]:
+    """Runs a group for a window without events.
 
-def window(group: Counted) -> tuple[float, float]:
-    """Yardsticks a second, mean and the divider's, while nothing happens."""
+    Returns:
+        Yardsticks per second, the mean of all routers and that of the leader.
+    """
     PACE.yardstick()
-    spent, divider = list(group.spent), group.divider()
-    group.passes(WINDOW)
-    each = [(a - b) / WINDOW for a, b in zip(group.spent, spent, strict=True)]
-    return sum(each) / group.count, each[divider]
+    yardsticks_before, leader = list(group.yardsticks), group.leader()
+    group.run_measured(WINDOW_S)
+    each = [(a - b) / WINDOW_S for a, b in zip(group.yardsticks, yardsticks_before, strict=True)]
+    return sum(each) / group.count, each[leader]
 
 
-def steady(groups: Sequence[Counted]) -> dict[str, list[float]]:
-    """Nothing happens. Windows of all groups in turn: for processor time the middle one of each group."""
+def measure_idle(groups: Sequence[MeasuredGroup]) -> dict[str, list[float]]:
+    """Measures groups without events.
+
+    The groups run in turn, one window each, several times over. For processor time the median of a group's
+    windows counts.
+
+    Returns:
+        Values by name, one for each group.
+    """
     before = [(group.now, list(group.sent_bytes), list(group.sent_datagrams)) for group in groups]
-    seen = [[window(group) for group in groups] for _ in range(WINDOWS)]
-    found: dict[str, list[float]] = {}
+    windows = [[measure_window(group) for group in groups] for _ in range(WINDOW_COUNT)]
+    values_by_name: dict[str, list[float]] = {}
     for i, group in enumerate(groups):
-        began, sent, datagrams = before[i]
-        span, divider = group.now - began, group.divider()
-        in_bytes = [(a - b) / span for a, b in zip(group.sent_bytes, sent, strict=True)]
-        in_datagrams = [(a - b) / span for a, b in zip(group.sent_datagrams, datagrams, strict=True)]
-        states = [state(r.fellow) for r in group.routers if r.number != divider]
+        began, sent_bytes_before, sent_datagrams_before = before[i]
+        span, leader = group.now - began, group.leader()
+        byte_rates = [(a - b) / span for a, b in zip(group.sent_bytes, sent_bytes_before, strict=True)]
+        datagram_rates = [
+            (a - b) / span for a, b in zip(group.sent_datagrams, sent_datagrams_before, strict=True)
+        ]
+        states = [state_bytes(r.fellow) for r in group.routers if r.number != leader]
         for name, value in (
-            ("member_cpu", PACE.best * statistics.median(row[i][0] for row in seen)),
-            ("divider_cpu", PACE.best * statistics.median(row[i][1] for row in seen)),
-            ("member_bytes", sum(in_bytes) / group.count),
-            ("divider_bytes", max(in_bytes)),
-            ("member_datagrams", sum(in_datagrams) / group.count),
-            ("divider_datagrams", max(in_datagrams)),
+            ("member_cpu", PACE.best * statistics.median(row[i][0] for row in windows)),
+            ("divider_cpu", PACE.best * statistics.median(row[i][1] for row in windows)),
+            ("member_bytes", sum(byte_rates) / group.count),
+            ("divider_bytes", max(byte_rates)),
+            ("member_datagrams", sum(datagram_rates) / group.count),
+            ("divider_datagrams", max(datagram_rates)),
             ("member_state", statistics.median(states)),
         ):
-            found.setdefault(name, []).append(value)
-    return found
+            values_by_name.setdefault(name, []).append(value)
+    return values_by_name
+
+
+def measure_deaths(group: MeasuredGroup, rounds: int, seed: int) -> dict[str, float]:
+    """Kills one router after the other, and restarts it once all know and the quota has been divided again.
 
+    The leader is not killed: its death costs a term of its lease in addition, whatever the group size.
 
-def deaths(group: Counted, rounds: int, seed: int) -> dict[str, float]:
-    """One router after the other is killed, and started anew once all know and the division has followed. Not
-    the divider: its death costs a term of its right besides, whatever the size."""
-    chance, known = random.Random(seed), list[float]()
-    divides, starts = list[float](), list[float]()
+    Returns:
+        Values by name: the medians of all rounds.
+    """
+    chance, detection_seconds = random.Random(seed), list[float]()
+    division_seconds, start_bytes = list[float](), list[float]()
     for _ in range(rounds):
-        number = chance.choice([r.number for r in group.routers if r.number != group.divider()])
+        number = chance.choice([r.number for r in group.routers if r.number != group.leader()])
         group.changes.clear()
         at = group.now
         group.kill(number)
-        group.until(group.agreed)
-        gone: dict[int, float] = {}
+        group.run_until(group.agreed)
+        detected_after: dict[int, float] = {}
         for when, by, change in group.changes:
-            if change.router == number and change.state is MemberState.DEAD:
-                gone.setdefault(by, when - at)
-        known.append(statistics.median(gone.values()))
-        group.until(group.divided)
-        divides.append(group.now - at)
-        sent, heard = group.sent_bytes[number], group.heard_bytes[number]
+            if change.router == number and change.state_bytes is MemberState.DEAD:
+                detected_after.setdefault(by, when - at)
+        detection_seconds.append(statistics.median(detected_after.values()))
+        group.run_until(group.is_divided)
+        division_seconds.append(group.now - at)
+        sent_before, received_before = group.sent_bytes[number], group.received_bytes[number]
         group.start(number)
         router, everyone = group.routers[number], list(range(group.count))
 
-        def knows_all(router: Router = router, everyone: list[int] = everyone) -> bool:
+        def sees_everyone(router: Router = router, everyone: list[int] = everyone) -> bool:
             return router.members.view.alive_routers() == everyone
 
-        group.until(knows_all)
-        starts.append(group.sent_bytes[number] - sent + group.heard_bytes[number] - heard)
-        group.until(lambda: group.agreed() and group.divided())
+        group.run_until(sees_everyone)
+        start_bytes.append(
+            group.sent_bytes[number] - sent_before + group.received_bytes[number] - received_before
+        )
+        group.run_until(lambda: group.agreed() and group.is_divided())
     return {
-        "death_seconds": statistics.median(known),
-        "divide_seconds": statistics.median(divides),
-        "start_bytes": statistics.median(starts),
+        "death_seconds": statistics.median(detection_seconds),
+        "divide_seconds": statistics.median(division_seconds),
+        "start_bytes": statistics.median(start_bytes),
     }
 
 
-def sizes(
+def measure_sizes(
     counts: Sequence[int], starts: Sequence[int], kills: Sequence[int], seed: int
 ) -> dict[str, list[float]]:
-    """Values by name, in the order of the counts; starts, kills: of each. Starts of all sizes in turn."""
-    groups: dict[int, Counted] = {}
-    spent: dict[int, list[float]] = {count: [] for count in counts}
-    took: dict[int, list[float]] = {count: [] for count in counts}
-    with uncollected():
+    """Measures groups of several sizes; the starts of all sizes take turns.
+
+    Args:
+        counts: Routers of each group.
+        starts: Starts to measure, for each group.
+        kills: Deaths to measure, for each group.
+        seed: Seed of all random choices.
+
+    Returns:
+        Values by name, in the order of the counts.
+    """
+    groups: dict[int, MeasuredGroup] = {}
+    yardsticks: dict[int, list[float]] = {count: [] for count in counts}
+    durations: dict[int, list[float]] = {count: [] for count in counts}
+    with collection_disabled():
         for n in range(max(starts)):
-            for count, times in zip(counts, starts, strict=True):
-                if n < times:
-                    groups[count], cpu, seconds = started(count, seed + n)
-                    spent[count].append(cpu)
-                    took[count].append(seconds)
+            for count, rounds in zip(counts, starts, strict=True):
+                if n < rounds:
+                    groups[count], start_yardsticks, seconds = start_group(count, seed + n)
+                    yardsticks[count].append(start_yardsticks)
+                    durations[count].append(seconds)
         for group in groups.values():
-            settled(group)
-        found = {
-            "start_cpu": [PACE.best * statistics.median(spent[count]) for count in counts],
-            "start_seconds": [statistics.median(took[count]) for count in counts],
-        } | steady([groups[count] for count in counts])
-        for count, times in zip(counts, kills, strict=True):
-            for name, value in deaths(groups[count], times, seed).items():
-                found.setdefault(name, []).append(value)
-    return found
-
-
-def churned(rates: Sequence[float], seed: int, count: int = CHURNED, seconds: float = 8.0) -> list[float]:
-    """Bytes a second of one router, mean, while so many routers a second are killed and started anew at
-    once, as a manager of processes does."""
-    group, _, _ = started(count, seed)
-    chance, out = random.Random(seed), list[float]()
+            settle_group(group)
+        values_by_name = {
+            "start_cpu": [PACE.best * statistics.median(yardsticks[count]) for count in counts],
+            "start_seconds": [statistics.median(durations[count]) for count in counts],
+        } | measure_idle([groups[count] for count in counts])
+        for count, rounds in zip(counts, kills, strict=True):
+            for name, value in measure_deaths(groups[count], rounds, seed).items():
+                values_by_name.setdefault(name, []).append(value)
+    return values_by_name
+
+
+def measure_restarts(
+    rates: Sequence[float], seed: int, count: int = RESTARTED_GROUP_SIZE, seconds: float = 8.0
+) -> list[float]:
+    """Measures a group while routers are killed and restarted at once, as a process manager does.
+
+    Args:
+        rates: Restarts per second.
+        seed: Seed of all random choices.
+        count: Routers in the group.
+        seconds: Duration of each rate.
+
+    Returns:
+        Mean bytes per second sent by one router, for each rate.
+    """
+    group, _, _ = start_group(count, seed)
+    chance, mean_rates = random.Random(seed), list[float]()
     for rate in rates:
-        settled(group)
-        sent, times = sum(group.sent_bytes), round(rate * seconds)
-        for _ in range(times):
-            group.run(seconds / times)
+        settle_group(group)
+        sent_before, restarts = sum(group.sent_bytes), round(rate * seconds)
+        for _ in range(restarts):
+            group.run(seconds / restarts)
             number = chance.randrange(count)
             group.kill(number)
             group.start(number)
-        out.append((sum(group.sent_bytes) - sent) / seconds / count)
-    return out
-
-
-def lossy(percents: Sequence[float], seed: int, count: int = LOSSY, seconds: float = 8.0) -> list[float]:
-    """Bytes a second of one router, mean, while so many of a hundred datagrams are lost."""
-    group, _, _ = started(count, seed)
-    out = list[float]()
+        mean_rates.append((sum(group.sent_bytes) - sent_before) / seconds / count)
+    return mean_rates
+
+
+def measure_losses(
+    percents: Sequence[float], seed: int, count: int = LOSSY_GROUP_SIZE, seconds: float = 8.0
+) -> list[float]:
+    """Measures a group while datagrams are lost.
+
+    Args:
+        percents: Lost datagrams in percent.
+        seed: Seed of all random choices.
+        count: Routers in the group.
+        seconds: Duration of each loss.
+
+    Returns:
+        Mean bytes per second sent by one router, for each loss.
+    """
+    group, _, _ = start_group(count, seed)
+    mean_rates = list[float]()
     for percent in percents:
-        settled(group)
+        settle_group(group)
         group.weather = Weather(loss=percent / 100.0)
-        sent = sum(group.sent_bytes)
+        sent_before = sum(group.sent_bytes)
         group.run(seconds)
-        out.append((sum(group.sent_bytes) - sent) / seconds / count)
+        mean_rates.append((sum(group.sent_bytes) - sent_before) / seconds / count)
         group.weather = Weather()
-    return out
+    return mean_rates
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -30,7 +30,7 @@
 from gevent.lock import BoundedSemaphore
 
 from marbleworks.lab.group import Group
-from marbleworks.lab.slopes import Slope, fitted
+from marbleworks.lab.slopes import Slope, fit
 from marbleworks.lab.stage import settings, until
 from marbleworks.lab.standins import HOST, configuration, dns_answer
 from marbleworks.membership.messages import MemberState
@@ -549,7 +549,7 @@
     counts = [float(m.count) for m in groups]
 
     def against(name: str, what: str, value: Callable[[Measured], float]) -> Slope:
-        return fitted(name, what, routers, "processes", counts, [value(m) for m in groups], seed)
+        return fit(name, what, routers, "processes", counts, [value(m) for m in groups], seed)
 
     def of_each(sent: dict[str, list[float]], i: int) -> float:
         return sum(counted[i] for counted in sent.values())
@@ -581,7 +581,7 @@
             "seconds until a configuration is in force at all, in so few processes",
             lambda m: statistics.median(m.configs),
         ),
-        fitted(
+        fit(
             "hollow_list_cpu",
             "processor seconds a second of one router for the list",
             "engines listed",
@@ -589,7 +589,7 @@
             *_columns(run.lists),
             seed,
         ),
-        fitted(
+        fit(
             "hollow_config_cpu",
             "processor seconds of one router for one configuration",
             "engines listed",
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -1,9 +1,11 @@
-"""Leases between levels without sockets: two cells of three routers and one level above, on a network that
-loses, doubles and delays at will, with clocks that run unevenly, leaders and machines that are followed by
-others, cells cut off from above, and routers that move between cells.
+"""An explorer of budget leases between a level above and its cells, without sockets.
 
-It owns the true count of what is in use at the engines of the whole fleet, and objects when that is more than
-the whole. The decisions are the router's own.
+It simulates two cells of three routers and one level above. The network loses, duplicates and delays
+datagrams, clocks drift, leaders and machines of the level above are replaced, cells are cut off from the
+level above, and routers move between cells.
+
+The module counts the units that are truly in use at all engines and raises Broken when they exceed the
+budget. All decisions are made by the routers' code.
 """
 
 from __future__ import annotations
@@ -31,17 +33,22 @@
 from marbleworks.lab.purses import LEASE, WEIGHTS, Fleet, drawn
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
-ABOVE = 1.5  # seconds of a cell's lease
-CELLS, PLACES = 2, 4  # routers leave a place free, to move to
+CELL_LEASE_S = 1.5  # seconds of a cell's lease
+CELLS, PLACES = 2, 4  # cells, and places of a cell, one of which is free for a router that moves there
 SHARES = CELLS * PLACES
-MACHINES = 2
-MOST_LATE = 12  # datagrams on their way
-LOOKS = 0.1  # seconds between a router's looks for what has to be called off
+MACHINES = 2  # machines of the level above
+MAX_IN_FLIGHT = 12  # datagrams in flight
+OVERDUE_CHECK_INTERVAL_S = 0.1  # seconds between a router's checks for overdue requests
 
 
 @dataclass
-class Desk:
-    """What a router has as the leader of a cell."""
+class LeaderState:
+    """State of a router as the leader of a cell.
+
+    Attributes:
+        ledger: The cell's allocation ledger.
+        lessee: The cell's leases from the level above.
+    """
 
     ledger: AllocationLedger
     lessee: BudgetLeaseHolder
@@ -49,51 +56,86 @@
 
 @dataclass
 class Cell:
-    """leader: who has the right; -1: nobody. desks: of all who had it and don't know better."""
+    """One cell.
+
+    Attributes:
+        leader: The router that is the leader; -1 if there is none.
+        members: Routers by place.
+        starts: Generation of the last router in each place.
+        desks: Leader state by router, also of former leaders that have not noticed their replacement.
+    """
 
     leader: int = -1
-    members: dict[int, int] = field(default_factory=dict)  # a router by place
-    starts: dict[int, int] = field(default_factory=dict)  # of the last one in a place
-    desks: dict[int, Desk] = field(default_factory=dict)
+    members: dict[int, int] = field(default_factory=dict)
+    starts: dict[int, int] = field(default_factory=dict)
+    desks: dict[int, LeaderState] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Letter:
-    """said: by a router (or a machine above, where `above`) to another. cell: whose it is; place: of the
-    router that is not its leader."""
+class Datagram:
+    """A datagram in flight.
+
+    Attributes:
+        sender: The router or machine that sent it.
+        receiver: The router or machine that it is sent to.
+        cell: The cell that it belongs to.
+        place: Place of the router that reports to its leader or is answered; -1 between the leader and the
+            level above.
+        is_above: Whether it is exchanged with the level above.
+        message: Its content.
+    """
 
     sender: int
-    to: int
+    receiver: int
     cell: int
     place: int
-    above: bool
-    said: Said
+    is_above: bool
+    message: Said
 
     def name(self) -> str:
-        return f"{self.sender}>{self.to}{'^' if self.above else ''} {type(self.said).__name__}"
+        """Returns a name for the log of acts."""
+        return f"{self.sender}>{self.receiver}{'^' if self.is_above else ''} {type(self.message).__name__}"
 
 
 @dataclass
 class World(Fleet):
-    """tops: paces of the clocks of the machines above."""
-
-    tops: list[float] = field(default_factory=lambda: [1.0 + MAX_CLOCK_DRIFT / 2, 1.0 - MAX_CLOCK_DRIFT / 2])
-    top: int = -1
+    """A fleet in cells, with the level above and the network.
+
+    Attributes:
+        machine_paces: Paces of the clocks of the machines above.
+        top_machine: The machine that leads the level above; -1 if there is none.
+        lessor: The leases that the level above grants.
+        machine_starts: Generations of the machines above.
+        top_term: Term of the level above.
+        top_budget: The budget by the file of the machines above.
+        cells: The cells.
+        home: Cell and place by router.
+        cut_cells: Cells that are cut off from the level above.
+        muted_routers: Routers whose datagrams get lost.
+        stale_routers: Routers that do not hear of a new leader.
+        followed_leaders: The leader that each router reports to.
+        flying: Datagrams in flight.
+    """
+
+    machine_paces: list[float] = field(
+        default_factory=lambda: [1.0 + MAX_CLOCK_DRIFT / 2, 1.0 - MAX_CLOCK_DRIFT / 2]
+    )
+    top_machine: int = -1
     lessor: BudgetLeaseGranter | None = None
-    top_starts: list[int] = field(default_factory=lambda: [1] * MACHINES)
-    reigns: int = 0
-    top_whole: Budget | None = None
+    machine_starts: list[int] = field(default_factory=lambda: [1] * MACHINES)
+    top_term: int = 0
+    top_budget: Budget | None = None
     cells: list[Cell] = field(default_factory=list)
-    home: dict[int, tuple[int, int]] = field(default_factory=dict)  # cell and place, by router
-    cut: set[int] = field(default_factory=set)  # cells that are cut off from above
-    mute: set[int] = field(default_factory=set)  # routers whose datagrams get lost
-    stale: set[int] = field(default_factory=set)  # routers that don't hear of a new leader
-    heeds: dict[int, int] = field(default_factory=dict)  # whom a router tells
-    flying: list[Letter] = field(default_factory=list)
+    home: dict[int, tuple[int, int]] = field(default_factory=dict)
+    cut_cells: set[int] = field(default_factory=set)
+    muted_routers: set[int] = field(default_factory=set)
+    stale_routers: set[int] = field(default_factory=set)
+    followed_leaders: dict[int, int] = field(default_factory=dict)
+    flying: list[Datagram] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.top_whole = self.wholes[0]
+        self.top_budget = self.wholes[0]
         self.cells = [Cell() for _ in range(CELLS)]
         for n in range(len(self.routers)):
             cell, place = n % CELLS, n // CELLS
@@ -107,83 +149,105 @@
         return purse
 
     def above(self, machine: int) -> float:
-        """A machine's clock."""
-        return 500.0 + self.now * self.tops[machine]
+        """Returns the time by the clock of a machine of the level above."""
+        return 500.0 + self.now * self.machine_paces[machine]
 
     def may(self, cell: int, number: int) -> bool:
-        """Whether it leads, by its own clock: also one that stood still asks that before it acts."""
+        """Returns whether a router leads the cell by its own clock.
+
+        A leader checks this before it acts, also after its process stood still.
+        """
         return self.cells[cell].leader == number
 
     # Acts.
 
     def passes(self, step: float) -> None:
+        """Lets time pass in steps, with a check for overdue requests after each."""
         while step > 1e-9:
-            super().passes(min(step, LOOKS))
-            step -= LOOKS
+            super().passes(min(step, OVERDUE_CHECK_INTERVAL_S))
+            step -= OVERDUE_CHECK_INTERVAL_S
 
     def tells(self, number: int) -> None:
+        """Sends a router's reports to the leader that it follows."""
         cell, place = self.home[number]
-        if number not in self.stale:
-            self.heeds[number] = self.cells[cell].leader
-        leader = self.heeds.get(number, -1)
+        if number not in self.stale_routers:
+            self.followed_leaders[number] = self.cells[cell].leader
+        leader = self.followed_leaders.get(number, -1)
         if leader < 0 or self.home[leader][0] != cell:
             return
         self.wants(number)
-        router, (_, at) = self.routers[number], self.home[leader]
-        start = self.cells[cell].starts[at]
+        router, (_, leader_place) = self.routers[number], self.home[leader]
+        start = self.cells[cell].starts[leader_place]
         for report in router.purse.make_reports(
-            at, start, self.cells[cell].starts[place], self.clock(number)
+            leader_place, start, self.cells[cell].starts[place], self.clock(number)
         ):
-            self.flying.append(Letter(number, leader, cell, place, False, report))
+            self.flying.append(Datagram(number, leader, cell, place, False, report))
 
     def leader_tells(self, cell: int, number: int) -> None:
+        """Sends a leader's messages to the level above."""
         lessee = self.cells[cell].desks[number].lessee
-        for machine, said in lessee.tells(self.clock(number)):
-            self.flying.append(Letter(number, machine, cell, -1, True, said))
+        for machine, message in lessee.tells(self.clock(number)):
+            self.flying.append(Datagram(number, machine, cell, -1, True, message))
 
     def comes(self, i: int, keep: bool) -> None:
-        letter = self.flying[i] if keep else self.flying.pop(i)
-        said, cell = letter.said, letter.cell
-        if letter.above and cell in self.cut:
+        """Delivers the datagram at an index.
+
+        Args:
+            i: Index in `flying`.
+            keep: Whether it stays in flight, to be delivered again.
+        """
+        datagram = self.flying[i] if keep else self.flying.pop(i)
+        message, cell = datagram.message, datagram.cell
+        if datagram.is_above and cell in self.cut_cells:
             return
-        if letter.place >= 0 and letter.sender != letter.to and self.mute & {letter.sender, letter.to}:
+        if (
+            datagram.place >= 0
+            and datagram.sender != datagram.receiver
+            and self.muted_routers & {datagram.sender, datagram.receiver}
+        ):
             return
-        if letter.above and isinstance(said, Hello | BudgetReport):
-            self._comes_up(letter)
-        elif letter.above and isinstance(said, Welcome | BudgetAnswer):
-            if self.may(cell, letter.to):
-                self.cells[cell].desks[letter.to].lessee.heard(letter.sender, said, self.clock(letter.to))
-        elif isinstance(said, BudgetReport):
-            if self.may(cell, letter.to):
-                now, ledger = self.clock(letter.to), self.cells[cell].desks[letter.to].ledger
-                answer = ledger.handle_report(letter.place, said, now)
+        if datagram.is_above and isinstance(message, Hello | BudgetReport):
+            self._deliver_to_level_above(datagram)
+        elif datagram.is_above and isinstance(message, Welcome | BudgetAnswer):
+            if self.may(cell, datagram.receiver):
+                self.cells[cell].desks[datagram.receiver].lessee.heard(
+                    datagram.sender, message, self.clock(datagram.receiver)
+                )
+        elif isinstance(message, BudgetReport):
+            if self.may(cell, datagram.receiver):
+                now, ledger = self.clock(datagram.receiver), self.cells[cell].desks[datagram.receiver].ledger
+                answer = ledger.handle_report(datagram.place, message, now)
                 if answer is not None:
-                    back = Letter(letter.to, letter.sender, cell, letter.place, False, answer)
-                    self.flying.append(back)
-        elif isinstance(said, BudgetAnswer) and self.home[letter.to] == (cell, letter.place):
-            by = next((p for p, n in self.cells[cell].members.items() if n == letter.sender), -1)
-            self.routers[letter.to].purse.handle_answer(by, said, self.clock(letter.to))
-
-    def _comes_up(self, letter: Letter) -> None:
-        if self.lessor is None or letter.to != self.top:
+                    reply = Datagram(datagram.receiver, datagram.sender, cell, datagram.place, False, answer)
+                    self.flying.append(reply)
+        elif isinstance(message, BudgetAnswer) and self.home[datagram.receiver] == (cell, datagram.place):
+            sender_place = next((p for p, n in self.cells[cell].members.items() if n == datagram.sender), -1)
+            self.routers[datagram.receiver].purse.handle_answer(
+                sender_place, message, self.clock(datagram.receiver)
+            )
+
+    def _deliver_to_level_above(self, datagram: Datagram) -> None:
+        if self.lessor is None or datagram.receiver != self.top_machine:
             return
-        said, answer = letter.said, None
-        if isinstance(said, Hello):
-            answer = self.lessor.hello(said)
-        elif isinstance(said, BudgetReport):
-            answer = self.lessor.reported(letter.cell, said, self.above(self.top))  # type: ignore[assignment]
+        message, answer = datagram.message, None
+        if isinstance(message, Hello):
+            answer = self.lessor.hello(message)
+        elif isinstance(message, BudgetReport):
+            answer = self.lessor.reported(datagram.cell, message, self.above(self.top_machine))  # type: ignore[assignment]
         if answer is not None:
-            self.flying.append(Letter(self.top, letter.sender, letter.cell, -1, True, answer))
+            self.flying.append(Datagram(self.top_machine, datagram.sender, datagram.cell, -1, True, answer))
 
     def leads(self, cell: int, number: int) -> None:
-        """The cell's right moves: that of the one before is over by its own clock, and its letters may come
-        yet."""
-        at, router, now = self.cells[cell], self.routers[number], self.clock(number)
-        at.leader = number
+        """Makes a router the leader of its cell.
+
+        The lease of the former leader is over by its own clock; its datagrams may still arrive.
+        """
+        cell_state, router, now = self.cells[cell], self.routers[number], self.clock(number)
+        cell_state.leader = number
         router.reign += 1
         place = self.home[number][1]
-        start = at.starts[place]
-        lessee = BudgetLeaseHolder(cell, (number, start, router.reign), MACHINES, ABOVE, now)
+        start = cell_state.starts[place]
+        lessee = BudgetLeaseHolder(cell, (number, start, router.reign), MACHINES, CELL_LEASE_S, now)
         ledger = AllocationLedger(
             place,
             PLACES,
@@ -198,86 +262,107 @@
         )
         ledger.set_budgets([self.wholes[number]])
         lessee.books = ledger
-        at.desks[number] = Desk(ledger, lessee)
+        cell_state.desks[number] = LeaderState(ledger, lessee)
 
     def rules(self, machine: int, anew: bool = False) -> None:
-        """The right of the level above moves; anew: to one that has just begun."""
-        assert self.top_whole is not None
-        self.top_starts[machine] += anew
-        self.top, self.reigns = machine, self.reigns + 1
-        start = self.top_starts[machine]
-        seen = {self.top_whole.budget_id: {self.top_whole.units}}
+        """Makes a machine the leader of the level above.
+
+        Args:
+            machine: The machine.
+            anew: Whether its process has just started.
+        """
+        assert self.top_budget is not None
+        self.machine_starts[machine] += anew
+        self.top_machine, self.top_term = machine, self.top_term + 1
+        start = self.machine_starts[machine]
+        seen = {self.top_budget.budget_id: {self.top_budget.units}}
         self.lessor = BudgetLeaseGranter(
-            machine, CELLS, SHARES, start, self.reigns, self.kept, ABOVE, self.above(machine), seen
+            machine, CELLS, SHARES, start, self.top_term, self.kept, CELL_LEASE_S, self.above(machine), seen
         )
-        self.lessor.ledger.set_budgets([lifted(self.top_whole, LEASE)])
+        self.lessor.ledger.set_budgets([lifted(self.top_budget, LEASE)])
 
     def anew(self, number: int) -> None:
+        """Kills a router and starts it again."""
         cell, place = self.home[number]
-        self._leaves(number)
+        self._leave_cell(number)
         super().anew(number)
         self.cells[cell].starts[place] += 1
 
-    def _leaves(self, number: int) -> None:
+    def _leave_cell(self, number: int) -> None:
         cell = self.cells[self.home[number][0]]
         cell.desks.pop(number, None)
         if cell.leader == number:
             cell.leader = -1
 
     def moves_to(self, number: int, cell: int, place: int) -> None:
-        """By another plan."""
-        self._leaves(number)
-        was, at = self.home[number]
-        del self.cells[was].members[at]
-        to = self.cells[cell]
-        to.members[place], self.home[number] = number, (cell, place)
-        to.starts[place] = to.starts.get(place, 0) + 1
+        """Moves a router to a place of another cell, as a new plan does."""
+        self._leave_cell(number)
+        old_cell, old_place = self.home[number]
+        del self.cells[old_cell].members[old_place]
+        new_cell = self.cells[cell]
+        new_cell.members[place], self.home[number] = number, (cell, place)
+        new_cell.starts[place] = new_cell.starts.get(place, 0) + 1
         self.routers[number].purse.move_to_group(place, self.clock(number))
 
     def rewritten(self, number: int, units: int) -> None:
-        """A file has another whole; the router -1: that of the machines above."""
-        old = self.wholes[max(number, 0)]
-        whole = Budget(old.name, units, old.window_s, old.settle_s)
+        """Changes the units of the budget in a configuration file.
+
+        Args:
+            number: The router whose file changes; -1 for the file of the machines above.
+            units: The new units.
+        """
+        old_budget = self.wholes[max(number, 0)]
+        budget = Budget(old_budget.name, units, old_budget.window_s, old_budget.settle_s)
         if number < 0:
-            self.top_whole = whole
+            self.top_budget = budget
             if self.lessor is not None:
-                self.lessor.ledger.set_budgets([lifted(whole, LEASE)])
+                self.lessor.ledger.set_budgets([lifted(budget, LEASE)])
             return
-        self.wholes[number] = whole
-        self.routers[number].purse.set_budgets([whole], self.clock(number))
+        self.wholes[number] = budget
+        self.routers[number].purse.set_budgets([budget], self.clock(number))
         for cell in self.cells:
             if number in cell.desks:
-                cell.desks[number].ledger.set_budgets([whole])
+                cell.desks[number].ledger.set_budgets([budget])
 
     def cuts(self, cell: int) -> None:
-        self.cut ^= {cell}
+        """Cuts a cell off from the level above, or ends the cut."""
+        self.cut_cells ^= {cell}
 
     def lost(self, i: int) -> None:
+        """Loses the datagram at an index."""
         self.flying.pop(i)
 
-    def mutes(self, number: int) -> None:
-        self.mute ^= {number}
+    def toggle_mute(self, number: int) -> None:
+        """Cuts a router off from all others, or ends the cut."""
+        self.muted_routers ^= {number}
 
-    def ages(self, number: int) -> None:
-        self.stale ^= {number}
+    def toggle_stale(self, number: int) -> None:
+        """Stops a router from hearing of new leaders, or ends that."""
+        self.stale_routers ^= {number}
 
-    def round(self, step: float, twice: bool = False) -> None:
-        """Time passes, all that lead and all others tell, and all comes but for what is on its way. twice:
-        what leaders tell comes once more, some time."""
+    def run_round(self, step: float, twice: bool = False) -> None:
+        """Runs one round of reports: time passes, routers and leaders report, and their datagrams arrive.
+
+        Datagrams that were in flight before stay in flight.
+
+        Args:
+            step: Seconds that pass.
+            twice: Whether the leaders' datagrams to the level above stay in flight to arrive once more.
+        """
         self.passes(step)
-        late, self.flying = self.flying, []
+        earlier_datagrams, self.flying = self.flying, []
         for n in range(len(self.routers)):
             self.tells(n)
-        for c, at in enumerate(self.cells):
-            if at.leader >= 0:
-                self.leader_tells(c, at.leader)
-        late += [letter for letter in self.flying if twice and letter.above]
+        for cell_index, cell_state in enumerate(self.cells):
+            if cell_state.leader >= 0:
+                self.leader_tells(cell_index, cell_state.leader)
+        earlier_datagrams += [datagram for datagram in self.flying if twice and datagram.is_above]
         while self.flying:
             self.comes(0, False)
-        self.flying = late[-MOST_LATE:]
+        self.flying = earlier_datagrams[-MAX_IN_FLIGHT:]
 
     def fills(self, number: int) -> None:
-        """It takes and begins all that it may."""
+        """Lets a router take all units that it may and start requests with them."""
         while self.pocket(number).has_room(self.clock(number)):
             self.take(number)
         while self.routers[number].begins:
@@ -286,11 +371,17 @@
     def moves(
         self, step: float, wholes: tuple[int, ...] = (), who: tuple[int, ...] = ()
     ) -> Iterator[tuple[str, Callable[[Any], None]]]:
-        """who: routers that act by themselves; none: all."""
+        """Yields the acts that are possible, by name.
+
+        Args:
+            step: Seconds that pass in an act of time.
+            wholes: Units that a configuration file may change to.
+            who: Routers that act by themselves; all if empty.
+        """
         yield f"time {step}", partial(World.passes, step=step)
-        yield f"round {step}", partial(World.round, step=min(step, 0.2))
-        yield "round twice", partial(World.round, step=0.1, twice=True)
-        room = len(self.flying) < MOST_LATE
+        yield f"round {step}", partial(World.run_round, step=min(step, 0.2))
+        yield "round twice", partial(World.run_round, step=0.1, twice=True)
+        room = len(self.flying) < MAX_IN_FLIGHT
         for n in who or range(len(self.routers)):
             cell, _ = self.home[n]
             if room and self.cells[cell].leader >= 0:
@@ -303,33 +394,40 @@
             else:
                 yield f"right of {cell} again", partial(World.leads, cell=cell, number=n)
             yield f"{n} anew", partial(World.anew, number=n)
-            yield f"{n} {'is heard' if n in self.mute else 'mute'}", partial(World.mutes, number=n)
-            yield f"{n} {'hears' if n in self.stale else 'stale'}", partial(World.ages, number=n)
+            yield (
+                f"{n} {'is heard' if n in self.muted_routers else 'mute'}",
+                partial(World.toggle_mute, number=n),
+            )
+            yield (
+                f"{n} {'hears' if n in self.stale_routers else 'stale'}",
+                partial(World.toggle_stale, number=n),
+            )
             for to, other in enumerate(self.cells):
-                free = [place for place in range(PLACES) if place not in other.members]
-                if to != cell and free:
-                    yield f"{n} moved", partial(World.moves_to, number=n, cell=to, place=free[0])
+                free_places = [place for place in range(PLACES) if place not in other.members]
+                if to != cell and free_places:
+                    yield f"{n} moved", partial(World.moves_to, number=n, cell=to, place=free_places[0])
             for units in wholes:
                 if units != self.wholes[n].units:
                     yield f"{n} file {units}", partial(World.rewritten, number=n, units=units)
-        for c, at in enumerate(self.cells):
-            for n in at.desks:
-                if room and self.may(c, n):
-                    yield f"leader {n} up", partial(World.leader_tells, cell=c, number=n)
-            yield f"cut {c}", partial(World.cuts, cell=c)
+        for cell_index, cell_state in enumerate(self.cells):
+            for n in cell_state.desks:
+                if room and self.may(cell_index, n):
+                    yield f"leader {n} up", partial(World.leader_tells, cell=cell_index, number=n)
+            yield f"cut {cell_index}", partial(World.cuts, cell=cell_index)
         for units in wholes:
-            if self.top_whole is not None and units != self.top_whole.units:
+            if self.top_budget is not None and units != self.top_budget.units:
                 yield f"above file {units}", partial(World.rewritten, number=-1, units=units)
         for machine in range(MACHINES):
             yield f"above to {machine}", partial(World.rules, machine=machine)
             yield f"above anew {machine}", partial(World.rules, machine=machine, anew=True)
-        for i, letter in enumerate(self.flying):
-            yield letter.name(), partial(World.comes, i=i, keep=False)
-            yield f"{letter.name()} again", partial(World.comes, i=i, keep=True)
-            yield f"{letter.name()} lost", partial(World.lost, i=i)
+        for i, datagram in enumerate(self.flying):
+            yield datagram.name(), partial(World.comes, i=i, keep=False)
+            yield f"{datagram.name()} again", partial(World.comes, i=i, keep=True)
+            yield f"{datagram.name()} lost", partial(World.lost, i=i)
 
 
-WEIGHTED = {
+# Weights of acts in a random walk, by the first of these words in their name.
+ACT_WEIGHTS = {
     "round twice": 1.0,
     "round": 8.0,
     "time": 1.0,
@@ -351,6 +449,7 @@
     " tells": 0.3,
     **WEIGHTS,
 }
+# Paces of the routers' clocks.
 PACES = [
     1.0 - MAX_CLOCK_DRIFT / 2,
     1.0 + MAX_CLOCK_DRIFT / 2,
@@ -364,9 +463,26 @@
 def stroll(
     seed: int, acts: int, span: float = 0.0, units: int = 9, often: dict[str, float] | None = None
 ) -> int:
-    """A random walk of so many acts, which favours what uses the budget up; every second one with wholes that
-    change. often: other weights of acts. Raises Broken."""
-    weights = (often or {}) | {word: w for word, w in WEIGHTED.items() if word not in (often or {})}
+    """Takes a random walk that favours acts which use the budget up.
+
+    With an odd seed, the units of the budget change during the walk.
+
+    Args:
+        seed: Seed of all random choices.
+        acts: Number of acts.
+        span: Seconds of the window of a rate budget; 0 for a concurrency budget.
+        units: Units of the budget.
+        often: Weights of acts that replace the usual ones.
+
+    Returns:
+        The number of acts.
+
+    Raises:
+        Broken: More than the budget is in use.
+    """
+    weights = (often or {}) | {
+        word: weight for word, weight in ACT_WEIGHTS.items() if word not in (often or {})
+    }
     chance = random.Random(seed)
     settle = span if span else chance.choice([0.3, 1.0]) + ABANDONED_ATTEMPT_TIMEOUT_S
     world = begun(Budget("w", units, span, settle), chance.choice([0.0, 0.25, 0.9]))
@@ -380,6 +496,7 @@
 
 
 def begun(whole: Budget, kept: float) -> World:
+    """Returns a fleet in which the level above and each cell have a leader."""
     world = World([whole] * len(PACES), list(PACES), kept)
     world.rules(0)
     for cell in range(CELLS):
@@ -388,17 +505,31 @@
 
 
 def warm(world: World, rounds: int, busy: tuple[int, ...]) -> None:
-    """All is told and comes, and the busy ones take what they can."""
+    """Runs rounds of reports in which the busy routers take all units that they can."""
     for _ in range(rounds):
-        world.round(0.1)
+        world.run_round(0.1)
         for n in busy:
             world.fills(n)
         world.check()
 
 
 def exhaust(depth: int, span: float = 0.0, step: float = 1.2, rounds: int = 80) -> int:
-    """Every order of acts to that depth from a fleet of which one cell has all there is to have; the number
-    of states. Two routers of the one cell act and one of the other. Raises Broken."""
+    """Tries every order of acts to a depth, from a fleet in which one cell has the whole budget.
+
+    Two routers of that cell act, and one of the other cell.
+
+    Args:
+        depth: Acts in a row.
+        span: Seconds of the window of a rate budget; 0 for a concurrency budget.
+        step: Seconds that pass in an act of time.
+        rounds: Rounds of reports before the first act.
+
+    Returns:
+        The number of states that were checked.
+
+    Raises:
+        Broken: More than the budget is in use.
+    """
     world = begun(Budget("w", 3, span, span if span else 0.3 + ABANDONED_ATTEMPT_TIMEOUT_S), 0.0)
     warm(world, rounds, (0,))
     return every_order(world, depth, lambda one: one.moves(step, (), (0, 1, 2)))
--- a/marbleworks/lab/meter.py
+++ b/marbleworks/lab/meter.py
@@ -1,14 +1,15 @@
-"""How much processor time a piece of code takes, and how many bytes a thing is.
-
-It owns the two ways of measuring and must never measure by wall time: what else the machine does may not
-change a verdict. Processor time is the process's own; and because a core that is shared with a busy sibling
-takes up to twice as long for the same work, it is held against a yardstick, fixed work that is timed before,
-after and within what takes long, and told as if the machine had been at the best pace it showed.
-
-State is the sum of `sys.getsizeof` over all that can be reached, each object once: unlike resident memory or
-a trace of allocations it has no free lists, no rounding to pages and no share of what the measuring itself
-took, and it is the same at each run. What the allocator loses besides is not in it; its tests set
-it against `tracemalloc`.
+"""Measures the processor time of code and the memory of objects.
+
+Wall time is never used, so that other work on the machine does not change a result. Processor time is that of
+the process. A core that is shared with a busy hyper-thread takes up to twice as long for the same work, so
+processor time is divided by that of a yardstick: fixed work that is timed before and after the code, and
+repeatedly during long measurements. Results are given as if the machine had always run at the best pace that
+it showed.
+
+The state of an object is the sum of `sys.getsizeof` over all reachable objects, each counted once. Unlike
+resident memory or a trace of allocations it contains no free lists, no rounding to pages and no memory of the
+measurement itself, and it is the same in each run. It does not contain the allocator's overhead; the tests
+compare it with `tracemalloc`.
 """
 
 from __future__ import annotations
@@ -25,115 +26,143 @@
 from types import BuiltinFunctionType, CodeType, FunctionType, MethodType, ModuleType
 from typing import Any
 
-EACH = 0.05  # processor seconds after which the pace is looked at anew
-SHARED = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType, CodeType, Enum)  # all have these
+YARDSTICK_INTERVAL_S = 0.05  # processor seconds after which the yardstick is timed again
+# Types whose instances are shared by many objects and not counted as state.
+SHARED_TYPES = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType, CodeType, Enum)
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """No garbage collection within: a router freezes what it has at its start and hardly ever collects, while
-    one here would fall on whichever size is measured at that moment."""
-    was = gc.isenabled()
+def collection_disabled() -> Iterator[None]:
+    """Disables garbage collection within the `with` block.
+
+    A router freezes its objects at the start and hardly ever collects. A collection here would be charged to
+    whichever size is measured at that moment.
+    """
+    was_enabled = gc.isenabled()
     gc.collect()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
-def processor(do: Callable[[], Any]) -> float:
-    """Processor seconds of one call, without those of the measuring."""
-    began = time.process_time()
-    do()
-    return max(time.process_time() - began - OWN, 0.0)
+def processor_seconds(action: Callable[[], Any]) -> float:
+    """Returns the processor seconds of one call, without the overhead of the measurement."""
+    started_at = time.process_time()
+    action()
+    return max(time.process_time() - started_at - MEASUREMENT_OVERHEAD_S, 0.0)
 
 
-def _own() -> float:
-    """What an empty call is measured as, the least of many."""
-    seen = []
+def _measure_overhead() -> float:
+    """Returns the processor seconds that an empty call is measured as, the minimum of many."""
+    durations = []
     for _ in range(200):
-        began = time.process_time()
+        started_at = time.process_time()
         (lambda: None)()
-        seen.append(time.process_time() - began)
-    return min(seen)
+        durations.append(time.process_time() - started_at)
+    return min(durations)
 
 
-OWN = _own()
+MEASUREMENT_OVERHEAD_S = _measure_overhead()
 
 
 class Pace:
-    """How fast the machine is at the moment. best, latest: the least that the yardstick ever took in this
-    process, and what it took last; since: processor seconds measured after that."""
+    """The current speed of the machine.
+
+    Attributes:
+        best: Minimum processor seconds of the yardstick in this process.
+        latest: Processor seconds of the yardstick the last time.
+        since: Processor seconds that were measured since then.
+    """
 
     def __init__(self) -> None:
         self.best, self.latest, self.since = math.inf, 0.0, 0.0
 
     def yardstick(self) -> float:
-        """Processor seconds of fixed work of the kind that is measured: objects, tables, sorting."""
-        took = self._take()
-        self.best, self.latest, self.since = min(self.best, took), took, 0.0
-        return took
+        """Times the yardstick: fixed work with objects, tables and sorting, as in the measured code.
+
+        Returns:
+            Processor seconds.
+        """
+        duration = self._time_yardstick()
+        self.best, self.latest, self.since = min(self.best, duration), duration, 0.0
+        return duration
+
+    def _time_yardstick(self) -> float:
+        return processor_seconds(_run_yardstick)
 
-    def _take(self) -> float:
-        return processor(_work)
+    def to_yardsticks(self, seconds: float) -> float:
+        """Converts the processor seconds of a short piece of work to yardsticks.
 
-    def held(self, seconds: float) -> float:
-        """What a short piece of work took, in yardsticks; that is taken anew after EACH of them."""
-        if not self.latest or self.since > EACH:
+        The yardstick is timed again after YARDSTICK_INTERVAL_S of measured work.
+        """
+        if not self.latest or self.since > YARDSTICK_INTERVAL_S:
             self.yardstick()
         self.since += seconds
         return seconds / self.latest
 
 
-class _Thing:
+class _Item:
     def __init__(self, number: int) -> None:
         self.number, self.name = number, f"thing-{number}"
 
 
-THINGS = [_Thing(n) for n in range(1500)]
+ITEMS = [_Item(n) for n in range(1500)]
 PACE = Pace()
 
 
-def _work() -> None:
+def _run_yardstick() -> None:
     for salt in range(3):
-        order = sorted(THINGS, key=lambda thing: zlib.crc32(f"{salt}/{thing.name}".encode()))
-        seen = {thing: thing.number for thing in order if thing.number % 3}
+        order = sorted(ITEMS, key=lambda item: zlib.crc32(f"{salt}/{item.name}".encode()))
+        seen = {item: item.number for item in order if item.number % 3}
         sum(seen.values())
 
 
-def yards(do: Callable[[], Any]) -> float:
-    """Processor time of one call, in yardsticks, taken just before and just after."""
+def yardsticks_of(action: Callable[[], Any]) -> float:
+    """Returns the processor time of one call in yardsticks, which are timed just before and just after."""
     before = PACE.yardstick()
-    took = processor(do)
-    return 2.0 * took / (before + PACE.yardstick())
+    duration = processor_seconds(action)
+    return 2.0 * duration / (before + PACE.yardstick())
 
 
 def medians(samples: Sequence[Callable[[], float]], passes: int) -> list[float]:
-    """Processor seconds at the best pace, of samples that tell yardsticks. They are taken in turn and so many
-    times over: a busy moment of the machine does not fall on one size alone."""
-    with uncollected():
-        seen = [[sample() for sample in samples] for _ in range(passes)]
-    return [PACE.best * statistics.median(row[i] for row in seen) for i in range(len(samples))]
-
-
-def state(root: object, without: Iterable[object] = ()) -> int:
-    """Bytes of all that can be reached from root, but for what every object shares (classes, functions) and
-    what is named."""
-    seen, todo, total = {id(one) for one in without}, [root], 0
-    while todo:
-        one = todo.pop()
-        if id(one) in seen or isinstance(one, SHARED):
+    """Takes samples in turn, so that a busy moment of the machine does not affect one size alone.
+
+    Args:
+        samples: Functions that return a processor time in yardsticks.
+        passes: Samples to take from each function.
+
+    Returns:
+        The median of each function, in processor seconds at the best pace.
+    """
+    with collection_disabled():
+        results = [[sample() for sample in samples] for _ in range(passes)]
+    return [PACE.best * statistics.median(row[i] for row in results) for i in range(len(samples))]
+
+
+def state_bytes(root: object, without: Iterable[object] = ()) -> int:
+    """Returns the bytes of all objects that can be reached from an object.
+
+    Args:
+        root: The object.
+        without: Objects that are not counted, besides those of SHARED_TYPES.
+    """
+    seen, pending, total = {id(current) for current in without}, [root], 0
+    while pending:
+        current = pending.pop()
+        if id(current) in seen or isinstance(current, SHARED_TYPES):
             continue
-        seen.add(id(one))
-        total += sys.getsizeof(one)
-        own = getattr(one, "__dict__", None)
-        if isinstance(own, dict) and id(own) not in seen:  # in the object itself getsizeof leaves it out
-            seen.add(id(own))
-            total += sys.getsizeof(own)
-            todo += own.values()  # the names of attributes belong to all
-        if isinstance(one, dict):
-            todo += one.keys()  # texts among them are not told as referents
-        todo += gc.get_referents(one)
+        seen.add(id(current))
+        total += sys.getsizeof(current)
+        attributes = getattr(current, "__dict__", None)
+        # getsizeof of the object does not include its attribute dictionary.
+        if isinstance(attributes, dict) and id(attributes) not in seen:
+            seen.add(id(attributes))
+            total += sys.getsizeof(attributes)
+            pending += attributes.values()  # the attribute names are shared by all instances
+        if isinstance(current, dict):
+            pending += current.keys()  # gc.get_referents does not return keys that are strings
+        pending += gc.get_referents(current)
     return total
--- a/marbleworks/lab/page.py
+++ b/marbleworks/lab/page.py
@@ -50,7 +50,7 @@
     try:
         kept = json.loads(path.read_text())
         figures = {name: float(value) for name, value in kept.items() if isinstance(value, int | float)}
-        return Results(Slopes.read(kept["slopes"]), figures)
+        return Results(Slopes.from_dict(kept["slopes"]), figures)
     except OSError as err:
         raise PageError(f"{path}: {err.strerror}") from None
     except (ValueError, KeyError, TypeError, AttributeError) as err:
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -1,7 +1,10 @@
-"""What decisions and tables cost by their size, measured in this process: the scheduler, the list, the books
-of whoever divides, a router's parts, the door, a configuration. And idle clients, at a router as a process.
+"""Measures what a router's decisions and tables cost by their size.
 
-It owns the traffic that each is measured under, and must never change what it measures.
+Measured in this process are the scheduler, the engine list, the leader's allocation ledger, a router's local
+budgets, the admission controller and the reading of a configuration. Idle client connections are measured at
+a router in a process of its own.
+
+The module generates the traffic for each measurement. It does not change the measured code.
 """
 
 from __future__ import annotations
@@ -31,7 +34,7 @@
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
-from marbleworks.lab.meter import PACE, medians, processor, state, yards
+from marbleworks.lab.meter import PACE, medians, processor_seconds, state_bytes, yardsticks_of
 from marbleworks.lab.stage import RouterProcess, free_port, held_port, settings
 from marbleworks.lab.standins import HOST, RpcClient, configuration
 from marbleworks.model import EngineEntry, EngineStatus
@@ -42,463 +45,562 @@
 from marbleworks.scheduling.scheduler import Scheduler
 from marbleworks.settings import Settings
 
-STATEMENTS = 609.0  # a second at one router, by the operators' figures
-ZONES, KINDS = 17, (8, 16, 32)  # zones, and cores by kind of machine
-ROUTERS, TENANTS, GROUPS, ENGINES = 48, 20, 20, 100  # of what does not grow
-OUT = 30  # commands out at a time: 50 ms at that rate
-BATCH = 62  # commands that are timed together: two beats, so that what is done once in each has its part
-GROUP = 7
-
-
-def deployment(tenants: int = TENANTS, routers: int = ROUTERS) -> dict[str, Any]:
-    """Settings of a deployment of many zones and kinds, whose loads hold their table groups."""
-    raw = settings(8, tenants=[f"tenant-{n}" for n in range(tenants)], routers=routers, me=1)
-    raw |= {"zones": [f"zone-{n}" for n in range(ZONES)], "az": "zone-0"}
-    raw["kinds"] = [f"kind-{n}" for n in range(len(KINDS))]
-    raw["specifics"] |= {
-        "cores_by_kind": list(KINDS),
-        "memory_by_kind_mb": [65536.0] * len(KINDS),
+STATEMENTS_PER_S = 609.0  # requests per second at one router, by the operators' figures
+ZONE_COUNT, CORES_BY_KIND = 17, (8, 16, 32)  # number of zones, and cores of each kind of machine
+# Sizes that stay the same while another one grows: routers, tenants, table groups, engines.
+ROUTER_COUNT, TENANT_COUNT, TABLE_GROUP_COUNT, ENGINE_COUNT = 48, 20, 20, 100
+MAX_IN_FLIGHT = 30  # in-flight requests; they last 50 ms at that rate
+# Requests that are timed together: two heartbeats, so that work done once per heartbeat has its share.
+BATCH_SIZE = 62
+GROUP_NUMBER = 7  # group number in the messages
+
+
+def deployment(tenants: int = TENANT_COUNT, routers: int = ROUTER_COUNT) -> dict[str, Any]:
+    """Returns the settings of a deployment of many zones and kinds, whose loads hold their table groups."""
+    settings_dict = settings(8, tenants=[f"tenant-{n}" for n in range(tenants)], routers=routers, me=1)
+    settings_dict |= {"zones": [f"zone-{n}" for n in range(ZONE_COUNT)], "az": "zone-0"}
+    settings_dict["kinds"] = [f"kind-{n}" for n in range(len(CORES_BY_KIND))]
+    settings_dict["specifics"] |= {
+        "cores_by_kind": list(CORES_BY_KIND),
+        "memory_by_kind_mb": [65536.0] * len(CORES_BY_KIND),
         "class_load": [False, False, True],
         "class_waits": [True, False, False],
     }
-    return raw
+    return settings_dict
 
 
 def entries(count: int) -> list[EngineEntry]:
-    """Engines that have long been there, in turn over zones and kinds."""
+    """Returns engines that were started long ago, distributed in turn over zones and kinds."""
     return [
-        EngineEntry(n, f"engine-{n:05d}", n % ZONES, n % len(KINDS), n % 5, EngineStatus.UP, 0.0)
+        EngineEntry(n, f"engine-{n:05d}", n % ZONE_COUNT, n % len(CORES_BY_KIND), n % 5, EngineStatus.UP, 0.0)
         for n in range(count)
     ]
 
 
-class Still:
-    """A platform on which nothing happens but that time is told. sent, ended: counts; sent_to: the last
-    engine."""
+class IdlePlatform:
+    """A platform for the scheduler that only tells the time and counts.
+
+    Attributes:
+        clock: The time.
+        next_wakeup: The time of the next wake-up.
+        sent: Number of attempts that were started.
+        ended: Number of requests that were shed or failed.
+        sent_to: Engine of the last attempt.
+    """
 
     def __init__(self) -> None:
-        self.clock, self.wakes, self.sent, self.ended, self.sent_to = 1000.0, float("inf"), 0, 0, -1
+        self.clock, self.next_wakeup, self.sent, self.ended, self.sent_to = 1000.0, float("inf"), 0, 0, -1
 
     def now(self) -> float:
+        """Returns the time."""
         return self.clock
 
     def start_attempt(self, ref: str, engine_id: int, deadline: float, begin_by: float) -> None:
+        """Counts an attempt."""
         self.sent, self.sent_to = self.sent + 1, engine_id
 
-    def cancel_attempt(self, ref: str, attempt_no: int) -> None: ...
+    def cancel_attempt(self, ref: str, attempt_no: int) -> None:
+        """Does nothing."""
+        ...
 
-    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None: ...
+    def set_attempt_terms(self, ref: str, priority: int, memory_mb: float) -> None:
+        """Does nothing."""
+        ...
 
     def shed(self, ref: str, retry_after_s: float) -> None:
+        """Counts a request that was shed."""
         self.ended += 1
 
     def fail(self, ref: str) -> None:
+        """Counts a request that failed."""
         self.ended += 1
 
-    def probe_load(self, engine_id: int) -> None: ...
+    def probe_load(self, engine_id: int) -> None:
+        """Does nothing."""
+        ...
 
-    def broadcast(self, data: bytes) -> None: ...
+    def broadcast(self, data: bytes) -> None:
+        """Does nothing."""
+        ...
 
     def schedule_wakeup(self, at: float) -> None:
-        self.wakes = min(self.wakes, at)
-
-    def log(self, text: str) -> None: ...
-
-
-class Desk:
-    """One router's decisions under a steady traffic of short reads, each answered 50 ms after it was sent."""
-
-    def __init__(self, engines: int, groups: int = GROUPS, tenants: int = TENANTS) -> None:
-        told, self.port = Settings(deployment(tenants)), Still()
-        self.gateway = Scheduler(self.port, 1, told.request_classes, told.rules, told.fleet)
+        """Keeps the earliest wake-up."""
+        self.next_wakeup = min(self.next_wakeup, at)
+
+    def log(self, text: str) -> None:
+        """Does nothing."""
+        ...
+
+
+class SchedulerLoad:
+    """A scheduler under a steady traffic of short reads, each answered 50 ms after it was sent.
+
+    Attributes:
+        port: The scheduler's platform.
+        scheduler: The scheduler.
+        entries: The engines.
+        groups: Table groups of the traffic.
+        tenants: Tenants of the traffic.
+        in_flight_requests: In-flight requests.
+        request_count: Number of requests so far.
+    """
+
+    def __init__(self, engines: int, groups: int = TABLE_GROUP_COUNT, tenants: int = TENANT_COUNT) -> None:
+        parsed_settings, self.port = Settings(deployment(tenants)), IdlePlatform()
+        self.scheduler = Scheduler(
+            self.port, 1, parsed_settings.request_classes, parsed_settings.rules, parsed_settings.fleet
+        )
         self.entries, self.groups, self.tenants = entries(engines), groups, tenants
-        self.gateway.update_engines(self.entries, complete=True)
-        self.out = deque[RequestState]()
-        self.taken = 0
-
-    def command(self, group: int) -> None:
-        """The next one is taken and sent, one sent before is answered."""
-        port, n = self.port, self.taken
-        port.clock += 1.0 / STATEMENTS
-        if port.clock >= port.wakes:
-            port.wakes = float("inf")
-            self.gateway.on_timer()
-        need = (0.03 + 0.04 * (n % 2), 20.0)
-        self.out.append(
-            self.gateway.submit(f"{n:016x}", 0, group, "", need, n % self.tenants, port.clock, 2.0)
+        self.scheduler.update_engines(self.entries, complete=True)
+        self.in_flight_requests = deque[RequestState]()
+        self.request_count = 0
+
+    def submit_request(self, group: int) -> None:
+        """Submits the next request, for a table group, and answers an earlier one."""
+        port, n = self.port, self.request_count
+        port.clock += 1.0 / STATEMENTS_PER_S
+        if port.clock >= port.next_wakeup:
+            port.next_wakeup = float("inf")
+            self.scheduler.on_timer()
+        demand = (0.03 + 0.04 * (n % 2), 20.0)
+        self.in_flight_requests.append(
+            self.scheduler.submit(f"{n:016x}", 0, group, "", demand, n % self.tenants, port.clock, 2.0)
         )
-        self.taken += 1
-        if len(self.out) > OUT:
-            cmd = self.out.popleft()
-            cmd.on_answer(0, cmd.estimate, None)
+        self.request_count += 1
+        if len(self.in_flight_requests) > MAX_IN_FLIGHT:
+            request = self.in_flight_requests.popleft()
+            request.on_answer(0, request.estimate, None)
 
-    def known(self) -> float:
-        """Yardsticks for a command of a table group seen before."""
-        return self._batch(lambda n: n % self.groups)
+    def time_known_group(self) -> float:
+        """Returns the yardsticks for a request of a table group that was seen before."""
+        return self._time_batch(lambda n: n % self.groups)
 
-    def new(self) -> float:
-        """The same of one not seen before."""
-        self.gateway.parts.placement.home_sets.clear()
-        return self._batch(lambda n: self.groups + n)
+    def time_new_group(self) -> float:
+        """Returns the yardsticks for a request of a table group that was not seen before."""
+        self.scheduler.parts.placement.home_sets.clear()
+        return self._time_batch(lambda n: self.groups + n)
 
-    def _batch(self, group: Callable[[int], int]) -> float:
-        first, sent = self.taken, self.port.sent
+    def _time_batch(self, group: Callable[[int], int]) -> float:
+        first_request, sent = self.request_count, self.port.sent
 
         PACE.yardstick()
-        took = 0.0
-        for n in range(BATCH):
-            number = group(n if group(0) >= self.groups else first + n)
-            took += PACE.held(processor(lambda number=number: self.command(number)))  # type: ignore[misc]
-        if self.port.sent != sent + BATCH or self.port.ended:
-            raise RuntimeError("a command was not sent: what was measured is not its ordinary path")
-        return took / BATCH
-
-    def listed(self) -> float:
-        """Yardsticks for the whole list again."""
-        return yards(lambda: self.gateway.update_engines(self.entries, complete=True))
+        duration = 0.0
+        for n in range(BATCH_SIZE):
+            number = group(n if group(0) >= self.groups else first_request + n)
+            duration += PACE.to_yardsticks(
+                processor_seconds(lambda number=number: self.submit_request(number))  # type: ignore[misc]
+            )
+        if self.port.sent != sent + BATCH_SIZE or self.port.ended:
+            raise RuntimeError("a request was not sent to an engine, so its usual path was not measured")
+        return duration / BATCH_SIZE
+
+    def time_engine_list(self) -> float:
+        """Returns the yardsticks for taking over the whole engine list again."""
+        return yardsticks_of(lambda: self.scheduler.update_engines(self.entries, complete=True))
 
     def warm(self) -> None:
-        """All groups have come once."""
-        for n in range(max(self.groups, 2 * OUT)):
-            self.command(n % self.groups)
+        """Submits requests until each table group was seen once."""
+        for n in range(max(self.groups, 2 * MAX_IN_FLIGHT)):
+            self.submit_request(n % self.groups)
 
 
-def decisions(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    desks = [Desk(count) for count in engines]
-    lists = medians([desk.listed for desk in desks], 3 * passes)
-    for desk in desks:
-        desk.warm()
+def measure_decisions(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures the scheduler by the number of engines."""
+    loads = [SchedulerLoad(count) for count in engines]
+    list_times = medians([load.time_engine_list for load in loads], 3 * passes)
+    for load in loads:
+        load.warm()
     return {
-        "decide_known": medians([desk.known for desk in desks], passes),
-        "decide_new": medians([desk.new for desk in desks], passes),
-        "listed_cpu": lists,
-        "engine_state": [float(bare_state(count)) for count in engines],
+        "decide_known": medians([load.time_known_group for load in loads], passes),
+        "decide_new": medians([load.time_new_group for load in loads], passes),
+        "listed_cpu": list_times,
+        "engine_state": [float(scheduler_state(count)) for count in engines],
     }
 
 
-def bare_state(engines: int, groups: int = 0) -> int:
-    """Bytes of a router's decisions with so many engines listed, and the homes of so many table groups."""
-    desk = Desk(engines, groups)
+def scheduler_state(engines: int, groups: int = 0) -> int:
+    """Returns the bytes of a scheduler with so many engines, and the homes of so many table groups."""
+    load = SchedulerLoad(engines, groups)
     for n in range(groups):
-        desk.command(n)
-    return state(
-        desk.gateway, (desk.port, desk.gateway.request_classes, desk.gateway.rules, desk.gateway.fleet)
+        load.submit_request(n)
+    return state_bytes(
+        load.scheduler,
+        (load.port, load.scheduler.request_classes, load.scheduler.rules, load.scheduler.fleet),
     )
 
 
-def table_groups(groups: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    desks = [Desk(ENGINES, groups=count) for count in groups]
-    for desk in desks:
-        desk.warm()
-    return {"decide_groups": medians([desk.known for desk in desks], 2 * passes)}
+def measure_table_groups(groups: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures the scheduler by the number of table groups."""
+    loads = [SchedulerLoad(ENGINE_COUNT, groups=count) for count in groups]
+    for load in loads:
+        load.warm()
+    return {"decide_groups": medians([load.time_known_group for load in loads], 2 * passes)}
 
 
-def tenants(counts: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    desks = [Desk(ENGINES, tenants=count) for count in counts]
-    for desk in desks:
-        desk.warm()
+def measure_tenants(counts: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures the scheduler, and the reading of a configuration, by the number of tenants."""
+    loads = [SchedulerLoad(ENGINE_COUNT, tenants=count) for count in counts]
+    for load in loads:
+        load.warm()
     texts = [json.dumps(deployment(count)) for count in counts]
     samples: list[Callable[[], float]] = [
-        lambda t=text: yards(lambda: Settings(json.loads(t)))  # type: ignore[misc]
+        lambda t=text: yardsticks_of(lambda: Settings(json.loads(t)))  # type: ignore[misc]
         for text in texts
     ]
     return {
-        "decide_tenants": medians([desk.known for desk in desks], 2 * passes),
+        "decide_tenants": medians([load.time_known_group for load in loads], 2 * passes),
         "config_cpu": medians(samples, 2 * passes),
     }
 
 
-def held(counts: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    """A review of so many commands that find no room: all engines say that they are full, and each has one of
-    ours, which is our part of it."""
-    desks = [Desk(ENGINES) for _ in counts]
-    for desk, count in zip(desks, counts, strict=True):
-        gateway, port, n = desk.gateway, desk.port, 0
-        for engine in gateway.engines.values():
-            gateway.receive_load_update(1, engine.wire_id + bytes([128 + 64]))
-        while len(gateway.pending) < count:
-            gateway.submit(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANTS, port.clock, 30.0)
+def measure_reviews(counts: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures a review by the number of requests that wait.
+
+    The requests find no room: all engines report that they are full, and each runs one request of this
+    router, which is its share.
+    """
+    loads = [SchedulerLoad(ENGINE_COUNT) for _ in counts]
+    for load, count in zip(loads, counts, strict=True):
+        scheduler, port, n = load.scheduler, load.port, 0
+        for engine in scheduler.engines.values():
+            scheduler.receive_load_update(1, engine.wire_id + bytes([128 + 64]))
+        while len(scheduler.pending) < count:
+            scheduler.submit(f"{n:016x}", 1, n, "", (0.5, 20.0), n % TENANT_COUNT, port.clock, 30.0)
             n += 1
-            if n > count + 100 * ENGINES or port.ended:
-                raise RuntimeError("commands are not held: what would be measured is no review of them")
-    return {"decide_held": medians([lambda d=d: _review(d) for d in desks], 4 * passes)}  # type: ignore[misc]
+            if n > count + 100 * ENGINE_COUNT or port.ended:
+                raise RuntimeError("requests do not wait in the scheduler, so their review can't be measured")
+    return {"decide_held": medians([lambda d=d: _time_review(d) for d in loads], 4 * passes)}  # type: ignore[misc]
 
 
-def _review(desk: Desk) -> float:
-    there = len(desk.gateway.pending)
-    desk.port.clock += 0.02  # so that it is due
-    desk.gateway.parts.timers.reviewed_at = -1.0
-    took = yards(desk.gateway.review)
-    if len(desk.gateway.pending) != there:
-        raise RuntimeError("a command that was held has gone: the size is not what it was")
-    return took
+def _time_review(load: SchedulerLoad) -> float:
+    waiting_before = len(load.scheduler.pending)
+    load.port.clock += 0.02  # so that it is due
+    load.scheduler.parts.timers.reviewed_at = -1.0
+    duration = yardsticks_of(load.scheduler.review)
+    if len(load.scheduler.pending) != waiting_before:
+        raise RuntimeError("a request left the scheduler during the review, which changed the measured size")
+    return duration
 
 
-# The list.
+# The engine list.
 
 
-def list_answer(question: bytes, serial: int, count: int) -> bytes:
-    """As the directory answers, but as long as it must be, where the protocol allows 8,000 bytes."""
-    asked = dns.message.from_wire(question)
+def encode_list_answer(question: bytes, serial: int, count: int) -> bytes:
+    """Encodes a name server's answer of any length; the protocol limits it to 8,000 bytes.
+
+    Args:
+        question: The DNS query.
+        serial: Serial number of the list.
+        count: Engines in the list.
+    """
+    query = dns.message.from_wire(question)
     flags = int(dns.flags.QR) | int(dns.flags.AA)
-    renderer: Any = dns.renderer.Renderer  # dnspython's own has no types
-    out = renderer(asked.id, flags, max_size=1 << 30)
-    name = asked.question[0].name
-    out.add_question(name, dns.rdatatype.SRV)
-    more = list[Any]()
+    renderer_class: Any = dns.renderer.Renderer  # dnspython's own has no types
+    renderer = renderer_class(query.id, flags, max_size=1 << 30)
+    name = query.question[0].name
+    renderer.add_question(name, dns.rdatatype.SRV)
+    additional_records = list[Any]()
     for n in range(count):
-        target = f"engine-{n:05d}.zone-{n % ZONES}.hosts."
+        target = f"engine-{n:05d}.zone-{n % ZONE_COUNT}.hosts."
         address = f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}"
-        out.add_rrset(dns.renderer.ANSWER, dns.rrset.from_text(name, 1, "IN", "SRV", f"0 40 9000 {target}"))
-        more.append(dns.rrset.from_text(target, 1, "IN", "A", address))
-        facts = f'"kind=kind-{n % len(KINDS)}" "cell={n % 5}" "started=5000"'
-        more.append(dns.rrset.from_text(target, 1, "IN", "TXT", facts))
-    out.add_rrset(
+        renderer.add_rrset(
+            dns.renderer.ANSWER, dns.rrset.from_text(name, 1, "IN", "SRV", f"0 40 9000 {target}")
+        )
+        additional_records.append(dns.rrset.from_text(target, 1, "IN", "A", address))
+        properties = f'"kind=kind-{n % len(CORES_BY_KIND)}" "cell={n % 5}" "started=5000"'
+        additional_records.append(dns.rrset.from_text(target, 1, "IN", "TXT", properties))
+    renderer.add_rrset(
         dns.renderer.AUTHORITY, dns.rrset.from_text(name, 1, "IN", "SOA", f"a. b. {serial} 1 1 1 1")
     )
-    for rows in more:
-        out.add_rrset(dns.renderer.ADDITIONAL, rows)
-    out.write_header()
-    wire: bytes = out.get_wire()
+    for record in additional_records:
+        renderer.add_rrset(dns.renderer.ADDITIONAL, record)
+    renderer.write_header()
+    wire: bytes = renderer.get_wire()
     return wire
 
 
-class Heard:
-    """A desk that only counts the engines of the last list."""
+class EngineCounter:
+    """A dispatcher that only counts the engines of the last list."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def post(self, what: Any, listing: list[Any], whole: bool) -> None:
+        """Counts the engines."""
         self.count = len(listing)
 
-    def update_engines(self) -> None: ...
+    def update_engines(self) -> None:
+        """Does nothing."""
+        ...
 
 
-def lists(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+def measure_lists(engines: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures an answer of the list, and its reading, by the number of engines."""
     question = dns.message.make_query(DNS_SERVICE_NAME, dns.rdatatype.SRV)
-    wires = [list_answer(question.to_wire(), 7, count) for count in engines]
-    told: Any = Heard()
-    known = {"rev": 0, "notices": []}
-    nameserver = HOST, free_port(socket.SOCK_DGRAM)  # where nobody answers
-    directory = EngineDiscovery(told, Settings(deployment()), known, nameserver)
+    encoded_answers = [encode_list_answer(question.to_wire(), 7, count) for count in engines]
+    counter: Any = EngineCounter()
+    list_state = {"rev": 0, "notices": []}
+    nameserver = HOST, free_port(socket.SOCK_DGRAM)  # nothing listens there
+    directory = EngineDiscovery(counter, Settings(deployment()), list_state, nameserver)
 
     def read(i: int) -> float:
         directory.revision, directory.open_queries[question.id] = 0, OpenQuery(clock(), question)
-        took = yards(lambda: directory.on_response(wires[i]))
-        if told.count != engines[i] or directory.revision != 7:
-            raise RuntimeError("the answer was not read: what was measured is not its reading")
-        return took
+        duration = yardsticks_of(lambda: directory.on_response(encoded_answers[i]))
+        if counter.count != engines[i] or directory.revision != 7:
+            raise RuntimeError("the answer was not read, so its reading was not measured")
+        return duration
 
-    samples: list[Callable[[], float]] = [lambda i=i: read(i) for i in range(len(wires))]  # type: ignore[misc]
-    took = medians(samples, passes)
-    directory.post(directory.finish)  # it asks no more; what listens does so on a socket where nothing comes
-    return {"list_bytes": [float(len(wire)) for wire in wires], "list_cpu": took}
+    samples: list[Callable[[], float]] = [lambda i=i: read(i) for i in range(len(encoded_answers))]  # type: ignore[misc]
+    durations = medians(samples, passes)
+    # It sends no more queries. Its listener stays on a socket that receives nothing.
+    directory.post(directory.finish)
+    return {"list_bytes": [float(len(wire)) for wire in encoded_answers], "list_cpu": durations}
 
 
 # Budgets.
 
 
-def wholes(count: int, routers: int) -> list[Budget]:
+def make_budgets(count: int, routers: int) -> list[Budget]:
+    """Returns budgets of 50 units for each router."""
     return [Budget(f"budget {n}", 50 * routers, 0.0, 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S) for n in range(count)]
 
 
-class Books:
-    """The books of whoever divides, and the parts of all routers, which report five times a second."""
+class LedgerLoad:
+    """The leader's allocation ledger, and the local budgets of all routers, which report five times a second.
+
+    Attributes:
+        ledger: The ledger.
+        local_budgets: Local budgets by router.
+        datagrams: Reports and answers so far.
+        bytes: Bytes of these.
+        yardsticks: Processor time of the ledger in yardsticks.
+        report_count: Reports so far.
+    """
 
-    EVERY = 0.2
+    REPORT_INTERVAL_S = 0.2  # seconds between two reports of a router
 
     def __init__(self, routers: int, budgets: int, seed: int) -> None:
-        self.chance, self.now, plan = random.Random(seed), 100.0, wholes(budgets, routers)
+        self.chance, self.now, budget_list = random.Random(seed), 100.0, make_budgets(budgets, routers)
         self.ledger = AllocationLedger(0, routers, 1, 1, 0.25, 2.0, self.now)
-        self.ledger.set_budgets(plan)
-        self.purses = [LocalBudgets(n, routers, 0.25, 2.0, 0.0) for n in range(routers)]
-        for purse in self.purses:
-            purse.set_budgets(plan, self.now)
-        self.datagrams, self.bytes, self.spent, self.told = 0, 0, 0.0, 0
-
-    def use(self, purse: LocalBudgets) -> None:
-        """Commands come and go: some units of each budget are in use."""
-        for pocket in purse.budgets.values():
-            pocket.arrivals += self.chance.randrange(4)
-            while pocket.in_flight > self.chance.randrange(20):
-                purse.release(pocket, self.now, False)
-            if pocket.has_room(self.now):
-                purse.acquire(pocket, self.now)
-
-    def round(self) -> None:
-        """Each router reports once, spread over the time between two reports."""
-        count = len(self.purses)
-        for number, purse in enumerate(self.purses):
-            self.now += self.EVERY / count
-            self.use(purse)
-            for report in purse.make_reports(0, 1, 1, self.now):
-                self._told(number, encode_report(GROUP, report))
-
-    def _told(self, number: int, data: bytes) -> None:
-        said = list[bytes]()
+        self.ledger.set_budgets(budget_list)
+        self.local_budgets = [LocalBudgets(n, routers, 0.25, 2.0, 0.0) for n in range(routers)]
+        for local in self.local_budgets:
+            local.set_budgets(budget_list, self.now)
+        self.datagrams, self.bytes, self.yardsticks, self.report_count = 0, 0, 0.0, 0
+
+    def simulate_requests(self, local: LocalBudgets) -> None:
+        """Simulates requests: a random number of units of each budget is in use."""
+        for budget in local.budgets.values():
+            budget.arrivals += self.chance.randrange(4)
+            while budget.in_flight > self.chance.randrange(20):
+                local.release(budget, self.now, False)
+            if budget.has_room(self.now):
+                local.acquire(budget, self.now)
+
+    def run_round(self) -> None:
+        """Lets each router report once, spread over the report interval."""
+        count = len(self.local_budgets)
+        for number, local in enumerate(self.local_budgets):
+            self.now += self.REPORT_INTERVAL_S / count
+            self.simulate_requests(local)
+            for report in local.make_reports(0, 1, 1, self.now):
+                self._deliver_report(number, encode_report(GROUP_NUMBER, report))
+
+    def _deliver_report(self, number: int, data: bytes) -> None:
+        answers = list[bytes]()
 
         def divide() -> None:
-            report = decode(GROUP, data)
+            report = decode(GROUP_NUMBER, data)
             answer = (
                 self.ledger.handle_report(number, report, self.now)
                 if isinstance(report, BudgetReport)
                 else None
             )
             if answer is not None:
-                said.append(encode_answer(GROUP, answer))
+                answers.append(encode_answer(GROUP_NUMBER, answer))
 
-        self.spent += PACE.held(processor(divide))
-        self.told += 1
-        self.datagrams += 1 + len(said)
-        self.bytes += len(data) + sum(map(len, said))
-        for answer in [decode(GROUP, wire) for wire in said]:
+        self.yardsticks += PACE.to_yardsticks(processor_seconds(divide))
+        self.report_count += 1
+        self.datagrams += 1 + len(answers)
+        self.bytes += len(data) + sum(map(len, answers))
+        for answer in [decode(GROUP_NUMBER, wire) for wire in answers]:
             if isinstance(answer, BudgetAnswer):
-                self.purses[number].handle_answer(0, answer, self.now)
+                self.local_budgets[number].handle_answer(0, answer, self.now)
 
     def settle(self) -> None:
-        """Until all know the right that they are told of, and have a part."""
+        """Runs rounds until all routers follow the leader's term and have a leased quota."""
         for _ in range(5):
-            self.round()
+            self.run_round()
 
-    def cost(self) -> float:
-        """Yardsticks of the divider a report, over one round."""
+    def report_cost(self) -> float:
+        """Returns the ledger's yardsticks for a report, over one round."""
         PACE.yardstick()
-        spent, told = self.spent, self.told
-        self.round()
-        return (self.spent - spent) / (self.told - told)
+        yardsticks, report_count = self.yardsticks, self.report_count
+        self.run_round()
+        return (self.yardsticks - yardsticks) / (self.report_count - report_count)
 
 
-FEW = 6  # budgets whose report is one datagram
+SINGLE_DATAGRAM_BUDGETS = 6  # budgets whose report fits into one datagram
 
 
-def ledgers(routers: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    books, datagrams = [Books(count, FEW, seed) for count in routers], list[float]()
-    for book in books:
-        book.settle()
-        before = book.datagrams
+def measure_ledgers(routers: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures the ledger by the number of routers."""
+    ledger_loads, datagrams = (
+        [LedgerLoad(count, SINGLE_DATAGRAM_BUDGETS, seed) for count in routers],
+        list[float](),
+    )
+    for ledger_load in ledger_loads:
+        ledger_load.settle()
+        before = ledger_load.datagrams
         for _ in range(2):
-            book.round()
-        datagrams.append((book.datagrams - before) / (2 * book.EVERY))
-    return {"ledger_cpu": medians([book.cost for book in books], passes), "ledger_datagrams": datagrams}
+            ledger_load.run_round()
+        datagrams.append((ledger_load.datagrams - before) / (2 * ledger_load.REPORT_INTERVAL_S))
+    return {
+        "ledger_cpu": medians([ledger_load.report_cost for ledger_load in ledger_loads], passes),
+        "ledger_datagrams": datagrams,
+    }
 
 
-def ledger_states(shapes: Sequence[tuple[int, int]], passes: int, seed: int) -> dict[str, list[float]]:
-    """shapes: budgets and routers."""
-    out = []
+def measure_ledger_states(
+    shapes: Sequence[tuple[int, int]], passes: int, seed: int
+) -> dict[str, list[float]]:
+    """Measures the state of the ledger by pairs of budgets and routers."""
+    state_values = []
     for budgets, routers in shapes:
-        book = Books(routers, budgets, seed)
-        book.settle()
-        out.append(float(state(book.ledger, (book.ledger.budgets,))))
-    return {"ledger_state": out}
+        ledger_load = LedgerLoad(routers, budgets, seed)
+        ledger_load.settle()
+        state_values.append(float(state_bytes(ledger_load.ledger, (ledger_load.ledger.budgets,))))
+    return {"ledger_state": state_values}
+
 
+def measure_local_budgets(budgets: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures a router's local budgets by the number of budgets.
 
-def purses(budgets: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    """One router's parts, after so many rounds that it remembers as many reports as it ever does; and the
-    bytes of its reports in a round, mean of some."""
-    in_bytes, in_state = list[float](), list[float]()
+    State is measured after so many rounds that the router remembers as many reports as it ever does. The
+    bytes of its reports are the mean of the last ten rounds.
+    """
+    report_bytes, state_values = list[float](), list[float]()
     for count in budgets:
-        book = Books(1, count, seed)
-        purse, sent = book.purses[0], list[int]()
-        for pocket in purse.budgets.values():  # as many ends as it remembers, which a busy one soon has had
-            for _ in range(pocket.recent_releases.maxlen or 0):
-                book.now += 1e-6
-                purse.acquire(pocket, book.now)
-                purse.release(pocket, book.now, False)
+        ledger_load = LedgerLoad(1, count, seed)
+        local, sent = ledger_load.local_budgets[0], list[int]()
+        # Fill the memory of recent releases, as it soon is at a busy router.
+        for budget in local.budgets.values():
+            for _ in range(budget.recent_releases.maxlen or 0):
+                ledger_load.now += 1e-6
+                local.acquire(budget, ledger_load.now)
+                local.release(budget, ledger_load.now, False)
         for _ in range(70):
-            book.now += book.EVERY
-            book.use(purse)
-            reports = purse.make_reports(0, 1, 1, book.now)
-            sent.append(sum(len(encode_report(GROUP, report)) for report in reports))
+            ledger_load.now += ledger_load.REPORT_INTERVAL_S
+            ledger_load.simulate_requests(local)
+            reports = local.make_reports(0, 1, 1, ledger_load.now)
+            sent.append(sum(len(encode_report(GROUP_NUMBER, report)) for report in reports))
             for report in reports:
-                answer = book.ledger.handle_report(0, report, book.now)
+                answer = ledger_load.ledger.handle_report(0, report, ledger_load.now)
                 if answer is not None:
-                    purse.handle_answer(0, answer, book.now)
-        in_bytes.append(statistics.mean(sent[-10:]))
-        in_state.append(float(state(purse)))
-    return {"report_bytes": in_bytes, "purse_state": in_state}
+                    local.handle_answer(0, answer, ledger_load.now)
+        report_bytes.append(statistics.mean(sent[-10:]))
+        state_values.append(float(state_bytes(local)))
+    return {"report_bytes": report_bytes, "purse_state": state_values}
 
 
-# The door.
+# Admission.
 
 
-class Sill:
-    """Counts who was let in and who was turned away."""
+class AdmissionRecorder:
+    """Records which requests were admitted, and counts those turned away."""
 
     def __init__(self) -> None:
-        self.inside, self.away = list[str](), 0
+        self.admitted, self.turned_away_count = list[str](), 0
 
     def let_in(self, ref: str) -> None:
-        self.inside.append(ref)
+        """Records an admitted request."""
+        self.admitted.append(ref)
 
     def turn_away(self, ref: str, after: float) -> None:
-        self.away += 1
+        """Counts a request that was turned away."""
+        self.turned_away_count += 1
+
+    def tell_peers(self, data: bytes) -> None:
+        """Does nothing."""
+        ...
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
+        """Does nothing."""
+        ...
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
+    def broke(self, ref: str, member: str, cause: str) -> None:
+        """Does nothing."""
+        ...
 
-    def broke(self, ref: str, member: str, cause: str) -> None: ...
 
+def measure_admission(members: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
+    """Measures the state of the admission controller by the number of members.
 
-def doors(members: Sequence[int], passes: int, seed: int) -> dict[str, list[float]]:
-    """Each member has a weight of its own and has come twice, the second time to wait; the memory that waits
-    is bounded by the operator's file, and is not in question here: one command of each."""
-    out = []
+    Each member has a weight of its own and sends two requests, of which the second one waits. The memory of
+    waiting requests is limited by the operator's file and not measured here, so one request of each member
+    waits.
+    """
+    state_values = []
     for count in members:
         names = [f"member-{n}" for n in range(count)]
-        sill = Sill()
+        recorder = AdmissionRecorder()
         bounds = Bounds(2 * count, 1e9, 10_000, True, False)
-        door = AdmissionController(
-            sill, FlowClassifier(512, seed, dict.fromkeys(names, 2.0), {}), bounds, 4.0, 5.0
+        controller = AdmissionController(
+            recorder, FlowClassifier(512, seed, dict.fromkeys(names, 2.0), {}), bounds, 4.0, 5.0
         )
         for n, name in enumerate([*names, *names]):
-            door.arrive(Arrival(f"{n:016x}", name, HOST, name, 0.05, 1, 200, 1e6, 1e6, n), 10.0)
-        if sill.away or len(door.standing) < count - 8:
-            raise RuntimeError("members were turned away: the door does not know as many as it should")
-        out.append(float(state(door, (sill, bounds))))
-    return {"door_state": out}
+            controller.arrive(Arrival(f"{n:016x}", name, HOST, name, 0.05, 1, 200, 1e6, 1e6, n), 10.0)
+        if recorder.turned_away_count or len(controller.standing) < count - 8:
+            raise RuntimeError(
+                "members were turned away, so the admission controller knows fewer than the measured size"
+            )
+        state_values.append(float(state_bytes(controller, (recorder, bounds))))
+    return {"door_state": state_values}
 
 
 # Clients.
 
-LOOK = 1.05  # seconds over which a router's processor time is taken: four rings of its own timer
-FIRST = 100  # connections that are there before the first is counted: their memory was free already
+SAMPLE_S = 1.05  # seconds over which a router's processor time is measured; four ticks of its timer
+# Connections before the first measured one; they use memory that was free already.
+UNMEASURED_CONNECTIONS = 100
 
 
-def _spent(pid: int) -> float:
-    """Processor seconds of all threads of a process, to the nanosecond."""
+def _process_cpu_seconds(pid: int) -> float:
+    """Returns the processor seconds of all threads of a process, to the nanosecond."""
     tasks = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
 
 
-def _look(pid: int) -> float:
-    """Processor seconds a second of a process, over LOOK."""
-    spent, began = _spent(pid), time.monotonic()
-    gevent.sleep(LOOK)
-    return (_spent(pid) - spent) / (time.monotonic() - began)
+def _sample_cpu(pid: int) -> float:
+    """Returns the processor seconds per second of a process, over SAMPLE_S."""
+    cpu_before, started_at = _process_cpu_seconds(pid), time.monotonic()
+    gevent.sleep(SAMPLE_S)
+    return (_process_cpu_seconds(pid) - cpu_before) / (time.monotonic() - started_at)
 
 
-def _connect(router: RouterProcess, lines: list[RpcClient], count: int) -> None:
-    """Until there are so many."""
-    while len(lines) < count:
-        line = RpcClient(router.address)
-        lines.append(line)
-        line.send(0, 1, "health", [{}])
-        if line.hear(5.0)[3][0] is not True:
+def _connect(router: RouterProcess, connections: list[RpcClient], count: int) -> None:
+    """Opens connections until there are so many; raises RuntimeError if the router is not healthy."""
+    while len(connections) < count:
+        connection = RpcClient(router.address)
+        connections.append(connection)
+        connection.send(0, 1, "health", [{}])
+        if connection.hear(5.0)[3][0] is not True:
             raise RuntimeError("the router is not healthy")
     gevent.sleep(0.3)
 
 
-def clients(counts: Sequence[int], looks: int) -> dict[str, list[float]]:
-    """A router as a process, and idle connections to it: each has asked for its health once and waits. State
-    is resident memory, beyond that with the FIRST ones. Processor time is the least of some looks: a router
-    that wakes four times a second for its own timers finds its caches cold when the machine is busy."""
-    in_state, in_cpu, lines = list[float](), list[float](), list[RpcClient]()
+def measure_clients(counts: Sequence[int], samples_per_count: int) -> dict[str, list[float]]:
+    """Measures a router process by its number of idle connections.
+
+    Each connection has asked for the router's health once and waits. State is the resident memory in excess
+    of that with the first UNMEASURED_CONNECTIONS. Processor time is the minimum of several samples: a router
+    that wakes four times a second for its own timers finds cold caches when the machine is busy.
+    """
+    state_values, cpu_values, connections = list[float](), list[float](), list[RpcClient]()
     listen = held_port()
     port = listen.getsockname()[1]
     with tempfile.TemporaryDirectory(prefix="marbleworks-lab-") as folder:
-        sockets = 3 * (FIRST + counts[-1] + 64)  # a third of them is for clients
+        sockets = 3 * (UNMEASURED_CONNECTIONS + counts[-1] + 64)  # a third of the sockets is for clients
         config = configuration(
             port, free_port(), (HOST, free_port()), {"e-1": (HOST, free_port())}, settings(8), sockets
         )
@@ -507,15 +609,15 @@
             router.start()
             process = router.process
             assert process is not None
-            _connect(router, lines, FIRST)
+            _connect(router, connections, UNMEASURED_CONNECTIONS)
             before = router.memory()
             for count in counts:
-                _connect(router, lines, FIRST + count)
-                in_state.append((router.memory() - before) * 2**20)
-                in_cpu.append(min(_look(process.pid) for _ in range(looks)))
+                _connect(router, connections, UNMEASURED_CONNECTIONS + count)
+                state_values.append((router.memory() - before) * 2**20)
+                cpu_values.append(min(_sample_cpu(process.pid) for _ in range(samples_per_count)))
         finally:
-            for line in lines:
-                line.sock.close()
+            for connection in connections:
+                connection.sock.close()
             router.end()
             listen.close()
-    return {"client_state": in_state, "client_cpu": in_cpu}
+    return {"client_state": state_values, "client_cpu": cpu_values}
--- a/marbleworks/lab/slopes.py
+++ b/marbleworks/lab/slopes.py
@@ -1,7 +1,7 @@
-"""How a cost grows: what was measured at several sizes, the curve through it, what that says of another size.
+"""Slopes: how a cost grows with a size, as a curve that is fitted through measured values.
 
-It owns the fits and how they are kept in a results file. It must never fit what it is tested by: the largest
-size is held out, predicted from the smaller ones, and compared.
+The module fits the curves and defines their form in a results file. Each fit is validated: the value at the
+largest size is held out, predicted from the smaller sizes, and compared with what was measured there.
 """
 
 from __future__ import annotations
@@ -11,19 +11,32 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-SURE = 0.95  # of the interval of an exponent and of a prediction
-SIZES = 5  # that are fitted at least, beside the one held out
-KNOWN = 1.0  # half of an interval at most, of the exponent above a base
+CONFIDENCE = 0.95  # confidence of the interval of an exponent
+MIN_FITTED_SIZES = 5  # sizes for a fit, besides the one that is held out
+MAX_INTERVAL_HALF_WIDTH = 1.0  # largest half width of the exponent's interval for which a base is accepted
 
 
 @dataclass(frozen=True)
 class Slope:
-    """y = base + factor * x ** exponent, through what was measured.
-
-    name: by which other pages call it. what: measured, with its unit. against: what grows, with its unit.
-    how: `simulated`, `processes` (real datagrams on loopback) or `in process`. xs, ys: as measured, the
-    largest last. predicted: at the largest size, from the others alone; error: of that, as a part of what was
-    measured there. low, high: the interval of the exponent, from all sizes."""
+    """The curve y = base + factor * x ** exponent through measured values.
+
+    Attributes:
+        name: Name of the slope in formulas and pages.
+        what: The measured quantity, with its unit.
+        against: The size that grows, with its unit.
+        how: `simulated`, `processes` (real datagrams on loopback) or `in process`.
+        xs: Measured sizes in rising order.
+        ys: Values at these sizes.
+        base: Part of the value that does not grow.
+        factor: Factor of the power.
+        exponent: Exponent of the power.
+        low: Low end of the exponent's confidence interval, from all sizes.
+        high: High end of that interval.
+        predicted: Value that the smaller sizes predict for the largest size.
+        error: Error of this prediction, relative to the value measured there.
+        spread: Standard error of log y about the curve.
+        seed: Seed of the run.
+    """
 
     name: str
     what: str
@@ -38,25 +51,33 @@
     high: float
     predicted: float
     error: float
-    spread: float  # standard error of log y about the curve
+    spread: float
     seed: int = 0
 
     def at(self, x: float) -> float:
+        """Returns the value of the curve at a size."""
         return self.base + self.factor * math.pow(x, self.exponent)
 
     def between(self, x: float) -> tuple[float, float]:
-        """Where the value at x lies by the interval of the exponent, turned about the middle of the sizes."""
-        middle = math.exp(sum(math.log(v) for v in self.xs) / len(self.xs))
-        grown = max(self.at(middle) - self.base, 0.0)
-        ends = sorted(self.base + grown * (x / middle) ** e for e in (self.low, self.high))
-        return ends[0], ends[1]
+        """Returns the low and high end of the value at a size, by the interval of the exponent.
+
+        The curves with the low and the high exponent meet the fitted curve at the geometric mean of the
+        measured sizes.
+        """
+        geometric_mean = math.exp(sum(math.log(v) for v in self.xs) / len(self.xs))
+        power_part = max(self.at(geometric_mean) - self.base, 0.0)
+        interval = sorted(
+            self.base + power_part * (x / geometric_mean) ** exponent_end
+            for exponent_end in (self.low, self.high)
+        )
+        return interval[0], interval[1]
 
     def times(self, x: float) -> float:
-        """How far x lies beyond the largest size that was measured."""
+        """Returns the ratio of a size to the largest measured size."""
         return x / self.xs[-1]
 
 
-def fitted(
+def fit(
     name: str,
     what: str,
     against: str,
@@ -65,16 +86,33 @@
     values: Sequence[float],
     seed: int = 0,
 ) -> Slope:
-    """The curve through values at sizes, which rise. ValueError where there are too few, or one is not
-    positive."""
-    if len(sizes) < SIZES + 1 or sorted(set(sizes)) != list(sizes) or len(sizes) != len(values):
-        raise ValueError(f"{name}: {SIZES + 1} rising sizes are wanted, each with its value")
+    """Fits a curve through measured values.
+
+    Args:
+        name: Name of the slope.
+        what: The measured quantity, with its unit.
+        against: The size that grows, with its unit.
+        how: How the values were measured.
+        sizes: Sizes in rising order.
+        values: Values at these sizes.
+        seed: Seed of the run.
+
+    Returns:
+        The slope, with the error of its prediction for the largest size.
+
+    Raises:
+        ValueError: There are too few sizes, they do not rise, or a size or value is not positive and finite.
+    """
+    if len(sizes) < MIN_FITTED_SIZES + 1 or sorted(set(sizes)) != list(sizes) or len(sizes) != len(values):
+        raise ValueError(
+            f"{name}: needs at least {MIN_FITTED_SIZES + 1} sizes in rising order, with one value each"
+        )
     if not all(0 < value < math.inf for value in (*sizes, *values)):
-        raise ValueError(f"{name}: sizes and values are above 0 and finite")
-    most, there = sizes[-1], values[-1]
-    base, factor, exponent, _, _, _ = _curve(sizes[:-1], values[:-1])
-    predicted = base + factor * most**exponent
-    base, factor, exponent, low, high, spread = _curve(sizes, values)
+        raise ValueError(f"{name}: sizes and values must be positive and finite")
+    largest_size, largest_value = sizes[-1], values[-1]
+    base, factor, exponent, _, _, _ = _fit_curve(sizes[:-1], values[:-1])
+    predicted = base + factor * largest_size**exponent
+    base, factor, exponent, low, high, spread = _fit_curve(sizes, values)
     return Slope(
         name,
         what,
@@ -88,38 +126,45 @@
         low,
         high,
         predicted,
-        abs(predicted - there) / there,
+        abs(predicted - largest_value) / largest_value,
         spread,
         seed,
     )
 
 
-def _curve(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float, float, float, float]:
-    """Base, factor, exponent, its interval, and the spread: a power, or a power above a base where that
-    leaves so much less unexplained that the third figure pays for itself (Akaike's criterion, corrected)."""
+def _fit_curve(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float, float, float, float]:
+    """Fits a power, or a power above a base if the base is justified.
+
+    The base is a third parameter. It is accepted if the corrected Akaike information criterion is smaller
+    with it, and if the interval of the exponent is narrow enough.
+
+    Returns:
+        Base, factor, exponent, low and high end of the exponent's interval, and the standard error of log y
+        about the curve.
+    """
     import numpy as np
     from scipy import optimize, stats
 
     x, y, n = np.asarray(xs, float), np.asarray(ys, float), len(xs)
-    line = stats.linregress(np.log(x), np.log(y))
-    reach = float(stats.t.ppf((1 + SURE) / 2, n - 2)) * float(line.stderr)
-    left = float(np.sum((np.log(y) - line.intercept - line.slope * np.log(x)) ** 2))
-    slope = float(line.slope)
+    regression = stats.linregress(np.log(x), np.log(y))
+    half_width = float(stats.t.ppf((1 + CONFIDENCE) / 2, n - 2)) * float(regression.stderr)
+    power_residual = float(np.sum((np.log(y) - regression.intercept - regression.slope * np.log(x)) ** 2))
+    slope = float(regression.slope)
     power = (
         0.0,
-        math.exp(float(line.intercept)),
+        math.exp(float(regression.intercept)),
         slope,
-        slope - reach,
-        slope + reach,
-        math.sqrt(left / (n - 2)),
+        slope - half_width,
+        slope + half_width,
+        math.sqrt(power_residual / (n - 2)),
     )
 
-    def above(logs: Any, base: float, factor: float, exponent: float) -> Any:
+    def log_power_above_base(logs: Any, base: float, factor: float, exponent: float) -> Any:
         return np.log(np.maximum(base + factor * np.exp(logs * exponent), 1e-300))
 
     try:
-        told, spreads = optimize.curve_fit(
-            above,
+        parameters, covariance = optimize.curve_fit(
+            log_power_above_base,
             np.log(x),
             np.log(y),
             p0=(0.5 * y[0], 0.5 * y[-1] / x[-1], 1.0),
@@ -128,43 +173,65 @@
         )
     except (RuntimeError, ValueError):
         return power
-    rest = float(np.sum((np.log(y) - above(np.log(x), *told)) ** 2))
+    base_residual = float(np.sum((np.log(y) - log_power_above_base(np.log(x), *parameters)) ** 2))
 
-    def criterion(unexplained: float, figures: int) -> float:
+    def information_criterion(residual: float, parameter_count: int) -> float:
         return (
-            n * math.log(max(unexplained, 1e-12) / n)
-            + 2 * figures
-            + 2 * figures * (figures + 1) / max(n - figures - 1, 0.5)
+            n * math.log(max(residual, 1e-12) / n)
+            + 2 * parameter_count
+            + 2 * parameter_count * (parameter_count + 1) / max(n - parameter_count - 1, 0.5)
         )
 
-    base, factor, exponent = (float(v) for v in told)
-    reach = float(stats.t.ppf((1 + SURE) / 2, n - 3)) * math.sqrt(max(float(spreads[2][2]), 0.0))
-    if criterion(rest, 3) >= criterion(left, 2) or not reach < min(exponent, KNOWN):
-        return power  # an exponent that could as well be none says nothing of a larger size
-    return base, factor, exponent, exponent - reach, exponent + reach, math.sqrt(rest / (n - 3))
+    base, factor, exponent = (float(v) for v in parameters)
+    half_width = float(stats.t.ppf((1 + CONFIDENCE) / 2, n - 3)) * math.sqrt(
+        max(float(covariance[2][2]), 0.0)
+    )
+    if information_criterion(base_residual, 3) >= information_criterion(
+        power_residual, 2
+    ) or not half_width < min(exponent, MAX_INTERVAL_HALF_WIDTH):
+        return power  # an exponent whose interval includes 0 predicts nothing for a larger size
+    return (
+        base,
+        factor,
+        exponent,
+        exponent - half_width,
+        exponent + half_width,
+        math.sqrt(base_residual / (n - 3)),
+    )
 
 
 @dataclass
 class Slopes:
-    """All of a run, by name, as a results file keeps them under `slopes`."""
+    """All slopes of a run, as a results file stores them under `slopes`.
+
+    Attributes:
+        by_name: The slopes by name.
+    """
 
     by_name: dict[str, Slope] = field(default_factory=dict)
 
     def add(self, slope: Slope) -> None:
+        """Adds a slope; raises ValueError if there is one of the same name."""
         if slope.name in self.by_name:
-            raise ValueError(f"{slope.name} is there already")
+            raise ValueError(f"slope {slope.name} is there already")
         self.by_name[slope.name] = slope
 
     def __getitem__(self, name: str) -> Slope:
         return self.by_name[name]
 
-    def kept(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
+        """Returns the slopes in the form of a results file."""
         return {name: asdict(slope) for name, slope in sorted(self.by_name.items())}
 
     @classmethod
-    def read(cls, kept: dict[str, Any]) -> Slopes:
-        """KeyError or TypeError where what was kept is not of this form."""
+    def from_dict(cls, stored: dict[str, Any]) -> Slopes:
+        """Reads slopes in the form of a results file.
+
+        Raises:
+            KeyError: A field is missing.
+            TypeError: A field is missing, unknown or of the wrong type.
+        """
         slopes = cls()
-        for facts in kept.values():
+        for facts in stored.values():
             slopes.add(Slope(**{**facts, "xs": tuple(facts["xs"]), "ys": tuple(facts["ys"])}))
         return slopes
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -288,7 +288,7 @@
 
 def test_the_command_writes_checks_and_says_in_a_line_what_is_wrong(tmp_path: Path) -> None:
     results, text = tmp_path / "capacity.json", tmp_path / "page.md"
-    results.write_text(json.dumps({**made_up().figures, "claims": [], "slopes": made_up().slopes.kept()}))
+    results.write_text(json.dumps({**made_up().figures, "claims": [], "slopes": made_up().slopes.to_dict()}))
     text.write_text(BLANK)
     args = ["lab", "page", "--results", str(results), "--page", str(text)]
     run = CliRunner()
