--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -1,18 +1,18 @@
-"""Hollow routers, many to a process: all of a router but its front, so that no client ever comes.
-
-A hollow router is what `net/server.py` wires: configuration, datagrams among peers, desk and decisions, the
-list, and what the operator's file turns on (membership, budgets), on sockets of its own. The process is told
-what to do by lines of JSON on standard input, answers each by a line, and ends with its input or when its
-seconds are over. It owns its routers and their sockets, and must never decide what is measured or send a
-datagram that the router's own code does not send.
-
-    {"start": [["config.json", "operator.lisp"], ...]}  -> who began: their numbers
-    {"kill": [3]}        at once, as if its process were killed -> when, and all that it had counted by then
-    {"part": [[0, 1], [2]]}  none of one part hears any of another; []: all hear all
-    {"reload": [3]}      what SIGHUP does -> processor seconds that it took, by number
-    {"views": true}      -> by number: routers that live, a check over them, its right, news to be told still,
-                         changes of its view so far
-    {"count": true}      -> the process's own processor time and memory; by number all that was counted
+"""A process of many hollow routers: complete routers without a listener for clients.
+
+A hollow router consists of what `net/server.py` wires: configuration, datagrams among the routers, dispatcher
+and scheduler, the engine list, and the subsystems of the operator's file (membership, budgets), on sockets of
+its own. The process reads commands as lines of JSON from standard input and answers each with a line. It ends
+with its input or after its lifetime. It owns its routers and their sockets. It does not decide what is
+measured, and sends no datagram that the routers' code does not send.
+
+    {"start": [["config.json", "operator.lisp"], ...]}  starts routers -> their numbers
+    {"kill": [3]}            ends routers at once, as if their process were killed -> time of death, counters
+    {"part": [[0, 1], [2]]}  routers of one part receive nothing from another; []: ends the cut
+    {"reload": [3]}          does what SIGHUP does -> processor seconds by number
+    {"views": true}          -> by number: live routers, a checksum of them, the router's role, updates that
+                             are still gossiped, changes of its view so far
+    {"count": true}          -> processor time and memory of the process, and the counters by number
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from gevent.fileobject import FileObjectThread
 from gevent.lock import BoundedSemaphore
 
-# Whatever a router imports late is here before the first begins, so that memory grows by routers alone.
-from marbleworks.budgets import service as _treasurer  # noqa: F401
+# Modules that a router imports late are imported here, so that memory grows only by the routers.
+from marbleworks.budgets import service as _budget_service  # noqa: F401
 from marbleworks.budgets.codec import FORMAT as BUDGETS
 from marbleworks.membership.codec import MAGIC
 from marbleworks.membership.report import ROLE_TEXTS
@@ -48,159 +48,217 @@
 from marbleworks.subsystems.registry import read_operator_config
 from marbleworks.subsystems.wiring import Subsystems
 
-MOST_ROUTERS = 200  # in one process
-MOST_MEMORY = 2 << 30  # bytes of one process; six of them are half of a machine of 24 GB
+MAX_ROUTERS = 200  # in one process
+MAX_MEMORY_BYTES = 2 << 30  # bytes of one process; six processes use half of a machine of 24 GB
 KINDS = {MAGIC: "peers", BUDGETS.magic: "budgets"}
 
 
-class Wire:
-    """The socket of a router's datagrams, with what passed it counted by kind, and a cut.
+class CountingSocket:
+    """The socket of a router's datagrams, which counts them by kind and can cut senders off.
 
-    A cut is made here, where datagrams come in: to the code under test it is the same as one between the
-    routers. What is sent is taken by the system as ever, nothing comes, and neither side is told. A relay for
-    each pair, as `faultnet.py` has, would be 40,000 sockets among 200.
+    Received datagrams of cut-off senders are dropped here. To the code under test this is the same as a cut
+    between the routers: the system accepts what is sent, nothing arrives, and neither side is notified. A
+    relay for each pair of routers, as in `faultnet.py`, would need 40,000 sockets among 200 routers.
+
+    Attributes:
+        dead: Whether the router was killed; then nothing is sent or counted.
+        sent: Datagrams and bytes that the system accepted, by kind.
+        received: Datagrams and bytes received, by kind.
+        cut_off_senders: Addresses that are cut off.
+        dropped_by_cut: Datagrams that were dropped by a cut.
     """
 
     def __init__(self, sock: Any) -> None:
         self.sock, self.dead = sock, False
-        self.sent: dict[str, list[int]] = {}  # by kind: datagrams and bytes that the system took
-        self.heard: dict[str, list[int]] = {}
-        self.deaf_to: set[tuple[str, int]] = set()
-        self.cut = 0
+        self.sent: dict[str, list[int]] = {}
+        self.received: dict[str, list[int]] = {}
+        self.cut_off_senders: set[tuple[str, int]] = set()
+        self.dropped_by_cut = 0
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> int:
+        """Sends and counts a datagram, unless the router is dead."""
         if self.dead:
             return len(data)
-        taken: int = self.sock.sendto(data, address)
+        sent_bytes: int = self.sock.sendto(data, address)
         _count(self.sent, data)
-        return taken
+        return sent_bytes
 
     def recvfrom(self, size: int) -> tuple[bytes, tuple[str, int]]:
+        """Receives and counts the next datagram from a sender that is not cut off."""
         while True:
             data, sender = self.sock.recvfrom(size)
-            if sender in self.deaf_to:
-                self.cut += 1
+            if sender in self.cut_off_senders:
+                self.dropped_by_cut += 1
                 continue
-            _count(self.heard, data)
+            _count(self.received, data)
             return data, sender
 
 
 def _count(counts: dict[str, list[int]], data: bytes) -> None:
-    counted = counts.setdefault(KINDS.get(data[0], "news") if data else "news", [0, 0])
-    counted[0] += 1
-    counted[1] += len(data)
+    counter = counts.setdefault(KINDS.get(data[0], "news") if data else "news", [0, 0])
+    counter[0] += 1
+    counter[1] += len(data)
+
 
+class _TrackedListener:
+    """Keeps the greenlet that receives datagrams, so that it can be ended with its router.
 
-class _Heeded:
-    """Keeps the greenlet that listens, which is to end with its router."""
+    Attributes:
+        listener: The greenlet.
+        is_over: Whether the router was killed.
+    """
 
     listener: Any = None
-    over = False
+    is_over = False
 
     def _listen(self) -> None:
-        if self.over:  # killed before it had its first turn
+        if self.is_over:  # the router was killed before this greenlet ran
             return
         self.listener = gevent.getcurrent()
         super()._listen()  # type: ignore[misc]
 
 
-class _Peers(_Heeded, DatagramTransport):
+class _PeerTransport(_TrackedListener, DatagramTransport):
     pass
 
 
-class _Directory(_Heeded, EngineDiscovery):
+class _EngineDirectory(_TrackedListener, EngineDiscovery):
     pass
 
 
 class Router:
-    """One hollow router; raises what a router's start raises."""
+    """One hollow router; its creation raises what a router's start raises.
+
+    Attributes:
+        number: Its number in the group.
+        addresses: Addresses of all routers.
+        live_routers: Live routers in its view, with their generations.
+        removed: Routers that left the view, with the time by the machine's clock.
+    """
 
     def __init__(self, path: str, operator: str) -> None:
-        station, self.path = RouterConfig.read(path), path
-        deployment = station.settings
-        self.number, self.addresses = deployment.fleet.router_index, station.peers
-        self.fitted = Subsystems(read_operator_config(operator)) if operator else None
-        self.peers = _Peers(station.peer_listen, station.peers, station.peer_broadcast, self.number)
-        self.wire: Any = Wire(self.peers.sock)
-        self.peers.sock = self.wire
-        tell = self.peers.register(LOAD_UPDATE, self._heard)
-        share = BoundedSemaphore(station.max_sockets)
-        self.desk = Dispatcher(deployment, station.seed, engine_client_factory(deployment, share), tell)
+        config, self.path = RouterConfig.read(path), path
+        settings = config.settings
+        self.number, self.addresses = settings.fleet.router_index, config.peers
+        self.subsystems = Subsystems(read_operator_config(operator)) if operator else None
+        self.peers = _PeerTransport(config.peer_listen, config.peers, config.peer_broadcast, self.number)
+        self.counting_socket: Any = CountingSocket(self.peers.sock)
+        self.peers.sock = self.counting_socket
+        send_load_update = self.peers.register(LOAD_UPDATE, self._on_load_update)
+        socket_limit = BoundedSemaphore(config.max_sockets)
+        self.dispatcher = Dispatcher(
+            settings, config.seed, engine_client_factory(settings, socket_limit), send_load_update
+        )
         self.peers.listen()
-        self.directory = _Directory(self.desk, deployment, station.initial_engines, station.nameserver)
-        if self.fitted is not None:
-            self.fitted.join(self.desk, deployment, self.peers, station.name)
-        self.living: dict[int, int] = {}  # as the view has them, with their starts
-        self.removed: list[tuple[int, float]] = []  # who left the view, and when by the machine's clock
-        steward = self.fitted.membership if self.fitted is not None else None
-        self.steward = steward
-        if steward is not None:
-            steward.view_listeners.append(self._viewed)
-
-    def _heard(self, peer: int, data: bytes) -> None:
-        self.desk.post(self.desk.scheduler.receive_load_update, peer, data)
-
-    def _viewed(self, living: dict[int, int]) -> None:
+        self.directory = _EngineDirectory(
+            self.dispatcher, settings, config.initial_engines, config.nameserver
+        )
+        if self.subsystems is not None:
+            self.subsystems.join(self.dispatcher, settings, self.peers, config.name)
+        self.live_routers: dict[int, int] = {}
+        self.removed: list[tuple[int, float]] = []
+        membership = self.subsystems.membership if self.subsystems is not None else None
+        self.membership = membership
+        if membership is not None:
+            membership.view_listeners.append(self._on_view)
+
+    def _on_load_update(self, peer: int, data: bytes) -> None:
+        self.dispatcher.post(self.dispatcher.scheduler.receive_load_update, peer, data)
+
+    def _on_view(self, live_routers: dict[int, int]) -> None:
         now = time.monotonic()
-        self.removed += [(number, now) for number in self.living if number not in living]
-        self.living = living
-
-    def part(self, sides: dict[int, int]) -> None:
-        own = sides.get(self.number)
-        others = enumerate(self.addresses)
-        self.wire.deaf_to = {address for n, address in others if sides and sides.get(n) != own}
+        self.removed += [(number, now) for number in self.live_routers if number not in live_routers]
+        self.live_routers = live_routers
+
+    def cut_off(self, part_by_router: dict[int, int]) -> None:
+        """Cuts off the routers of other parts.
+
+        Args:
+            part_by_router: The part of each router; empty to end the cut.
+        """
+        own_part = part_by_router.get(self.number)
+        other_routers = enumerate(self.addresses)
+        self.counting_socket.cut_off_senders = {
+            address for n, address in other_routers if part_by_router and part_by_router.get(n) != own_part
+        }
 
     def reload(self) -> float:
-        """Processor seconds of this thread: nothing else runs until it is done."""
+        """Reloads the configuration as SIGHUP does.
+
+        Returns:
+            Processor seconds of this thread; nothing else runs until the reload is done.
+        """
         began = time.thread_time()
-        serve._reload(self.path, self.directory, self.fitted)  # what SIGHUP calls, and nothing else does
+        serve._reload(self.path, self.directory, self.subsystems)  # only SIGHUP calls this otherwise
         return time.thread_time() - began
 
     def view(self) -> list[Any]:
-        check = zlib.crc32(repr(sorted(self.living.items())).encode())
-        untold = len(self.steward.failure_detector.gossip.transmissions) if self.steward is not None else 0
-        changes = self.steward.failure_detector.view.version if self.steward is not None else 0
-        right = ROLE_TEXTS[self.steward.role] if self.steward is not None else ""
-        return [len(self.living), check, right, untold, changes]
-
-    def counted(self) -> dict[str, Any]:
+        """Returns the router's view.
+
+        Returns:
+            The number of live routers, a checksum of these and their generations, the router's role, the
+            number of updates that are still gossiped, and the number of changes of the view so far.
+        """
+        checksum = zlib.crc32(repr(sorted(self.live_routers.items())).encode())
+        pending_updates = (
+            len(self.membership.failure_detector.gossip.transmissions) if self.membership is not None else 0
+        )
+        changes = self.membership.failure_detector.view.version if self.membership is not None else 0
+        role = ROLE_TEXTS[self.membership.role] if self.membership is not None else ""
+        return [len(self.live_routers), checksum, role, pending_updates, changes]
+
+    def counters(self) -> dict[str, Any]:
+        """Returns the router's counters."""
         return {
-            "sent": self.wire.sent,
-            "heard": self.wire.heard,
-            "cut": self.wire.cut,
+            "sent": self.counting_socket.sent,
+            "heard": self.counting_socket.received,
+            "cut": self.counting_socket.dropped_by_cut,
             "dropped": self.peers.dropped_counts,
             "removed": self.removed,
             "list": [self.directory.revision, len(self.directory.engine_ids)],
         }
 
     def kill(self) -> dict[str, Any]:
-        self.wire.dead = True  # from here on nothing of it reaches anyone
+        """Ends the router at once and returns the time of death and its counters."""
+        self.counting_socket.dead = True  # from now on it sends nothing
         at = time.monotonic()
-        told = {"at": at, **self.counted()}
-        actors: list[Any] = [self.peers, self.directory, self.desk, *self.desk.engine_clients.values()]
-        if self.fitted is not None:
-            actors += [a for a in (self.fitted.membership, self.fitted.budgets) if a is not None]
-        going = [actor.greenlet for actor in actors]
-        for heeded in (self.peers, self.directory):
-            heeded.over = True
-            going += [heeded.listener] if heeded.listener is not None else []
-        gevent.killall(going)
-        self.wire.sock.close()
+        counters = {"at": at, **self.counters()}
+        actors: list[Any] = [
+            self.peers,
+            self.directory,
+            self.dispatcher,
+            *self.dispatcher.engine_clients.values(),
+        ]
+        if self.subsystems is not None:
+            actors += [a for a in (self.subsystems.membership, self.subsystems.budgets) if a is not None]
+        greenlets = [actor.greenlet for actor in actors]
+        for tracked in (self.peers, self.directory):
+            tracked.is_over = True
+            greenlets += [tracked.listener] if tracked.listener is not None else []
+        gevent.killall(greenlets)
+        self.counting_socket.sock.close()
         self.directory.sock.close()
-        return told
+        return counters
 
 
-class House:
-    """The routers of this process, by number."""
+class RouterHost:
+    """The routers of this process.
+
+    Attributes:
+        routers: Routers by number.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
-    def told(self, line: bytes) -> dict[str, Any]:
-        """What a line asks for; one that can't be done costs itself alone."""
+    def handle(self, line: bytes) -> dict[str, Any]:
+        """Carries out a command and returns the answer.
+
+        A command that can't be carried out is answered with an error, and the process goes on.
+        """
         try:
-            ((what, told),) = json.loads(line).items()
-            does: dict[str, Callable[[Any], dict[str, Any]]] = {
+            ((command, argument),) = json.loads(line).items()
+            handlers: dict[str, Callable[[Any], dict[str, Any]]] = {
                 "start": self._start,
                 "kill": self._kill,
                 "part": self._part,
@@ -208,59 +266,64 @@
                 "views": lambda _: {"views": {n: r.view() for n, r in self.routers.items()}},
                 "count": self._count,
             }
-            return does[what](told)
+            return handlers[command](argument)
         except Exception as err:
             return {"error": repr(err)}
 
-    def _start(self, told: list[list[str]]) -> dict[str, Any]:
-        if len(self.routers) + len(told) > MOST_ROUTERS:
-            raise ValueError(f"{MOST_ROUTERS} routers at most")
-        began = []
-        for path, operator in told:
+    def _start(self, argument: list[list[str]]) -> dict[str, Any]:
+        if len(self.routers) + len(argument) > MAX_ROUTERS:
+            raise ValueError(f"a process runs {MAX_ROUTERS} routers at most")
+        started = []
+        for path, operator in argument:
             router = Router(path, operator)
             if router.number in self.routers:
                 router.kill()
                 raise ValueError(f"router {router.number} is there already")
             self.routers[router.number] = router
-            began.append(router.number)
+            started.append(router.number)
         gc.collect()
-        gc.freeze()  # as a router does
+        gc.freeze()  # as a router does after its start
         gc.set_threshold(50_000, 10, 10)
-        return {"started": began}
+        return {"started": started}
 
-    def _kill(self, told: list[int]) -> dict[str, Any]:
-        going = {number: self.routers[number] for number in told}  # KeyError before any is killed
-        for number in going:
+    def _kill(self, argument: list[int]) -> dict[str, Any]:
+        # An unknown number raises KeyError before any router is killed.
+        selected = {number: self.routers[number] for number in argument}
+        for number in selected:
             del self.routers[number]
-        return {"killed": {number: router.kill() for number, router in going.items()}}
+        return {"killed": {number: router.kill() for number, router in selected.items()}}
 
-    def _part(self, told: list[list[int]]) -> dict[str, Any]:
-        sides = {number: side for side, part in enumerate(told) for number in part}
+    def _part(self, argument: list[list[int]]) -> dict[str, Any]:
+        part_by_router = {number: side for side, part in enumerate(argument) for number in part}
         for router in self.routers.values():
-            router.part(sides)
-        return {"parted": len(told)}
+            router.cut_off(part_by_router)
+        return {"parted": len(argument)}
 
-    def _reload(self, told: list[int]) -> dict[str, Any]:
-        going = {number: self.routers[number] for number in told}
-        return {"reloaded": {number: router.reload() for number, router in going.items()}}
+    def _reload(self, argument: list[int]) -> dict[str, Any]:
+        selected = {number: self.routers[number] for number in argument}
+        return {"reloaded": {number: router.reload() for number, router in selected.items()}}
 
     def _count(self, _: Any) -> dict[str, Any]:
-        facts = {"at": time.monotonic(), "cpu": time.process_time(), "resident": resident()}
-        return {**facts, "routers": {number: router.counted() for number, router in self.routers.items()}}
+        totals = {"at": time.monotonic(), "cpu": time.process_time(), "resident": resident_bytes()}
+        return {**totals, "routers": {number: router.counters() for number, router in self.routers.items()}}
 
 
-def resident() -> int:
-    """Bytes of memory that this process has of its own."""
+def resident_bytes() -> int:
+    """Returns the bytes of resident memory that this process does not share."""
     with open("/proc/self/statm") as file:
-        pages, shared = (int(text) for text in file.read().split()[1:3])
+        pages, shared = (int(field) for field in file.read().split()[1:3])
     return (pages - shared) * resource.getpagesize()
 
 
 def main() -> None:
-    """Arguments: the file for the router's log, and the seconds after which this ends in any case."""
+    """Runs the process.
+
+    Command line arguments are the file for the routers' log, and the seconds after which the process ends in
+    any case.
+    """
     log, seconds = sys.argv[1], int(sys.argv[2])
-    signal.alarm(seconds)  # ends the process whatever it is at
-    resource.setrlimit(resource.RLIMIT_AS, (MOST_MEMORY, MOST_MEMORY))
+    signal.alarm(seconds)  # ends the process, whatever it is doing
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -271,11 +334,11 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(open(log, "a")),  # noqa: SIM115
     )
-    house = House()
+    host = RouterHost()
     print(json.dumps({"ready": os.getpid()}), flush=True)
     for line in FileObjectThread(0, "rb"):
-        print(json.dumps(house.told(line)), flush=True)
-    os._exit(0)  # with its controller, whatever the routers are at
+        print(json.dumps(host.handle(line)), flush=True)
+    os._exit(0)  # the controller has ended, so end whatever the routers are doing
 
 
 if __name__ == "__main__":
