--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -1,7 +1,8 @@
-"""Who does what for control in the fleet, what carries it, and what comes in a burst, as data.
+"""The control work of the fleet as data: roles, duties, their mechanisms, and what happens in bursts.
 
-It owns roles, duties, bursts, steps and the formulas of what each costs. It must never hold a measured
-figure, nor say that something works which no file carries.
+The module defines roles, duties, bursts, steps, and the formulas of what each costs. It contains no measured
+figures, and each mechanism that works names the files that implement it. Texts in this module are written to
+docs/CAPACITY.md.
 """
 
 from __future__ import annotations
@@ -43,6 +44,8 @@
 
 
 class Role(Enum):
+    """Who does control work. The lower-case names are part of table names in the page."""
+
     ROUTER = "router"
     DIVIDER = "who divides in a group, or leads a cell"
     REGION = "level of a region"
@@ -54,25 +57,28 @@
 
 
 class Duty(Enum):
+    """A kind of work."""
+
     MEMBERSHIP = "membership"
     LIST = "list"
     BUDGETS = "budgets"
-    COLD = "cold ramps"
+    SLOW_START = "cold ramps"
     RETRY = "retry budgets"
     CONFIGURATION = "configuration"
     PRIMARIES = "primaries"
     DECISIONS = "decisions"
     CLIENTS = "client connections"
-    DOOR = "door"
+    ADMISSION = "door"
     SPOOL = "spool"
     LOGS = "logs"
 
 
+# Duties that count as control, in whose sums they are included.
 CONTROL = (
     Duty.MEMBERSHIP,
     Duty.LIST,
     Duty.BUDGETS,
-    Duty.COLD,
+    Duty.SLOW_START,
     Duty.RETRY,
     Duty.CONFIGURATION,
     Duty.PRIMARIES,
@@ -80,32 +86,53 @@
 
 
 class Status(Enum):
+    """Whether a mechanism exists."""
+
     WORKS = "works"
     BUILT = "built now"
     MISSING = "missing"
 
 
 @dataclass(frozen=True)
-class Carried:
-    """by: the mechanism, in words; files: of the package, that carry it, none where it is missing; takes:
-    what it would take where it is missing or over."""
+class Mechanism:
+    """How a duty is carried out.
 
-    by: str
+    Attributes:
+        description: The mechanism in words.
+        status: Whether it exists.
+        files: Files of the package that implement it; none if it is missing.
+        remedy: What it would take if it is missing or exceeds a limit.
+    """
+
+    description: str
     status: Status
     files: tuple[str, ...] = ()
-    takes: str = ""
+    remedy: str = ""
 
 
 @dataclass(frozen=True)
 class Row:
-    """state: what is kept, in words. messages and bytes: a second, the fuller of both directions; cpu:
-    processor seconds a second; memory: bytes. None where no slope says it. awaited: nothing of it has a run,
-    and the page says so."""
+    """A duty of a role in one variant of the fleet, with the formulas of its cost.
+
+    A formula is None if no slope tells the cost.
+
+    Attributes:
+        role: Who has the duty.
+        duty: The duty.
+        variant: The flat fleet or the fleet in cells.
+        mechanism: How the duty is carried out.
+        state: The state that is kept, in words.
+        messages: Messages per second, in the busier direction.
+        bytes: Bytes per second, in the busier direction.
+        cpu: Processor seconds per second.
+        memory: Bytes of memory.
+        awaited: Whether no part of the cost was measured; the page marks that.
+    """
 
     role: Role
     duty: Duty
     variant: Variant
-    carried: Carried
+    mechanism: Mechanism
     state: str
     messages: Formula | None = None
     bytes: Formula | None = None
@@ -114,144 +141,153 @@
     awaited: bool = False
 
     def formulas(self) -> dict[str, Formula]:
-        found = {"messages": self.messages, "bytes": self.bytes, "cpu": self.cpu, "memory": self.memory}
-        return {what: formula for what, formula in found.items() if formula is not None}
+        """Returns the formulas by measure, without those that are None."""
+        formulas = {"messages": self.messages, "bytes": self.bytes, "cpu": self.cpu, "memory": self.memory}
+        return {what: formula for what, formula in formulas.items() if formula is not None}
 
 
-# What carries it.
+# Mechanisms.
 
-PEERS = ("membership/failure_detector.py", "membership/leader_election.py")
-NUMBERED = "a numbered configuration that leaders pass on, in force from a moment that all know"
-NAMED = "one primary by name, which is told, gives up and is followed"
-NEWER = "a list by cell; told only when it is newer"
-BOOKS = ("budgets/local_budget.py", "budgets/allocation_ledger.py")
-SWIM = Carried(
+MEMBERSHIP_FILES = ("membership/failure_detector.py", "membership/leader_election.py")
+NUMBERED_CONFIGURATION = "a numbered configuration that leaders pass on, in force from a moment that all know"
+NAMED_PRIMARY = "one primary by name, which is told, gives up and is followed"
+LIST_BY_CELL = "a list by cell; told only when it is newer"
+BUDGET_FILES = ("budgets/local_budget.py", "budgets/allocation_ledger.py")
+FLAT_MEMBERSHIP = Mechanism(
     "SWIM among all, one lease by votes of a majority",
     Status.WORKS,
-    PEERS,
+    MEMBERSHIP_FILES,
     f"cells: a router knows its cell alone; a datagram numbers {MAX_ROUTERS:,} routers at most",
 )
-IN_CELL = Carried(
+CELL_MEMBERSHIP = Mechanism(
     "the same in each cell; the plan and who makes it are decided in cells/, joined to no router",
     Status.MISSING,
     (),
     "cells/ joined to the router",
 )
-LEADER = Carried("a cell's leader, by the cell's votes", Status.MISSING, (), "cells/ joined to the router")
-ASKED = Carried(
+CELL_LEADER = Mechanism(
+    "a cell's leader, by the cell's votes", Status.MISSING, (), "cells/ joined to the router"
+)
+FLAT_LIST = Mechanism(
     "the whole list asked by DNS over UDP, read only where it differs",
     Status.WORKS,
     ("net/discovery.py",),
-    NEWER,
+    LIST_BY_CELL,
 )
-ASKED_CELL = Carried("the list of a cell", Status.MISSING, (), NEWER)
-REPORTED = Carried(
+CELL_LIST = Mechanism("the list of a cell", Status.MISSING, (), LIST_BY_CELL)
+FLAT_BUDGETS = Mechanism(
     "reports to the divider, leases from it",
     Status.WORKS,
-    BOOKS,
+    BUDGET_FILES,
     "cells: leases from fleet to region to cell to router; reports only of what changed",
 )
-REPORTED_CELL = Carried(
+CELL_BUDGETS = Mechanism(
     "reports to the cell's leader, leases from it",
     Status.MISSING,
     (),
     "cells/ joined to the router; reports only of what changed",
 )
-LEASED = Carried(
+LEVEL_BUDGETS = Mechanism(
     "the books of each level, over the level below; decided in cells/, joined to no router",
     Status.MISSING,
     (),
     "cells/ joined to the router; a level of regions",
 )
-RAMPED = Carried(
+FLAT_SLOW_START = Mechanism(
     "sponsors by hash, more as it warms, or a budget for each cold engine",
     Status.WORKS,
-    ("scheduling/slow_start.py", *BOOKS),
+    ("scheduling/slow_start.py", *BUDGET_FILES),
     "the same in each cell",
 )
-RAMPED_CELL = Carried("the same in the engine's cell", Status.MISSING, (), "cells")
-RETRIED = Carried(
-    "the settings' ratio, or one budget", Status.WORKS, ("scheduling/retry_budget.py", *BOOKS), "cells"
+CELL_SLOW_START = Mechanism("the same in the engine's cell", Status.MISSING, (), "cells")
+FLAT_RETRY_BUDGET = Mechanism(
+    "the settings' ratio, or one budget", Status.WORKS, ("scheduling/retry_budget.py", *BUDGET_FILES), "cells"
+)
+LEASED_RETRY_BUDGET = Mechanism("one budget, leased down the levels", Status.MISSING, (), "the levels")
+CONFIGURATION_RELOAD = Mechanism("a file and SIGHUP read anew", Status.WORKS, ("net/server.py",))
+MANUAL_CONFIGURATION = Mechanism("a file by hand to each router", Status.MISSING, (), NUMBERED_CONFIGURATION)
+CONFIGURATION_OVER_LEVELS = Mechanism(
+    "configurations with numbers, spread over the levels", Status.MISSING, (), NUMBERED_CONFIGURATION
 )
-RETRIED_CELL = Carried("one budget, leased down the levels", Status.MISSING, (), "the levels")
-RELOADED = Carried("a file and SIGHUP read anew", Status.WORKS, ("net/server.py",))
-BY_HAND = Carried("a file by hand to each router", Status.MISSING, (), NUMBERED)
-SPREAD = Carried("configurations with numbers, spread over the levels", Status.MISSING, (), NUMBERED)
-HOMES = Carried(
+FLAT_HOMES = Mechanism(
     "homes of a table group by hash over the list, the same at each router; none named, no move by plan",
     Status.MISSING,
     ("scheduling/placement.py",),
-    NAMED,
+    NAMED_PRIMARY,
 )
-HOMES_CELL = Carried(
-    "one home, in one cell; decided in cells/, joined to no router", Status.MISSING, (), NAMED
+CELL_HOMES = Mechanism(
+    "one home, in one cell; decided in cells/, joined to no router", Status.MISSING, (), NAMED_PRIMARY
 )
-DECIDED = Carried("one module over all engines listed", Status.WORKS, ("scheduling/scheduler.py",), "cells")
-DECIDED_CELL = Carried("the same over the cell's engines", Status.MISSING, (), "cells")
-FRONTS = Carried("one greenlet a connection", Status.WORKS, ("net/client_session.py",))
-DOORS = Carried("fair queues by member", Status.WORKS, ("fair_queue/admission.py",))
-SPOOLED = Carried("a router's own disk; knows of no other", Status.WORKS, ("spool/service.py",))
-LOGGED = Carried("lines of JSON, each router its own", Status.WORKS, ("net/actor.py",), "cells")
-LOGGED_CELL = Carried("the same, of its cell alone", Status.MISSING, (), "cells")
-TO_EACH = Carried("connections from each router that sends", Status.WORKS, ("net/engine_client.py",), "cells")
-TO_EACH_CELL = Carried("connections from the routers of its cell", Status.MISSING, (), "cells")
-
-
-def _router() -> list[Row]:
-    both = ((FLAT, 0), (CELLS, 1))
+FLAT_DECISIONS = Mechanism(
+    "one module over all engines listed", Status.WORKS, ("scheduling/scheduler.py",), "cells"
+)
+CELL_DECISIONS = Mechanism("the same over the cell's engines", Status.MISSING, (), "cells")
+CLIENT_GREENLETS = Mechanism("one greenlet a connection", Status.WORKS, ("net/client_session.py",))
+FAIR_QUEUES = Mechanism("fair queues by member", Status.WORKS, ("fair_queue/admission.py",))
+LOCAL_SPOOL = Mechanism("a router's own disk; knows of no other", Status.WORKS, ("spool/service.py",))
+FLAT_LOGS = Mechanism("lines of JSON, each router its own", Status.WORKS, ("net/actor.py",), "cells")
+CELL_LOGS = Mechanism("the same, of its cell alone", Status.MISSING, (), "cells")
+FLAT_ENGINE_CONNECTIONS = Mechanism(
+    "connections from each router that sends", Status.WORKS, ("net/engine_client.py",), "cells"
+)
+CELL_ENGINE_CONNECTIONS = Mechanism("connections from the routers of its cell", Status.MISSING, (), "cells")
+
+
+def _router_rows() -> list[Row]:
+    variants = ((FLAT, 0), (CELLS, 1))
     rows = []
-    for variant, n in both:
-        r, known = Role.ROUTER, ("the fleet's", "the cell's")[n]
+    for variant, n in variants:
+        role, scope = Role.ROUTER, ("the fleet's", "the cell's")[n]
         rows += [
             Row(
-                r,
+                role,
                 Duty.MEMBERSHIP,
                 variant,
-                (SWIM, IN_CELL)[n],
-                f"{known} routers",
+                (FLAT_MEMBERSHIP, CELL_MEMBERSHIP)[n],
+                f"{scope} routers",
                 slope("member_datagrams", "routers"),
                 slope("member_bytes", "routers"),
                 slope("member_cpu", "routers"),
                 slope("member_state", "routers"),
             ),
             Row(
-                r,
+                role,
                 Duty.LIST,
                 variant,
-                (ASKED, ASKED_CELL)[n],
-                f"{known} engines",
+                (FLAT_LIST, CELL_LIST)[n],
+                f"{scope} engines",
                 product("asks", "two"),
                 slope("list_bytes", "engines", "asks"),
                 (*slope("list_cpu", "engines", "seen"), *slope("listed_cpu", "engines", "seen")),
                 slope("engine_state", "engines"),
             ),
             Row(
-                r,
+                role,
                 Duty.BUDGETS,
                 variant,
-                (REPORTED, REPORTED_CELL)[n],
-                f"its parts at {known} engines",
+                (FLAT_BUDGETS, CELL_BUDGETS)[n],
+                f"its parts at {scope} engines",
                 product("reports", "datagrams"),
                 slope("report_bytes", "budgets", "reports"),
                 None,
                 slope("purse_state", "budgets"),
             ),
             Row(
-                r,
-                Duty.COLD,
+                role,
+                Duty.SLOW_START,
                 variant,
-                (RAMPED, RAMPED_CELL)[n],
-                f"its parts at {known} cold engines",
+                (FLAT_SLOW_START, CELL_SLOW_START)[n],
+                f"its parts at {scope} cold engines",
                 product("reports", "cold_datagrams"),
                 slope("report_bytes", "cold", "reports"),
                 None,
                 slope("purse_state", "cold"),
             ),
             Row(
-                r,
+                role,
                 Duty.RETRY,
                 variant,
-                (RETRIED, RETRIED_CELL)[n],
+                (FLAT_RETRY_BUDGET, LEASED_RETRY_BUDGET)[n],
                 "its part of one budget",
                 product("reports"),
                 slope("report_bytes", "one", "reports"),
@@ -259,32 +295,32 @@
                 slope("purse_state", "one"),
             ),
             Row(
-                r,
+                role,
                 Duty.CONFIGURATION,
                 variant,
-                (RELOADED, SPREAD)[n],
+                (CONFIGURATION_RELOAD, CONFIGURATION_OVER_LEVELS)[n],
                 "one file",
                 product("configurations"),
                 None,
                 slope("config_cpu", "tenants", "configurations"),
             ),
             Row(
-                r,
+                role,
                 Duty.PRIMARIES,
                 variant,
-                (HOMES, HOMES_CELL)[n],
-                f"homes over {known} engines",
+                (FLAT_HOMES, CELL_HOMES)[n],
+                f"homes over {scope} engines",
                 product("primaries"),
                 None,
                 slope("listed_cpu", "engines", "primaries"),
                 product("home", "groups", "engines"),
             ),
             Row(
-                r,
+                role,
                 Duty.DECISIONS,
                 variant,
-                (DECIDED, DECIDED_CELL)[n],
-                f"{known} engines, commands out",
+                (FLAT_DECISIONS, CELL_DECISIONS)[n],
+                f"{scope} engines, commands out",
                 product("commands"),
                 None,
                 (
@@ -293,24 +329,31 @@
                 ),
             ),
             Row(
-                r,
+                role,
                 Duty.CLIENTS,
                 variant,
-                FRONTS,
+                CLIENT_GREENLETS,
                 "its clients' connections",
                 product("commands"),
                 None,
                 slope("client_cpu", "clients"),
                 slope("client_state", "clients"),
             ),
-            Row(r, Duty.DOOR, variant, DOORS, "members known", memory=slope("door_state", "members")),
-            Row(r, Duty.SPOOL, variant, SPOOLED, "its own results", awaited=True),
             Row(
-                r,
+                role,
+                Duty.ADMISSION,
+                variant,
+                FAIR_QUEUES,
+                "members known",
+                memory=slope("door_state", "members"),
+            ),
+            Row(role, Duty.SPOOL, variant, LOCAL_SPOOL, "its own results", awaited=True),
+            Row(
+                role,
                 Duty.LOGS,
                 variant,
-                (LOGGED, LOGGED_CELL)[n],
-                f"none; lines for each of {known} changes",
+                (FLAT_LOGS, CELL_LOGS)[n],
+                f"none; lines for each of {scope} changes",
                 product("seen", "lines"),
                 product("seen", "lines", "words"),
                 awaited=True,
@@ -319,47 +362,61 @@
     return rows
 
 
-def _divider() -> list[Row]:
+def _leader_rows() -> list[Row]:
     rows = []
     for variant, n in ((FLAT, 0), (CELLS, 1)):
-        r, whose = Role.DIVIDER, ("the fleet's", "the cell's")[n]
+        role, scope = Role.DIVIDER, ("the fleet's", "the cell's")[n]
         rows.append(
             Row(
-                r,
+                role,
                 Duty.MEMBERSHIP,
                 variant,
-                (SWIM, LEADER)[n],
-                f"{whose} routers, their rights",
+                (FLAT_MEMBERSHIP, CELL_LEADER)[n],
+                f"{scope} routers, their rights",
                 slope("divider_datagrams", "routers"),
                 slope("divider_bytes", "routers"),
                 slope("divider_cpu", "routers"),
                 slope("member_state", "routers"),
             )
         )
-        for duty, carried, of, datagrams, books, words in (
-            (Duty.BUDGETS, (REPORTED, REPORTED_CELL)[n], "budgets", "datagrams", "books", "budget"),
-            (Duty.COLD, (RAMPED, RAMPED_CELL)[n], "cold", "cold_datagrams", "cold_books", "cold engine"),
-            (Duty.RETRY, (RETRIED, RETRIED_CELL)[n], "one", "one", "routers", "part of one budget"),
+        for duty, mechanism, input_name, datagram_input, ledger_size, state_text in (
+            (Duty.BUDGETS, (FLAT_BUDGETS, CELL_BUDGETS)[n], "budgets", "datagrams", "books", "budget"),
+            (
+                Duty.SLOW_START,
+                (FLAT_SLOW_START, CELL_SLOW_START)[n],
+                "cold",
+                "cold_datagrams",
+                "cold_books",
+                "cold engine",
+            ),
+            (
+                Duty.RETRY,
+                (FLAT_RETRY_BUDGET, LEASED_RETRY_BUDGET)[n],
+                "one",
+                "one",
+                "routers",
+                "part of one budget",
+            ),
         ):
             rows.append(
                 Row(
-                    r,
+                    role,
                     duty,
                     variant,
-                    carried,
-                    f"books: each {words} for each of {whose} routers",
-                    slope("ledger_datagrams", "routers", datagrams),
-                    slope("report_bytes", of, "reports", "routers"),
-                    slope("ledger_cpu", "routers", "reports", "routers", datagrams),
-                    slope("ledger_state", books),
+                    mechanism,
+                    f"books: each {state_text} for each of {scope} routers",
+                    slope("ledger_datagrams", "routers", datagram_input),
+                    slope("report_bytes", input_name, "reports", "routers"),
+                    slope("ledger_cpu", "routers", "reports", "routers", datagram_input),
+                    slope("ledger_state", ledger_size),
                 )
             )
     return rows
 
 
-def _levels() -> list[Row]:
+def _level_rows() -> list[Row]:
     rows = []
-    for role, below, words in (
+    for role, members, state_text in (
         (Role.REGION, "cells_of_region", "sums of its cells"),
         (Role.FLEET, "regions", "sums of the regions"),
         (Role.MACHINE, "fleet", "one level's sums, and copies for the others'"),
@@ -370,8 +427,8 @@
                     role,
                     Duty.MEMBERSHIP,
                     CELLS,
-                    LEASED,
-                    words,
+                    LEVEL_BUDGETS,
+                    state_text,
                     None,
                     slope("level_bytes", "fleet"),
                     slope("level_cpu", "fleet"),
@@ -384,38 +441,47 @@
                 role,
                 Duty.MEMBERSHIP,
                 CELLS,
-                LEASED,
-                words,
-                slope("divider_datagrams", below),
-                slope("divider_bytes", below),
-                slope("divider_cpu", below),
-                slope("member_state", below),
+                LEVEL_BUDGETS,
+                state_text,
+                slope("divider_datagrams", members),
+                slope("divider_bytes", members),
+                slope("divider_cpu", members),
+                slope("member_state", members),
             )
         )
         books = "region_books" if role is Role.REGION else "fleet_books"
-        for duty, carried, datagrams, of, held in (
-            (Duty.BUDGETS, LEASED, "shared_datagrams", "shared", books),
-            (Duty.RETRY, RETRIED_CELL, "one", "one", below),
+        for duty, mechanism, datagram_input, input_name, ledger_size in (
+            (Duty.BUDGETS, LEVEL_BUDGETS, "shared_datagrams", "shared", books),
+            (Duty.RETRY, LEASED_RETRY_BUDGET, "one", "one", members),
         ):
             rows.append(
                 Row(
                     role,
                     duty,
                     CELLS,
-                    carried,
-                    f"books over {words}",
-                    slope("ledger_datagrams", below, datagrams),
-                    slope("report_bytes", of, "reports", below),
-                    slope("ledger_cpu", below, "reports", below, datagrams),
-                    slope("ledger_state", held),
+                    mechanism,
+                    f"books over {state_text}",
+                    slope("ledger_datagrams", members, datagram_input),
+                    slope("report_bytes", input_name, "reports", members),
+                    slope("ledger_cpu", members, "reports", members, datagram_input),
+                    slope("ledger_state", ledger_size),
                 )
             )
     for role in (Role.REGION, Role.FLEET, Role.MACHINE):
-        rows.append(Row(role, Duty.CONFIGURATION, CELLS, SPREAD, "the newest configuration", awaited=True))
+        rows.append(
+            Row(
+                role,
+                Duty.CONFIGURATION,
+                CELLS,
+                CONFIGURATION_OVER_LEVELS,
+                "the newest configuration",
+                awaited=True,
+            )
+        )
     return rows
 
 
-def _sources() -> list[Row]:
+def _source_rows() -> list[Row]:
     rows = []
     for variant, n in ((FLAT, 0), (CELLS, 1)):
         rows += [
@@ -423,7 +489,7 @@
                 Role.LIST,
                 Duty.LIST,
                 variant,
-                (ASKED, ASKED_CELL)[n],
+                (FLAT_LIST, CELL_LIST)[n],
                 "all engines",
                 product("asks", "two", "fleet"),
                 slope("list_bytes", "engines", "asks", "fleet"),
@@ -432,7 +498,7 @@
                 Role.CONFIGURATION,
                 Duty.CONFIGURATION,
                 variant,
-                (BY_HAND, SPREAD)[n],
+                (MANUAL_CONFIGURATION, CONFIGURATION_OVER_LEVELS)[n],
                 "the newest",
                 product("configurations", "fleet"),
                 awaited=True,
@@ -441,7 +507,7 @@
                 Role.ENGINE,
                 Duty.DECISIONS,
                 variant,
-                (TO_EACH, TO_EACH_CELL)[n],
+                (FLAT_ENGINE_CONNECTIONS, CELL_ENGINE_CONNECTIONS)[n],
                 f"connections from each of {('the fleet', 'its cell')[n]}'s routers: {('all', 'few')[n]}",
                 product("routers"),
                 awaited=True,
@@ -450,47 +516,51 @@
     return rows
 
 
-ROWS = [*_router(), *_divider(), *_levels(), *_sources()]
+ROWS = [*_router_rows(), *_leader_rows(), *_level_rows(), *_source_rows()]
 
-# What a role does not do, with why. A divider does all else as a router, and its sum counts that.
+# Duties that a role does not have, with the reason. The leader has all others as a router, and its sum
+# includes them.
 _NO_LEVEL = "none today: nothing stands above a flat group"
-AS_ROUTER = tuple(duty for duty in Duty if duty not in (Duty.MEMBERSHIP, Duty.BUDGETS, Duty.COLD, Duty.RETRY))
-_LEVEL_NOT = {
+ROUTER_DUTIES = tuple(
+    duty for duty in Duty if duty not in (Duty.MEMBERSHIP, Duty.BUDGETS, Duty.SLOW_START, Duty.RETRY)
+)
+_LEVEL_ABSENT = {
     Duty.LIST: "its cells' leaders tell sums, never engines",
-    Duty.COLD: "a cold engine is its cell's matter",
+    Duty.SLOW_START: "a cold engine is its cell's matter",
     Duty.PRIMARIES: "a home is its cell's matter",
     Duty.DECISIONS: "takes no commands",
     Duty.CLIENTS: "has no clients",
-    Duty.DOOR: "has no clients",
+    Duty.ADMISSION: "has no clients",
     Duty.SPOOL: "takes no commands",
     Duty.LOGS: "counted with its machine, which has no run",
 }
-_MACHINE_NOT = {
-    **_LEVEL_NOT,
+_MACHINE_ABSENT = {
+    **_LEVEL_ABSENT,
     Duty.BUDGETS: "with the level that it holds",
     Duty.RETRY: "with the level that it holds",
 }
 
 
-def _absent() -> dict[tuple[Role, Duty], str]:
-    found: dict[tuple[Role, Duty], str] = {}
+def _absent_duties() -> dict[tuple[Role, Duty], str]:
+    reasons: dict[tuple[Role, Duty], str] = {}
     for role in (Role.REGION, Role.FLEET):
-        found |= {(role, duty): why for duty, why in _LEVEL_NOT.items()}
-    found |= {(Role.MACHINE, duty): why for duty, why in _MACHINE_NOT.items()}
-    for role, has, why in (
+        reasons |= {(role, duty): why for duty, why in _LEVEL_ABSENT.items()}
+    reasons |= {(Role.MACHINE, duty): why for duty, why in _MACHINE_ABSENT.items()}
+    for role, own_duties, why in (
         (Role.LIST, (Duty.LIST,), "tells the list and nothing else"),
         (Role.CONFIGURATION, (Duty.CONFIGURATION,), "tells configurations and nothing else"),
         (Role.ENGINE, (Duty.DECISIONS,), "of this code it sees commands and connections alone"),
     ):
-        found |= {(role, duty): why for duty in Duty if duty not in has}
-    found |= {(Role.DIVIDER, duty): "as a router" for duty in AS_ROUTER}
-    return found
+        reasons |= {(role, duty): why for duty in Duty if duty not in own_duties}
+    reasons |= {(Role.DIVIDER, duty): "as a router" for duty in ROUTER_DUTIES}
+    return reasons
 
 
-ABSENT = _absent()
+ABSENT = _absent_duties()
 
-# What one run measures of all of control together, in cells, beside the sum that is worked out by duty.
-WHOLE = (
+# Costs of all control work that one run measures together, which the page shows beside the sums by duty: who,
+# variant, and the slopes of processor time, bytes per second and memory.
+MEASURED_TOTALS = (
     ("router, mean", CELLS, "cell_cpu", "cell_bytes", "cell_state"),
     ("leader of a cell", CELLS, "cell_leader_cpu", "cell_leader_bytes", "cell_leader_state"),
     ("machine of the level above", CELLS, "level_cpu", "level_bytes", "level_state"),
@@ -503,83 +573,101 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """gone, engines, clients: routers, engines and connections that are lost at once. restarts: a second in
-    the fleet. starting: routers that start at once; all of them where the group itself begins. cut: routers
-    without a majority of theirs. cold: engines that are fresh at once. seven: machines lost of the seven.
-    goes, refused: by variant."""
+    """An event that changes many routers or engines at once.
+
+    Attributes:
+        name: Name of the burst.
+        continues: What goes on, by variant.
+        refused: What is refused, by variant.
+        lost_routers: Routers that are lost at once.
+        lost_engines: Engines that are lost at once.
+        lost_clients: Client connections that are lost at once.
+        restarts_per_s: Restarts per second in the fleet.
+        starting_routers: Routers that start at once; all routers if the whole fleet starts.
+        cut_routers: Routers without a majority of their group.
+        cold_engines: Engines that are cold at once.
+        lost_machines: Machines of the level above that are lost.
+    """
 
     name: str
-    goes: tuple[str, str]
+    continues: tuple[str, str]
     refused: tuple[str, str]
-    gone: float = 0.0
-    engines: float = 0.0
-    clients: float = 0.0
-    restarts: float = 0.0
-    starting: float = 0.0
-    cut: float = 0.0
-    cold: float = 0.0
-    seven: int = 0
-
-    def inputs(self, variant: Variant, of: dict[str, float]) -> dict[str, float]:
-        """What formulas of a burst may name besides: what comes to one group or cell, spread evenly over all,
-        and what the routers that are left take over."""
-        cells = of["cells"]
-        left = ROUTERS - self.gone
-        rate = self.restarts + (self.gone + self.starting) / START_WITHIN
+    lost_routers: float = 0.0
+    lost_engines: float = 0.0
+    lost_clients: float = 0.0
+    restarts_per_s: float = 0.0
+    starting_routers: float = 0.0
+    cut_routers: float = 0.0
+    cold_engines: float = 0.0
+    lost_machines: int = 0
+
+    def inputs(self, variant: Variant, usual_inputs: dict[str, float]) -> dict[str, float]:
+        """Returns the inputs of formulas during the burst.
+
+        These are the usual inputs, the load of one group or cell where the burst is spread evenly over all,
+        and what the remaining routers take over.
+
+        Args:
+            variant: The variant of the fleet.
+            usual_inputs: Inputs without the burst.
+        """
+        cells = usual_inputs["cells"]
+        remaining_routers = ROUTERS - self.lost_routers
+        restart_rate = self.restarts_per_s + (self.lost_routers + self.starting_routers) / START_WITHIN
         return {
-            **of,
-            "left_clients": of["clients"] + self.clients / left,
-            "left_commands": of["commands"] * ROUTERS / left,
-            "rate": rate / cells,
-            "warming": self.cold / cells,
-            "warming_books": self.cold / cells * of["routers"],
+            **usual_inputs,
+            "left_clients": usual_inputs["clients"] + self.lost_clients / remaining_routers,
+            "left_commands": usual_inputs["commands"] * ROUTERS / remaining_routers,
+            "rate": restart_rate / cells,
+            "warming": self.cold_engines / cells,
+            "warming_books": self.cold_engines / cells * usual_inputs["routers"],
         }
 
 
-_FEW = RACK * ROUTERS / (ROUTERS + ENGINES)
+_RACK_ROUTERS = RACK * ROUTERS / (ROUTERS + ENGINES)
 _NOTHING = "nothing"
-_SERVES = "all routers serve; what they held is divided anew"
+_ALL_SERVE = "all routers serve; what they held is divided anew"
 BURSTS = [
     Burst(
         "an ordinary day",
-        (_SERVES, _SERVES),
+        (_ALL_SERVE, _ALL_SERVE),
         ("commands on the dead engine that may not run twice",) * 2,
-        gone=1.0,
-        engines=1.0,
-        restarts=(FAILED + RESTARTED) / DAY,
+        lost_routers=1.0,
+        lost_engines=1.0,
+        restarts_per_s=(FAILED + RESTARTED) / DAY,
     ),
     Burst(
         "a rack or a switch",
-        (_SERVES, "all cells, each with some routers and engines fewer"),
+        (_ALL_SERVE, "all cells, each with some routers and engines fewer"),
         ("commands out on its engines that may not run twice",) * 2,
-        gone=_FEW,
-        engines=RACK - _FEW,
+        lost_routers=_RACK_ROUTERS,
+        lost_engines=RACK - _RACK_ROUTERS,
     ),
     Burst(
         "a zone at once",
-        (_SERVES, "all cells, each with a zone's part fewer"),
+        (_ALL_SERVE, "all cells, each with a zone's part fewer"),
         ("commands out there that may not run twice; what is beyond the budgets that are left",) * 2,
-        gone=ZONE_ROUTERS,
-        engines=ZONE_ENGINES,
-        clients=ZONE_CLIENTS,
+        lost_routers=ZONE_ROUTERS,
+        lost_engines=ZONE_ENGINES,
+        lost_clients=ZONE_CLIENTS,
     ),
     Burst(
         "the zone's return",
-        (_SERVES, "all cells; cold engines by their ramps"),
+        (_ALL_SERVE, "all cells; cold engines by their ramps"),
         ("commands for cold engines beyond their ramps",) * 2,
-        starting=ZONE_ROUTERS,
-        cold=ZONE_ENGINES,
+        starting_routers=ZONE_ROUTERS,
+        cold_engines=ZONE_ENGINES,
     ),
     Burst(
         "restarts, a tenth of the fleet at a time",
-        (_SERVES, "all cells, each with a tenth fewer"),
+        (_ALL_SERVE, "all cells, each with a tenth fewer"),
         ("nothing that may go to another router",) * 2,
-        gone=TENTH * ROUTERS,
-        engines=TENTH * ENGINES,
-        clients=TENTH * CLIENTS,
-        restarts=TENTH * ROUTERS / RESTART,
-        starting=TENTH * ROUTERS,
-        cold=TENTH * ENGINES,
+        lost_routers=TENTH * ROUTERS,
+        lost_engines=TENTH * ENGINES,
+        lost_clients=TENTH * CLIENTS,
+        restarts_per_s=TENTH * ROUTERS / RESTART,
+        starting_routers=TENTH * ROUTERS,
+        cold_engines=TENTH * ENGINES,
     ),
     Burst(
         "a region cut off for minutes",
@@ -591,22 +679,22 @@
             "in the region cut off: what is beyond bases, and all cold engines",
             "in the region cut off: what is beyond its base of fleet-wide budgets",
         ),
-        cut=ROUTERS / REGIONS,
+        cut_routers=ROUTERS / REGIONS,
     ),
     Burst(
         "the region's return",
         ("views meet by probes of those gone", "leases from the fleet begin again"),
         (_NOTHING, _NOTHING),
-        starting=ROUTERS / REGIONS,
+        starting_routers=ROUTERS / REGIONS,
     ),
     *[
         Burst(
             f"{count} of the seven machines lost",
-            ("all: nothing stands on them today", goes),
+            ("all: nothing stands on them today", continues),
             (_NOTHING, refused),
-            seven=lost,
+            lost_machines=lost,
         )
-        for count, lost, goes, refused in (
+        for count, lost, continues, refused in (
             ("one", 1, "all: a majority is left", _NOTHING),
             ("three", 3, "all: a majority is left", _NOTHING),
             ("four", 4, "every cell, on what it has, then on its base", "nothing is divided above cells"),
@@ -616,21 +704,21 @@
         "all power",
         ("nothing until a majority agrees", "each cell as soon as it agrees by itself"),
         ("all until then",) * 2,
-        starting=ROUTERS,
-        cold=ENGINES,
+        starting_routers=ROUTERS,
+        cold_engines=ENGINES,
     ),
 ]
 
-# Peaks of a burst: of whose control all that it costs at rest is counted, and which measure of it; what the
-# burst adds, without the parts of which it has nothing; the kind of limit. Without a role: the formula alone.
-RESTARTS, WARMING = slope("restart_bytes", "rate"), slope("report_bytes", "warming", "reports")
+# Peaks of a burst: a name; the role whose control cost without the burst is included, if any; the measure;
+# the formula of what the burst adds, of which terms with an input of 0 are left out; the kind of limit.
+RESTART_BYTES, WARMING_BYTES = slope("restart_bytes", "rate"), slope("report_bytes", "warming", "reports")
 PEAKS: tuple[tuple[str, Role | None, str, Formula, str], ...] = (
-    ("router, bytes/s", Role.ROUTER, "bytes", (*RESTARTS, *WARMING), "bytes"),
+    ("router, bytes/s", Role.ROUTER, "bytes", (*RESTART_BYTES, *WARMING_BYTES), "bytes"),
     (
         "divider, bytes/s",
         Role.DIVIDER,
         "bytes",
-        (*RESTARTS, *slope("report_bytes", "warming", "reports", "routers")),
+        (*RESTART_BYTES, *slope("report_bytes", "warming", "reports", "routers")),
         "bytes",
     ),
     ("divider, processor", Role.DIVIDER, "cpu", (), "cpu"),
@@ -647,20 +735,21 @@
     ),
     ("clients, memory", None, "memory", slope("client_state", "left_clients"), ""),
 )
-START_CPU: Formula = (Use((), (("start_cpu", "routers"),), ("routers",)),)  # of each
+START_CPU: Formula = (Use((), (("start_cpu", "routers"),), ("routers",)),)  # of each router
 START_PEAK: Formula = (Use((), (("start_cpu", "routers"),), ("routers", "within")),)
 
 
-# Seconds until each duty holds again. A step without a formula is missing.
+# Seconds until each duty is fulfilled again after a burst.
 
-DEATH, DIVIDED, STARTED = (
+DEATH_KNOWN, QUOTA_DIVIDED, GROUP_STARTED = (
     slope("death_seconds", "routers"),
     slope("divide_seconds", "routers"),
     slope("start_seconds", "routers"),
 )
-# A start has no vote for a term, and uses no base until what its forerunner had out has ended.
-PLACED: Formula = (*STARTED, *product("term"), *product("quiet"))
-FIXED = {
+# A router that starts has no vote for a term, and uses no guaranteed quota until the requests of its former
+# process have ended.
+QUOTA_AFTER_START: Formula = (*GROUP_STARTED, *product("term"), *product("quiet"))
+CONSTANT_INPUTS = {
     "told": TOLD,
     "lease": LEASE,
     "back": LEASE + SETTLE + QUIET,
@@ -669,39 +758,46 @@
     "term": TERM * (1 + DRIFT),
     "within": START_WITHIN,
 }
-Again = dict[str, Formula | str]  # a text where no time can be worked out
+RecoveryTimes = dict[str, Formula | str]  # by duties; a text where no time can be worked out
 NOT_RUN: Formula = ()
-NOBODY = "missing: nobody spreads one"
-UNNAMED = "missing: none is named"
+NO_CONFIGURATION_SOURCE = "missing: nobody spreads one"
+NO_NAMED_PRIMARY = "missing: none is named"
 
 
-def again(burst: Burst, variant: Variant) -> Again:
-    """By duties."""
-    usual: Again = {
-        "membership": DEATH,
+def recovery_times(burst: Burst, variant: Variant) -> RecoveryTimes:
+    """Returns the time until each duty is fulfilled again after a burst."""
+    usual: RecoveryTimes = {
+        "membership": DEATH_KNOWN,
         "list": product("told"),
-        "budgets, cold, retry": (*DIVIDED, *product("back")),
-        "configuration": NOBODY,
-        "primaries": UNNAMED,
+        "budgets, cold, retry": (*QUOTA_DIVIDED, *product("back")),
+        "configuration": NO_CONFIGURATION_SOURCE,
+        "primaries": NO_NAMED_PRIMARY,
         "decisions": product("told"),
         "client connections": NOT_RUN,
     }
-    if burst.seven:
-        kept: Again = dict.fromkeys(usual, product("at_once"))
+    if burst.lost_machines:
+        unaffected: RecoveryTimes = dict.fromkeys(usual, product("at_once"))
         if variant is FLAT:
-            return kept
-        above: Formula | str = NOT_RUN if 2 * burst.seven < MACHINES else "once most of the seven are back"
-        return {**kept, "budgets, cold, retry": above, "configuration": above}
-    if burst.starting:
-        return {**usual, "membership": STARTED, "budgets, cold, retry": PLACED, "decisions": STARTED}
-    if burst.cut:
+            return unaffected
+        above_cells: Formula | str = (
+            NOT_RUN if 2 * burst.lost_machines < MACHINES else "once most of the seven are back"
+        )
+        return {**unaffected, "budgets, cold, retry": above_cells, "configuration": above_cells}
+    if burst.starting_routers:
+        return {
+            **usual,
+            "membership": GROUP_STARTED,
+            "budgets, cold, retry": QUOTA_AFTER_START,
+            "decisions": GROUP_STARTED,
+        }
+    if burst.cut_routers:
         inside = "not inside the cut"
         return {**usual, "list": inside, "budgets, cold, retry": product("lease"), "configuration": inside}
     return usual
 
 
-# A router that starts from nothing: what, bytes, from whom.
-NEEDS: tuple[tuple[str, Formula | None, str], ...] = (
+# What a router needs when it starts from nothing: what, bytes, source.
+START_NEEDS: tuple[tuple[str, Formula | None, str], ...] = (
     ("its own configuration", None, "its disk; the source of configuration is missing"),
     ("who is there, and its place", slope("start_bytes", "routers"), "the routers that it knows"),
     ("the list", slope("list_bytes", "engines"), "the source of the list"),
@@ -711,7 +807,14 @@
 
 @dataclass(frozen=True)
 class Step:
-    """seconds: None where it is missing. of: the slope that is shown by size as measured."""
+    """A step of a change.
+
+    Attributes:
+        name: Name of the step.
+        what: What happens in it.
+        seconds: Its duration; None if the step is missing.
+        missing: What is missing.
+    """
 
     name: str
     what: str
@@ -720,8 +823,12 @@
 
 
 PRIMARY_STEPS = (
-    Step("seen", "a death is known; a router's stands for an engine's, which nothing measures", DEATH),
-    Step("agreed", "a division without it is active, counted from the death; it stands for a vote", DIVIDED),
+    Step("seen", "a death is known; a router's stands for an engine's, which nothing measures", DEATH_KNOWN),
+    Step(
+        "agreed",
+        "a division without it is active, counted from the death; it stands for a vote",
+        QUOTA_DIVIDED,
+    ),
     Step("told", "the list tells it, by the protocol", product("told")),
     Step("old one done", "what was out there has ended, by the protocol", product("quiet")),
     Step("new one serving", "homes are taken anew at each router", None, "no primary is named or confirmed"),
@@ -733,8 +840,8 @@
     Step("confirmed", "the source knows that it is", None, "nobody counts"),
 )
 
-# While regions are cut.
-CUT = (
+# Behaviour while regions are cut off: the question, and the answer for the flat fleet and for cells.
+PARTITION_BEHAVIOR = (
     (
         "'everywhere' means",
         "the part with most routers; the others by their file, at once when each is sent it",
@@ -754,36 +861,42 @@
 
 
 @dataclass(frozen=True)
-class Unheld:
-    """What the target asks and today's can't do, with the words that say what it would take."""
+class UnmetRequirement:
+    """A requirement of the target that the present design can't meet.
+
+    Attributes:
+        what: The requirement.
+        remedy: What it would take.
+        rows: Roles and duties whose ratio shows it.
+    """
 
     what: str
-    takes: str
+    remedy: str
     rows: tuple[tuple[Role, Duty], ...] = field(default=())
 
 
-UNHELD = (
-    Unheld(
+UNMET_REQUIREMENTS = (
+    UnmetRequirement(
         "one group of the whole fleet",
         "cells",
         ((Role.ROUTER, Duty.MEMBERSHIP), (Role.DIVIDER, Duty.MEMBERSHIP)),
     ),
-    Unheld(
+    UnmetRequirement(
         "the whole list at each router",
         "a list by cell, by serial, and by what changed",
         ((Role.ROUTER, Duty.LIST), (Role.LIST, Duty.LIST)),
     ),
-    Unheld("each command weighed over all engines", "cells", ((Role.ROUTER, Duty.DECISIONS),)),
-    Unheld(
+    UnmetRequirement("each command weighed over all engines", "cells", ((Role.ROUTER, Duty.DECISIONS),)),
+    UnmetRequirement(
         "a budget for each engine, divided among all",
         "cells, and reports only of what changed",
         ((Role.ROUTER, Duty.BUDGETS), (Role.DIVIDER, Duty.BUDGETS)),
     ),
-    Unheld(
+    UnmetRequirement(
         "a configuration in force everywhere while regions are cut",
         "nothing can: it is in force in each region that hears it, and everywhere once they are whole",
     ),
-    Unheld(
+    UnmetRequirement(
         "commands that may not run twice, on an engine that dies", "nothing can without the engine's own word"
     ),
 )
