--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -198,7 +198,7 @@
         group.run_until(group.agreed)
         detected_after: dict[int, float] = {}
         for when, by, change in group.changes:
-            if change.router == number and change.state_bytes is MemberState.DEAD:
+            if change.router == number and change.state is MemberState.DEAD:
                 detected_after.setdefault(by, when - at)
         detection_seconds.append(statistics.median(detected_after.values()))
         group.run_until(group.is_divided)
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -389,16 +389,16 @@
         pairs = zip(before, self.counts(), strict=True)
         self.idle_cpu = statistics.mean((b["cpu"] - a["cpu"]) / (b["at"] - a["at"]) for a, b in pairs)
 
-    def measure_usage(self, seconds: float, meanwhile: Callable[[float], None] = gevent.sleep) -> GroupUsage:
+    def measure_usage(self, seconds: float, wait: Callable[[float], None] = gevent.sleep) -> GroupUsage:
         """Measures what the group spends from now on.
 
         Args:
             seconds: Seconds to measure.
-            meanwhile: Called with the seconds, to let time pass.
+            wait: Called with the seconds to let time pass.
         """
         changes = self.changes()
         before = self.counts()
-        meanwhile(seconds)
+        wait(seconds)
         after = self.counts()
         spent = [
             (b["cpu"] - a["cpu"]) / (b["at"] - a["at"]) - self.idle_cpu
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("<!-- table side -->", "<!-- side -->", "the table side occurs 0 times"),
         ("<!-- table side -->", "<!-- table side -->\n<!-- end -->\n<!-- table side -->", "occurs 2 times"),
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -67,7 +67,7 @@
         assert until(lambda: group.agreed([0, 1, 2]) and group.agreed([3, 4]), TIMEOUT_S)
 
     # The changes show that the group was not idle.
-    assert group.measure_usage(0.0, meanwhile=cut).changes >= 2 * 3 + 3 * 2
+    assert group.measure_usage(0.0, wait=cut).changes >= 2 * 3 + 3 * 2
     assert all(router["cut"] for said in group.counts() for router in said["routers"].values())
     group.part()
     assert until(group.is_divided, TIMEOUT_S)
