--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -514,7 +514,7 @@
 
     Attributes:
         count: Routers in the group.
-        counted: What the idle group spent.
+        usage: What the idle group spent.
         resident: Resident bytes of a router.
         killed: Routers that were killed.
         deaths: Seconds until a live router knew of a death, for each pair of these.
@@ -524,7 +524,7 @@
     """
 
     count: int
-    counted: GroupUsage
+    usage: GroupUsage
     resident: float
     killed: list[int]
     deaths: list[float]
@@ -555,7 +555,7 @@
         if not until(hollow_group.is_divided, AGREEMENT_TIMEOUT_S):
             raise RuntimeError(f"{count} hollow routers did not agree in {AGREEMENT_TIMEOUT_S:.0f} s")
         agreed = time.monotonic() - began
-        counted = _measure_idle(hollow_group, seconds)
+        usage = _measure_idle(hollow_group, seconds)
         resident = hollow_group.resident_bytes()
         configs = [hollow_group.reconfigure()[0] for _ in range(5)]
         deaths = list[float]()
@@ -571,7 +571,7 @@
             deaths += hollow_group.detection_seconds(number)
         failures = sum(process.failures() for process in hollow_group.processes)
         return GroupResults(
-            count, counted, resident, list(hollow_group.killed), deaths, configs, agreed, failures
+            count, usage, resident, list(hollow_group.killed), deaths, configs, agreed, failures
         )
 
 
@@ -586,10 +586,10 @@
             raise RuntimeError(
                 f"gossip of {hollow_group.count} hollow routers did not end in {AGREEMENT_TIMEOUT_S:.0f} s"
             )
-        counted = hollow_group.measure_usage(seconds)
-        if not counted.changes:
+        usage = hollow_group.measure_usage(seconds)
+        if not usage.changes:
             break
-    return counted
+    return usage
 
 
 def choose_killed(count: int, kills: int, seed: int) -> list[int]:
@@ -697,27 +697,27 @@
         return fit(name, what, routers, "processes", counts, [value(m) for m in groups], seed)
 
     def sum_of_kinds(sent: dict[str, list[float]], i: int) -> float:
-        return sum(counted[i] for counted in sent.values())
+        return sum(counts[i] for counts in sent.values())
 
     return [
-        fit_by_group_size("hollow_cpu", "processor seconds a second of one router", lambda m: m.counted.cpu),
+        fit_by_group_size("hollow_cpu", "processor seconds a second of one router", lambda m: m.usage.cpu),
         fit_by_group_size(
-            "hollow_bytes", "bytes a second sent by one router", lambda m: sum_of_kinds(m.counted.sent, 1)
+            "hollow_bytes", "bytes a second sent by one router", lambda m: sum_of_kinds(m.usage.sent, 1)
         ),
         fit_by_group_size(
             "hollow_datagrams",
             "datagrams a second sent by one router",
-            lambda m: sum_of_kinds(m.counted.sent, 0),
+            lambda m: sum_of_kinds(m.usage.sent, 0),
         ),
         fit_by_group_size(
             "hollow_divider_bytes",
             "bytes a second sent by the router that divides",
-            lambda m: sum_of_kinds(m.counted.first, 1),
+            lambda m: sum_of_kinds(m.usage.first, 1),
         ),
         fit_by_group_size(
             "hollow_divider_cpu",
             "processor seconds a second of the router that divides",
-            lambda m: m.counted.first_cpu,
+            lambda m: m.usage.first_cpu,
         ),
         fit_by_group_size("hollow_state", "resident bytes of one router", lambda m: m.resident),
         fit_by_group_size(
@@ -778,7 +778,7 @@
             group.run(1.0)
         bytes_before, sent, at = list(group.sent_bytes), group.sent, group.now
         group.run(10.0)
-        span, hollow = group.now - at, m.counted
+        span, hollow = group.now - at, m.usage
         spent = [
             (after - before) / span for before, after in zip(bytes_before, group.sent_bytes, strict=True)
         ]
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -238,6 +238,7 @@
         self.sent_datagrams: list[bytes] = []
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> int:
+        """Records a datagram."""
         self.sent_datagrams.append(data)
         return len(data)
 
