--- a/marbleworks/cli/lab.py
+++ b/marbleworks/cli/lab.py
@@ -18,7 +18,7 @@
 @app.command("try")
 def try_fleet(seconds: float = typer.Option(10.0, min=1.0, max=600.0), seed: int = SEED) -> None:
     """Start a small fleet and a router, send a mixed load and print the outcome."""
-    report = _lab().tried(seconds, seed)
+    report = _lab().try_fleet(seconds, seed)
     for line in report.lines():
         typer.echo(line)
     raise typer.Exit(0 if report.holds else 1)
@@ -27,7 +27,7 @@
 @app.command("list")
 def list_experiments() -> None:
     """Print the names and descriptions of the experiments."""
-    for line in _lab().listed():
+    for line in _lab().describe_experiments():
         typer.echo(line)
 
 
--- a/marbleworks/lab/command.py
+++ b/marbleworks/lab/command.py
@@ -34,12 +34,12 @@
 }
 
 
-def listed() -> list[str]:
+def describe_experiments() -> list[str]:
     """Returns one line for each experiment: its name and what it measures."""
     return [f"{name}: {meaning}" for name, (meaning, _) in EXPERIMENTS.items()]
 
 
-def tried(seconds: float, seed: int) -> Report:
+def try_fleet(seconds: float, seed: int) -> Report:
     """Runs the trial of `lab try`: a mixed load for a number of seconds."""
     return trial.run(seconds, seed)
 
--- a/marbleworks/lab/door.py
+++ b/marbleworks/lab/door.py
@@ -18,7 +18,12 @@
 import gevent
 import numpy as np
 
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
@@ -244,7 +249,7 @@
         gates: The admission controllers.
     """
 
-    def __init__(self, cores: float, bounds: Bounds, doors: int = 1) -> None:
+    def __init__(self, cores: float, bounds: AdmissionBounds, doors: int = 1) -> None:
         self.cores, self.bounds, self.now = cores, bounds, 0.0
         self.running: dict[str, tuple[Gate, list[float]]] = {}
         self.away, self.done, self.ended = 0, 0, dict[str, int]()
@@ -279,7 +284,7 @@
             gate, (_, work_s) = self.running.pop(ref)
             self.done += 1
             self.record_end(ref)
-            gate.door.answered(ref, work_s, work_s, self.now)
+            gate.door.on_answer(ref, work_s, work_s, self.now)
         for gate in self.gates:
             gate.door.tick(self.now)
 
@@ -293,31 +298,31 @@
             self, FlowClassifier(512, 1 + number, {}, {}), yard.bounds, yard.cores / doors, 5.0
         )
 
-    def come(self, new: Arrival) -> None:
+    def come(self, new: IncomingRequest) -> None:
         """Passes a new request to the controller."""
-        self.door.arrive(new, self.yard.now)
+        self.door.submit(new, self.yard.now)
 
-    def let_in(self, ref: str) -> None:
-        inside = self.door.inside[ref]
-        self.yard.running[ref] = self, [inside.work, inside.work]
+    def admit(self, ref: str) -> None:
+        admitted = self.door.admitted[ref]
+        self.yard.running[ref] = self, [admitted.work, admitted.work]
 
-    def turn_away(self, ref: str, after: float) -> None:
+    def shed(self, ref: str, after: float) -> None:
         self.yard.away += 1
         self.yard.record_end(ref)
 
-    def tell_peers(self, data: bytes) -> None:
+    def send_to_peers(self, data: bytes) -> None:
         for gate in self.yard.gates:
             if gate is not self and self.yard.passes(self.number, gate.number):
-                gate.door.heard(self.number, data, self.yard.now)
+                gate.door.on_peer_summary(self.number, data, self.yard.now)
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
+    def trace_decision(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
-    def broke(self, ref: str, member: str, cause: str) -> None: ...
+    def on_promise_broken(self, ref: str, member: str, cause: str) -> None: ...
 
 
-def arrival(n: int, address: str = "", name: str = "m") -> Arrival:
+def arrival(n: int, address: str = "", name: str = "m") -> IncomingRequest:
     """Returns a request with 50 ms of work on one thread."""
-    return Arrival(str(n), name, address, 0, 0.05, 1, 200, 0.4, 1.8, n)
+    return IncomingRequest(str(n), name, address, 0, 0.05, 1, 200, 0.4, 1.8, n)
 
 
 def request_cost(count: int, full: bool) -> float:
@@ -327,20 +332,20 @@
         count: Number of requests that are measured.
         full: Whether 1,500 other requests have arrived before.
     """
-    yard, durations = Yard(8.0, Bounds(2000, 4e6, 4000, False, False)), list[float]()
+    yard, durations = Yard(8.0, AdmissionBounds(2000, 4e6, 4000, False, False)), list[float]()
     rng = random.Random(1)
     if full:
         for n in range(1500):
-            yard.door.arrive(arrival(-n - 1, name=f"m{n % 50}"), 0.0)
+            yard.door.submit(arrival(-n - 1, name=f"m{n % 50}"), 0.0)
     for n in range(count):
         ref, tenant, now = str(n), f"m{rng.randrange(50)}", n * 1e-3
-        request = Arrival(ref, tenant, "", n % 8, 0.05, 1, 200, 30.0, 60.0, n)
+        request = IncomingRequest(ref, tenant, "", n % 8, 0.05, 1, 200, 30.0, 60.0, n)
         began = time.perf_counter()
-        yard.door.arrive(request, now)
+        yard.door.submit(request, now)
         if full and yard.running:
             ref = next(iter(yard.running))
             del yard.running[ref]
-        yard.door.answered(ref, 0.05, 0.05, now)
+        yard.door.on_answer(ref, 0.05, 0.05, now)
         durations.append(time.perf_counter() - began)
         if not full:
             yard.running.clear()
@@ -349,14 +354,14 @@
 
 def model_burst(report: Report) -> None:
     """Sends five thousand requests at once to the model, each from another network."""
-    bounds = Bounds(2000, 2e6, 4000, False, False)
+    bounds = AdmissionBounds(2000, 2e6, 4000, False, False)
     yard = Yard(12.0, bounds)
     peak = slowest = 0.0
     for n in range(5000):
         began = time.perf_counter()
-        yard.door.arrive(arrival(n, f"10.{n // 250}.{n % 250}.9", ""), yard.now)
+        yard.door.submit(arrival(n, f"10.{n // 250}.{n % 250}.9", ""), yard.now)
         slowest = max(slowest, time.perf_counter() - began)
-        peak = max(peak, float(yard.door.fair.size))
+        peak = max(peak, float(yard.door.queue.size_bytes))
         if n % 50 == 0:
             yard.work(0.005)
     for _ in range(400):
@@ -366,9 +371,11 @@
         "burst_turned_away": yard.away,
         "burst_peak_bytes": peak,
         "burst_slowest_arrival_ms": 1e3 * slowest,
-        "burst_queues": len(yard.door.fair.flows),
+        "burst_queues": len(yard.door.queue.flows),
     }
-    report.claim("bytes that wait at the door in a burst over the bound", peak / bounds.size, 1.0)
+    report.claim(
+        "bytes that wait at the door in a burst over the bound", peak / bounds.max_waiting_bytes, 1.0
+    )
     report.claim("commands of the burst without an end", 5000 - yard.done - yard.away, 0)
 
 
--- a/marbleworks/lab/hollow_process.py
+++ b/marbleworks/lab/hollow_process.py
@@ -145,7 +145,7 @@
         self.counting_socket: Any = CountingSocket(self.peers.sock)
         self.peers.sock = self.counting_socket
         send_load_update = self.peers.register(LOAD_UPDATE, self._on_load_update)
-        socket_limit = BoundedSemaphore(config.max_sockets)
+        socket_limit = BoundedSemaphore(config.max_descriptors)
         self.dispatcher = Dispatcher(
             settings, config.seed, engine_client_factory(settings, socket_limit), send_load_update
         )
@@ -154,7 +154,7 @@
             self.dispatcher, settings, config.initial_engines, config.nameserver
         )
         if self.subsystems is not None:
-            self.subsystems.join(self.dispatcher, settings, self.peers, config.name)
+            self.subsystems.start(self.dispatcher, settings, self.peers, config.name)
         self.live_routers: dict[int, int] = {}
         self.removed: list[tuple[int, float]] = []
         membership = self.subsystems.membership if self.subsystems is not None else None
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -174,7 +174,7 @@
             senders = [
                 sender
                 for sender in living
-                if sender.parts.slow_start.share_of(sender.engines[0], sender.port.now())
+                if sender.components.slow_start.slow_start_share(sender.engines[0], sender.port.now())
             ]
             return [sender.fleet.router_index for sender in senders]
 
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -32,7 +32,12 @@
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.codec import BudgetAnswer, BudgetReport, decode, encode_answer, encode_report
 from marbleworks.budgets.local_budget import LocalBudgets
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.lab.meter import PACE, medians, processor_seconds, state_bytes, yardsticks_of
 from marbleworks.lab.stage import RouterProcess, free_port, held_port, settings
@@ -177,7 +182,7 @@
 
     def time_new_group(self) -> float:
         """Returns the yardsticks for a request of a table group that was not seen before."""
-        self.scheduler.parts.placement.home_sets.clear()
+        self.scheduler.components.placement.home_sets.clear()
         return self._time_batch(lambda n: self.groups + n)
 
     def _time_batch(self, group: Callable[[int], int]) -> float:
@@ -275,7 +280,7 @@
 def _time_review(load: SchedulerLoad) -> float:
     waiting_before = len(load.scheduler.pending)
     load.port.clock += 0.02  # so that it is due
-    load.scheduler.parts.timers.reviewed_at = -1.0
+    load.scheduler.components.timers.reviewed_at = -1.0
     duration = yardsticks_of(load.scheduler.review)
     if len(load.scheduler.pending) != waiting_before:
         raise RuntimeError("a request left the scheduler during the review, which changed the measured size")
@@ -325,7 +330,7 @@
     def __init__(self) -> None:
         self.count = 0
 
-    def post(self, what: Any, listing: list[Any], whole: bool) -> None:
+    def post(self, action: Any, listing: list[Any], whole: bool) -> None:
         """Counts the engines."""
         self.count = len(listing)
 
@@ -512,23 +517,23 @@
     def __init__(self) -> None:
         self.admitted, self.turned_away_count = list[str](), 0
 
-    def let_in(self, ref: str) -> None:
+    def admit(self, ref: str) -> None:
         """Records an admitted request."""
         self.admitted.append(ref)
 
-    def turn_away(self, ref: str, after: float) -> None:
+    def shed(self, ref: str, after: float) -> None:
         """Counts a request that was turned away."""
         self.turned_away_count += 1
 
-    def tell_peers(self, data: bytes) -> None:
+    def send_to_peers(self, data: bytes) -> None:
         """Does nothing."""
         ...
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
+    def trace_decision(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None:
         """Does nothing."""
         ...
 
-    def broke(self, ref: str, member: str, cause: str) -> None:
+    def on_promise_broken(self, ref: str, member: str, cause: str) -> None:
         """Does nothing."""
         ...
 
@@ -544,13 +549,13 @@
     for count in members:
         names = [f"member-{n}" for n in range(count)]
         recorder = AdmissionRecorder()
-        bounds = Bounds(2 * count, 1e9, 10_000, True, False)
+        bounds = AdmissionBounds(2 * count, 1e9, 10_000, True, False)
         controller = AdmissionController(
             recorder, FlowClassifier(512, seed, dict.fromkeys(names, 2.0), {}), bounds, 4.0, 5.0
         )
         for n, name in enumerate([*names, *names]):
-            controller.arrive(Arrival(f"{n:016x}", name, HOST, name, 0.05, 1, 200, 1e6, 1e6, n), 10.0)
-        if recorder.turned_away_count or len(controller.standing) < count - 8:
+            controller.submit(IncomingRequest(f"{n:016x}", name, HOST, name, 0.05, 1, 200, 1e6, 1e6, n), 10.0)
+        if recorder.turned_away_count or len(controller.flow_by_tenant) < count - 8:
             raise RuntimeError(
                 "members were turned away, so the admission controller knows fewer than the measured size"
             )
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -317,14 +317,14 @@
 def test_a_new_table_group_finds_its_homes_and_a_known_one_has_them() -> None:
     load = sizes.SchedulerLoad(30)
     load.warm()
-    homes = dict(load.scheduler.parts.placement.home_sets)
+    homes = dict(load.scheduler.components.placement.home_sets)
     assert len(homes) == sizes.TABLE_GROUP_COUNT
     load.time_known_group()
-    assert load.scheduler.parts.placement.home_sets == homes
+    assert load.scheduler.components.placement.home_sets == homes
     load.time_new_group()
     assert (
-        len(load.scheduler.parts.placement.home_sets) == sizes.BATCH_SIZE
-        and not load.scheduler.parts.placement.home_sets.keys() & homes.keys()
+        len(load.scheduler.components.placement.home_sets) == sizes.BATCH_SIZE
+        and not load.scheduler.components.placement.home_sets.keys() & homes.keys()
     )
 
 
