--- a/marbleworks/net/discovery.py
+++ b/marbleworks/net/discovery.py
@@ -83,18 +83,18 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._read_initial_engines(initial_engines)
         spawn(self._listen)
-        self.wake_at = clock()
+        self.next_timer_at = clock()
 
     def set_nameserver(self, nameserver: SocketAddress) -> None:
         """Switches to another name server, which is expected to continue the same revision numbers."""
         self.nameserver = nameserver
         self.open_queries.clear()
-        self.wake_at = clock()
+        self.next_timer_at = clock()
 
     def on_timer(self) -> None:
         """Sends one query; the next follows after `QUERY_RETRY_S` unless a response arrives."""
         now = clock()
-        self.wake_at = now + QUERY_RETRY_S
+        self.next_timer_at = now + QUERY_RETRY_S
         oldest_sent_at = now - protocol.MAX_DNS_RESPONSE_AGE_S
         self.open_queries = {
             query_id: query for query_id, query in self.open_queries.items() if query.sent_at > oldest_sent_at
@@ -142,7 +142,7 @@
 
     def _close_query(self, query_id: int) -> None:
         del self.open_queries[query_id]
-        self.wake_at = clock() + QUERY_INTERVAL_S
+        self.next_timer_at = clock() + QUERY_INTERVAL_S
 
     def _listen(self) -> None:
         while True:
@@ -170,7 +170,7 @@
             is_complete: Whether engines missing from the list have gone; else the list holds only changes.
         """
         listings = [self._listing(engine) for engine in engines]
-        is_present = {entry.name: not entry.is_gone for entry, _ in listings}
+        is_present = {entry.name: not entry.is_removed for entry, _ in listings}
         self.engine_ids = {
             name: engine_id
             for name, engine_id in self.engine_ids.items()
--- a/marbleworks/net/server.py
+++ b/marbleworks/net/server.py
@@ -47,12 +47,12 @@
     result_store: ResultStore | None
     health_details: Callable[[str], dict[str, Any]] | None
 
-    def join(
+    def start(
         self, dispatcher: Dispatcher, settings: Settings, transport: DatagramTransport, name: str
     ) -> None:
         """Attaches the subsystems to the router; called before the router accepts clients."""
 
-    def stopping(self) -> None:
+    def leave_groups(self) -> None:
         """Called when a planned stop begins; requests in progress are still answered."""
 
     def reload(self) -> None:
@@ -75,13 +75,13 @@
     engines: BoundedSemaphore
 
     @classmethod
-    def divide(cls, max_sockets: int) -> _DescriptorQuotas:
+    def divide(cls, max_descriptors: int) -> _DescriptorQuotas:
         """Divides the descriptors of a router between clients and engines."""
         # The usual clients hold at most a third; some more descriptors are left for other clients.
-        client_share = max_sockets // 3
+        client_share = max_descriptors // 3
         return cls(
             clients=BoundedSemaphore(client_share + _RESERVED_DESCRIPTORS // 2),
-            engines=BoundedSemaphore(max_sockets - client_share - 2 * _RESERVED_DESCRIPTORS),
+            engines=BoundedSemaphore(max_descriptors - client_share - 2 * _RESERVED_DESCRIPTORS),
         )
 
 
@@ -109,7 +109,7 @@
         startup_signals: Signals that arrived before this call.
     """
     _configure_logging()
-    quotas = _DescriptorQuotas.divide(config.max_sockets)
+    quotas = _DescriptorQuotas.divide(config.max_descriptors)
     stop_requested = Event()
     gevent.signal_handler(signal.SIGTERM, stop_requested.set)
     gevent.signal_handler(signal.SIGINT, stop_requested.set)
@@ -121,7 +121,7 @@
         LOG.info("stopped", name=config.name, after_s=0.0)
         return
     if subsystems is not None:
-        subsystems.join(core.dispatcher, config.settings, core.transport, config.name)
+        subsystems.start(core.dispatcher, config.settings, core.transport, config.name)
     listener = ClientListener(config.listen, core.dispatcher, config.settings, quotas.clients)
     if subsystems is not None:
         listener.result_store = subsystems.result_store
@@ -196,7 +196,7 @@
     LOG.info("stopping", name=config.name)
     listener.healthy = False
     if subsystems is not None:
-        subsystems.stopping()
+        subsystems.leave_groups()
     dispatcher.post(dispatcher.stop, deadline)
     gevent.sleep(CLIENT_ARRIVAL_GRACE_S)
     listener.stop_accepting(deadline)
--- a/tests/scheduling/test_random_walks.py
+++ b/tests/scheduling/test_random_walks.py
@@ -5,12 +5,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marbleworks.fair_queue.admission import AdmissionController, AdmissionReason, Arrival, Bounds
+from marbleworks.fair_queue.admission import (
+    AdmissionBounds,
+    AdmissionController,
+    AdmissionReason,
+    IncomingRequest,
+)
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.model import AttemptOutcome, EngineStatus, Idempotency
 from marbleworks.scheduling.request_state import RequestState
 from marbleworks.scheduling.scheduler import Scheduler
-from tests.support.stand_ins import FLEET, PROFILES, RULES, Recorder, engine
+from tests.support.stand_ins import FLEET, REQUEST_CLASSES, RULES, RecordingPort, engine_entry
 
 STEP = st.one_of(
     st.tuples(
@@ -29,7 +34,7 @@
 )
 
 
-class ReferenceModel(Recorder):
+class ReferenceModel(RecordingPort):
     """Rejects every call that the rules forbid; keeps all events and searches them on each call."""
 
     def __init__(self) -> None:
@@ -156,7 +161,7 @@
 
     def __init__(self) -> None:
         self.model = ReferenceModel()
-        self.scheduler = Scheduler(self.model, 3, PROFILES, RULES, FLEET)
+        self.scheduler = Scheduler(self.model, 3, REQUEST_CLASSES, RULES, FLEET)
         self.requests: dict[str, RequestState] = {}
         for engine_id in range(4):
             self.list_engine(engine_id, EngineStatus.UP, False)
@@ -168,20 +173,22 @@
             self.model.clock if restarted else self.model.listings.get(engine_id, (status, 0.0, 0))[1]
         )
         self.model.listings[engine_id] = (status, started_at, engine_id % 2)
-        self.scheduler.update_engines([engine(engine_id, status, started_at, engine_id % 2)], complete=False)
+        self.scheduler.update_engines(
+            [engine_entry(engine_id, status, started_at, engine_id % 2)], complete=False
+        )
 
     def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
         ref, model = f"c{len(model_submissions := self.model.submissions)}", self.model
         class_work = [
             *(
                 work_s
-                for other_index, work_s in self.scheduler.parts.estimates.recent_work
+                for other_index, work_s in self.scheduler.components.estimates.recent_work
                 if other_index == class_index
             ),
             work or self.scheduler.mean_work(class_index),
         ]
         model_submissions[ref] = {
-            "request_class": PROFILES[class_index],
+            "request_class": REQUEST_CLASSES[class_index],
             "key": f"k{key}",
             "number": len(model_submissions),
             "submitted_at": model.clock,
@@ -225,7 +232,8 @@
                 id(s): self.model.submissions[s["ref"]]["deadline"] - 0.01 for s in self.attempts_in_flight()
             }
             next_wakeup = min(
-                self.scheduler.parts.timers.next_review_at, self.scheduler.parts.timers.next_expiry_at
+                self.scheduler.components.timers.next_review_at,
+                self.scheduler.components.timers.next_expiry_at,
             )
             at = min([next_wakeup, *timeouts.values(), end])
             self.model.clock = max(at, self.model.clock)
@@ -246,14 +254,18 @@
         self.admission = AdmissionController(
             self,
             FlowClassifier(16, 3, {}, {}),
-            Bounds(20, 1e5, 50, False, False),
+            AdmissionBounds(20, 1e5, 50, False, False),
             2.0,
             RULES.max_retry_after_s,
         )
         self.waiting_arrivals: dict[str, tuple[int, int, float, float]] = {}
 
     def submit_request(self, class_index: int, key: int, work: float, time_left_s: float) -> None:
-        submissions, now, request_class = self.model.submissions, self.model.clock, PROFILES[class_index]
+        submissions, now, request_class = (
+            self.model.submissions,
+            self.model.clock,
+            REQUEST_CLASSES[class_index],
+        )
         ref = f"c{len(submissions)}"
         submissions[ref] = {
             "request_class": request_class,
@@ -265,7 +277,7 @@
         }
         self.waiting_arrivals[ref] = class_index, key, work, now + time_left_s
         work_estimate = work or self.scheduler.mean_work(class_index)
-        arrival = Arrival(
+        request = IncomingRequest(
             ref,
             f"m{key % 3}",
             "",
@@ -277,16 +289,16 @@
             time_left_s - 0.05,
             len(submissions),
         )
-        self.admission.arrive(arrival, now)
+        self.admission.submit(request, now)
         self.remove_completed()
 
-    def admit(self, ref: str, retry_after_s: float | None) -> None:
+    def submit_to_scheduler(self, ref: str, retry_after_s: float | None) -> None:
         class_index, key, work, deadline = self.waiting_arrivals.pop(ref)
         submission, scheduler = self.model.submissions[ref], self.scheduler
         class_work = [
             *(
                 work_s
-                for other_index, work_s in scheduler.parts.estimates.recent_work
+                for other_index, work_s in scheduler.components.estimates.recent_work
                 if other_index == class_index
             ),
             work or scheduler.mean_work(class_index),
@@ -308,29 +320,31 @@
             retry_after_s,
         )
 
-    def let_in(self, ref: str) -> None:
-        self.admit(ref, None)
+    def admit(self, ref: str) -> None:
+        self.submit_to_scheduler(ref, None)
 
-    def turn_away(self, ref: str, after: float) -> None:
-        self.admit(ref, after)
+    def shed(self, ref: str, after: float) -> None:
+        self.submit_to_scheduler(ref, after)
 
-    def tell_peers(self, data: bytes) -> None: ...
+    def send_to_peers(self, data: bytes) -> None: ...
 
-    def trace(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
+    def trace_decision(self, ref: str, member: str, why: AdmissionReason, seconds: float) -> None: ...
 
-    def broke(self, ref: str, member: str, cause: str) -> None: ...
+    def on_promise_broken(self, ref: str, member: str, cause: str) -> None: ...
 
     def remove_completed(self) -> None:
         """Removes completed requests from the admission controller."""
-        while completed := [ref for ref in self.admission.inside if self.model.submissions[ref]["completed"]]:
+        while completed := [
+            ref for ref in self.admission.admitted if self.model.submissions[ref]["completed"]
+        ]:
             for ref in completed:
-                self.admission.over(ref, True, self.model.clock)
+                self.admission.on_end_without_answer(ref, True, self.model.clock)
 
     def disconnect_client(self, index: int) -> None:
         waiting = list(self.admission.waiting)
         if waiting and index % 2:
             ref = waiting[index % len(waiting)]
-            assert self.admission.left(ref)
+            assert self.admission.on_client_disconnect(ref)
             self.model.submissions[ref]["completed"] = True
             del self.waiting_arrivals[ref]
         else:
@@ -340,7 +354,7 @@
     def end_attempt(self, attempt: dict[str, Any], outcome: AttemptOutcome | None) -> None:
         super().end_attempt(attempt, outcome)
         if outcome is None:
-            self.admission.answered(attempt["ref"], 0.5, 0.5, self.model.clock)
+            self.admission.on_answer(attempt["ref"], 0.5, 0.5, self.model.clock)
         self.remove_completed()
 
     def advance(self, seconds: float) -> None:
