--- a/marbleworks/cli/spool.py
+++ b/marbleworks/cli/spool.py
@@ -14,10 +14,10 @@
 @app.command("list")
 def list_results(folder: str = FOLDER) -> None:
     """Print a line for each stored result."""
-    from marbleworks.spool.maintenance import listed
+    from marbleworks.spool.maintenance import list_results
 
     try:
-        for line in listed(folder):
+        for line in list_results(folder):
             typer.echo(line)
     except OSError as error:
         raise failure(f"{folder}: {error.strerror}") from None
@@ -26,10 +26,10 @@
 @app.command("check")
 def check(folder: str = FOLDER) -> None:
     """Read and verify every byte of a folder; exit 1 if there is an error."""
-    from marbleworks.spool.maintenance import checked
+    from marbleworks.spool.maintenance import check_folder
 
     try:
-        lines, is_intact = checked(folder)
+        lines, is_intact = check_folder(folder)
     except OSError as error:
         raise failure(f"{folder}: {error.strerror}") from None
     for line in lines:
@@ -40,16 +40,16 @@
 @app.command("drop")
 def drop_results(folder: str = FOLDER, number: list[str] = NUMBERS) -> None:
     """Delete results from a folder that no router has open."""
-    from marbleworks.spool.maintenance import drop
+    from marbleworks.spool.maintenance import drop_results
 
     try:
-        count = drop(folder, [int(text, 16) for text in number])
+        count = drop_results(folder, [int(text, 16) for text in number])
     except ValueError:
         raise failure(
             "invalid number of a result: expected 16 hex digits, as shown by `spool list`"
         ) from None
     except BlockingIOError:
-        raise failure(f"{folder}: a router has this folder") from None
+        raise failure(f"{folder}: a router uses this folder") from None
     except OSError as error:
         raise failure(f"{folder}: {error.strerror}") from None
     typer.echo(f"{count} dropped")
--- a/marbleworks/spool/catalog.py
+++ b/marbleworks/spool/catalog.py
@@ -68,39 +68,39 @@
     """A committed result.
 
     Attributes:
-        number: random 64-bit number, which its records carry.
+        result_id: random 64-bit number, which its records carry.
         key: digest of the result's token and tenant.
         tenant: the tenant that owns it.
         profile: profile of the request that produced it.
-        made: time at which it was committed.
-        rows: number of rows.
-        size: bytes before compression.
-        pages: number of pages.
-        places: location of each page's record, then that of the end record.
+        committed_at: time at which it was committed.
+        row_count: number of rows.
+        raw_bytes: bytes before compression.
+        page_count: number of pages.
+        locations: location of each page's record, then that of the end record.
         lengths: bytes of each of these records on disk.
         last_read_at: time at which a page was last read; None if none was.
         stored_bytes: bytes on disk, the sum of the lengths.
         segments: numbers of the segments that hold any of its records.
     """
 
-    number: int
+    result_id: int
     key: bytes
     tenant: str
     profile: str
-    made: float
-    rows: int
-    size: int
-    pages: int
-    places: array[int] = field(default_factory=lambda: array("Q"))
+    committed_at: float
+    row_count: int
+    raw_bytes: int
+    page_count: int
+    locations: array[int] = field(default_factory=lambda: array("Q"))
     lengths: array[int] = field(default_factory=lambda: array("I"))
     last_read_at: float | None = None
     stored_bytes: int = 0
     segments: set[int] = field(default_factory=set)
 
-    def lies(self, spans: list[tuple[int, int]]) -> None:
+    def append_spans(self, spans: list[tuple[int, int]]) -> None:
         """Adds the location and length of each page's record, and of the end record."""
         for location, length in spans:
-            self.places.append(location)
+            self.locations.append(location)
             self.lengths.append(length)
             self.stored_bytes += length
             self.segments.add(unpack_location(location)[0])
@@ -156,10 +156,10 @@
 
     def add(self, result: Result) -> None:
         """Adds a committed result, whose segments must be known already."""
-        self.results[result.key] = self.by_number[result.number] = result
-        for location, length in zip(result.places, result.lengths, strict=True):
+        self.results[result.key] = self.by_number[result.result_id] = result
+        for location, length in zip(result.locations, result.lengths, strict=True):
             self.segments[unpack_location(location)[0]].live_bytes += length
-        heapq.heappush(self.expiry_heap, (self.expires_at(result), result.number))
+        heapq.heappush(self.expiry_heap, (self.expires_at(result), result.result_id))
         self._schedule_expiry(result)
 
     def _schedule_expiry(self, result: Result) -> None:
@@ -176,7 +176,7 @@
 
     def expires_at(self, result: Result) -> float:
         """Returns when a result expires if it is not read again."""
-        return self.lifetimes.expires_at(result.made, result.last_read_at)
+        return self.lifetimes.expires_at(result.committed_at, result.last_read_at)
 
     def find(self, token: str, tenant: str, now: float) -> Result | None:
         """Returns a live result by its token; None alike if it is unknown, expired or another tenant's."""
@@ -191,11 +191,11 @@
 
     def remove(self, result: Result) -> None:
         """Removes a result; without effect if it has been removed already."""
-        if self.by_number.pop(result.number, None) is None:
+        if self.by_number.pop(result.result_id, None) is None:
             return
         del self.results[result.key]
         self._unschedule_expiry(result)
-        for location, length in zip(result.places, result.lengths, strict=True):
+        for location, length in zip(result.locations, result.lengths, strict=True):
             segment = self.segments.get(unpack_location(location)[0])
             if segment is not None:
                 segment.live_bytes -= length
@@ -245,7 +245,7 @@
     def set_lifetimes(self, lifetimes: Lifetimes) -> None:
         """Replaces the rule of expiry, for the present results as well."""
         self.lifetimes = lifetimes
-        self.expiry_heap = [(self.expires_at(r), r.number) for r in self.by_number.values()]
+        self.expiry_heap = [(self.expires_at(r), r.result_id) for r in self.by_number.values()]
         heapq.heapify(self.expiry_heap)
         self.sorted_expiries.clear()
         for segment in self.segments.values():
@@ -265,10 +265,10 @@
             False where the result was removed or does not refer to the old location.
         """
         result = self.by_number.get(number)
-        if result is None or old not in result.places:
+        if result is None or old not in result.locations:
             return False
-        index = result.places.index(old)
-        result.places[index] = new
+        index = result.locations.index(old)
+        result.locations[index] = new
         self.segments[unpack_location(old)[0]].live_bytes -= result.lengths[index]
         self.segments[unpack_location(old)[0]].has_moved_records = True
         self.segments[unpack_location(new)[0]].live_bytes += result.lengths[index]
@@ -280,7 +280,7 @@
 
     # Segments.
 
-    def wrote(self, sizes: dict[int, int]) -> None:
+    def update_segment_sizes(self, sizes: dict[int, int]) -> None:
         """Takes over the present sizes of the segments; all but the last one are closed."""
         last = max(sizes, default=0)
         for number, size in list(sizes.items()):
--- a/marbleworks/spool/disk.py
+++ b/marbleworks/spool/disk.py
@@ -41,7 +41,7 @@
             raise
         return fd
 
-    def names(self) -> dict[str, int]:
+    def list_files(self) -> dict[str, int]:
         """Returns the size in bytes of each file, by name."""
         with os.scandir(self.folder) as entries:
             return {entry.name: entry.stat().st_size for entry in entries if entry.is_file()}
--- a/marbleworks/spool/record_codec.py
+++ b/marbleworks/spool/record_codec.py
@@ -25,7 +25,7 @@
 SCAN_WINDOW_BYTES = 1 << 18  # bytes that a scan reads at a time
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """What a record states."""
 
     PAGE = 1  # the payload is the rows of one page of a result
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class Record:
     """A record, regardless of where it is stored.
 
     Attributes:
@@ -46,37 +46,37 @@
         number: number of its result.
         page: page of the result, from 0; the number of pages for END; a segment for DROP.
         payload: the payload as stored, compressed.
-        size: bytes of the payload before compression.
+        raw_size: bytes of the payload before compression.
     """
 
-    kind: Kind
+    kind: RecordKind
     number: int
     page: int
     payload: bytes
-    size: int
+    raw_size: int
 
     def encode(self, salt: int) -> bytes:
         """Returns the record as bytes for the segment with this salt."""
         checksum = xxhash.xxh3_64_intdigest(self.payload, salt)
-        fields = MAGIC, self.kind, self.number, self.page, self.size, len(self.payload), checksum
+        fields = MAGIC, self.kind, self.number, self.page, self.raw_size, len(self.payload), checksum
         header = HEADER_STRUCT.pack(*fields)
         return header + CHECKSUM_STRUCT.pack(xxhash.xxh3_64_intdigest(header, salt)) + self.payload
 
     @property
-    def stored(self) -> int:
+    def stored_size(self) -> int:
         """Bytes that the record takes in a segment."""
         return HEADER_SIZE + len(self.payload)
 
 
-def packed(kind: Kind, number: int, page: int, data: bytes) -> Entry:
+def compress_record(kind: RecordKind, number: int, page: int, data: bytes) -> Record:
     """Returns a record whose payload is the compressed data."""
     payload = (
         zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_checksum=True).compress(data) if data else b""
     )
-    return Entry(kind, number, page, payload, len(data))
+    return Record(kind, number, page, payload, len(data))
 
 
-def unpacked(record: Entry) -> bytes:
+def decompress_payload(record: Record) -> bytes:
     """Returns a record's data, using no more memory than the raw size in its header.
 
     Raises:
@@ -85,15 +85,15 @@
     if not record.payload:
         return b""
     try:
-        data = zstandard.ZstdDecompressor().decompress(record.payload, max_output_size=record.size)
+        data = zstandard.ZstdDecompressor().decompress(record.payload, max_output_size=record.raw_size)
     except zstandard.ZstdError as err:
         raise CorruptRecordError(str(err)) from None
-    if len(data) != record.size:
+    if len(data) != record.raw_size:
         raise CorruptRecordError("decompressed payload has another size than the record's header states")
     return data
 
 
-def decode(data: bytes, salt: int) -> Entry:
+def decode_record(data: bytes, salt: int) -> Record:
     """Decodes bytes that are exactly one record.
 
     Raises:
@@ -105,7 +105,9 @@
     return _verified_record(header, data[HEADER_SIZE:], salt)
 
 
-def _parse_header(data: bytes, index: int, salt: int) -> tuple[tuple[Kind, int, int, int, int] | None, int]:
+def _parse_header(
+    data: bytes, index: int, salt: int
+) -> tuple[tuple[RecordKind, int, int, int, int] | None, int]:
     """Parses the header at an offset of the data.
 
     Returns:
@@ -120,23 +122,23 @@
         return None, 0
     _, kind, number, page, raw_size, payload_size, payload_checksum = HEADER_STRUCT.unpack(header)
     if (
-        kind not in Kind._value2member_map_
+        kind not in RecordKind._value2member_map_
         or payload_size > MAX_PAYLOAD_BYTES
         or raw_size > MAX_PAYLOAD_BYTES
     ):
         return None, 0
-    return (Kind(kind), number, page, raw_size, payload_checksum), HEADER_SIZE + payload_size
+    return (RecordKind(kind), number, page, raw_size, payload_checksum), HEADER_SIZE + payload_size
 
 
-def _verified_record(header: tuple[Kind, int, int, int, int], payload: bytes, salt: int) -> Entry:
+def _verified_record(header: tuple[RecordKind, int, int, int, int], payload: bytes, salt: int) -> Record:
     kind, number, page, raw_size, checksum = header
     if checksum != xxhash.xxh3_64_intdigest(payload, salt):
         raise CorruptRecordError("wrong checksum of a record's payload")
-    return Entry(kind, number, page, payload, raw_size)
+    return Record(kind, number, page, payload, raw_size)
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class ScannedRecord:
     """A record found by a scan.
 
     Attributes:
@@ -149,10 +151,12 @@
     offset: int
     length: int
     number: int
-    record: Entry | None
+    record: Record | None
 
 
-def scan(read: Callable[[int, int], bytes], size: int, salt: int, start: int = 0) -> Iterator[Found | int]:
+def scan_records(
+    read: Callable[[int, int], bytes], size: int, salt: int, start: int = 0
+) -> Iterator[ScannedRecord | int]:
     """Yields all records of a segment from an offset on, and an int for each gap: its bytes are no record.
 
     After a corrupt header the scan goes on at the next valid one.
@@ -177,9 +181,9 @@
             buffered, window_start = read(offset, min(max(SCAN_WINDOW_BYTES, length), size - offset)), offset
         payload = buffered[offset - window_start + HEADER_SIZE : offset - window_start + length]
         try:
-            yield Found(offset, length, header[1], _verified_record(header, payload, salt))
+            yield ScannedRecord(offset, length, header[1], _verified_record(header, payload, salt))
         except CorruptRecordError:
-            yield Found(offset, length, header[1], None)
+            yield ScannedRecord(offset, length, header[1], None)
         offset += length
 
 
--- a/marbleworks/spool/recovery.py
+++ b/marbleworks/spool/recovery.py
@@ -15,7 +15,14 @@
 import zstandard
 
 from marbleworks.spool.catalog import Result, pack_location, unpack_location
-from marbleworks.spool.record_codec import CorruptRecordError, Entry, Found, Kind, packed, unpacked
+from marbleworks.spool.record_codec import (
+    CorruptRecordError,
+    Record,
+    RecordKind,
+    ScannedRecord,
+    compress_record,
+    decompress_payload,
+)
 
 CHECKPOINT_VERSION = 1
 MAX_CHECKPOINT_BYTES = 1 << 30  # bound on a decompressed checkpoint
@@ -23,30 +30,33 @@
 
 
 @dataclass
-class State:
+class Checkpoint:
     """The contents of a checkpoint: the index up to a position in the segments.
 
     Attributes:
         segment: segment of the position; what comes before the position need not be read again.
         offset: offset of the position in that segment.
         results: the committed results.
-        loose: pages of results that are not committed yet, by result number: page, location and length.
+        uncommitted_pages: pages of results that are not committed yet, by result number: page, location and
+            length.
     """
 
     segment: int
     offset: int
     results: list[Result] = field(default_factory=list)
-    loose: dict[int, list[tuple[int, int, int]]] = field(default_factory=dict)
+    uncommitted_pages: dict[int, list[tuple[int, int, int]]] = field(default_factory=dict)
 
     def encode(self) -> bytes:
         """Returns the checkpoint's bytes."""
-        rows = [(*_result_fields(r), r.places.tobytes(), r.lengths.tobytes()) for r in self.results]
-        data = msgpack.packb((CHECKPOINT_VERSION, self.segment, self.offset, rows, list(self.loose.items())))
+        rows = [(*_result_fields(r), r.locations.tobytes(), r.lengths.tobytes()) for r in self.results]
+        data = msgpack.packb(
+            (CHECKPOINT_VERSION, self.segment, self.offset, rows, list(self.uncommitted_pages.items()))
+        )
         frame = zstandard.ZstdCompressor(level=1).compress(data)
         return CHECKPOINT_MAGIC + xxhash.xxh3_64_digest(frame) + frame
 
     @classmethod
-    def decode(cls, data: bytes) -> State:
+    def decode(cls, data: bytes) -> Checkpoint:
         """Decodes a checkpoint.
 
         Raises:
@@ -64,7 +74,7 @@
             results = []
             for *fields, places, lengths in rows:
                 result = Result(*fields)
-                result.places.frombytes(places)
+                result.locations.frombytes(places)
                 result.lengths.frombytes(lengths)
                 results.append(result)
             pages = {number: [tuple(entry) for entry in entries] for number, entries in loose}
@@ -73,13 +83,15 @@
         return cls(segment, offset, results, pages)
 
 
-def end_of(result: Result) -> Entry:
+def end_record(result: Result) -> Record:
     """Returns the END record that commits a result."""
-    return packed(Kind.END, result.number, result.pages, msgpack.packb(_result_fields(result)[1:]))
+    return compress_record(
+        RecordKind.END, result.result_id, result.page_count, msgpack.packb(_result_fields(result)[1:])
+    )
 
 
 def _result_fields(r: Result) -> tuple[object, ...]:
-    return r.number, r.key, r.tenant, r.profile, r.made, r.rows, r.size, r.pages
+    return r.result_id, r.key, r.tenant, r.profile, r.committed_at, r.row_count, r.raw_bytes, r.page_count
 
 
 class IndexRebuild:
@@ -91,28 +103,30 @@
         dropped: numbers of the results with a DROP record.
     """
 
-    def __init__(self, state: State | None) -> None:
+    def __init__(self, state: Checkpoint | None) -> None:
         self.committed: dict[int, Result] = {}
         self.record_spans: dict[int, dict[int, tuple[int, int]]] = {}
         self.dropped: set[int] = set()
         for result in state.results if state else ():
-            self.committed[result.number] = result
-            spans = zip(result.places, result.lengths, strict=True)
-            self.record_spans[result.number] = dict(enumerate(spans))
-        for number, loose in (state.loose if state else {}).items():
+            self.committed[result.result_id] = result
+            spans = zip(result.locations, result.lengths, strict=True)
+            self.record_spans[result.result_id] = dict(enumerate(spans))
+        for number, loose in (state.uncommitted_pages if state else {}).items():
             self.record_spans[number] = {page: (location, length) for page, location, length in loose}
 
-    def add_record(self, segment: int, scanned: Found) -> None:
+    def add_record(self, segment: int, scanned: ScannedRecord) -> None:
         """Takes a record after the checkpoint; one with a corrupt payload is ignored."""
         record, span = scanned.record, (pack_location(segment, scanned.offset), scanned.length)
         if record is None:
             return
-        if record.kind is Kind.DROP:
+        if record.kind is RecordKind.DROP:
             self.dropped.add(record.number)
             return
-        if record.kind is Kind.END:
+        if record.kind is RecordKind.END:
             try:
-                self.committed[record.number] = Result(record.number, *msgpack.unpackb(unpacked(record)))
+                self.committed[record.number] = Result(
+                    record.number, *msgpack.unpackb(decompress_payload(record))
+                )
             except (CorruptRecordError, ValueError, TypeError):
                 return
         # A later copy of a record replaces an earlier one.
@@ -139,7 +153,7 @@
             spans = self.record_spans.get(number, {})
             missing = [
                 p
-                for p in range(result.pages + 1)
+                for p in range(result.page_count + 1)
                 if p not in spans or not _is_present(segment_sizes, *spans[p])
             ]
             if missing:
@@ -148,9 +162,9 @@
                 ):
                     lost.append(result)
                 continue
-            result.places, result.lengths, result.stored_bytes = array("Q"), array("I"), 0
-            result.lies([spans[p] for p in range(result.pages + 1)])
-            result.made, result.last_read_at = min(result.made, now), now
+            result.locations, result.lengths, result.stored_bytes = array("Q"), array("I"), 0
+            result.append_spans([spans[p] for p in range(result.page_count + 1)])
+            result.committed_at, result.last_read_at = min(result.committed_at, now), now
             complete.append(result)
         return complete, lost
 
--- a/marbleworks/spool/segment_store.py
+++ b/marbleworks/spool/segment_store.py
@@ -16,8 +16,16 @@
 
 from marbleworks.spool.catalog import Result, pack_location, unpack_location
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record_codec import CorruptRecordError, Entry, Found, Kind, decode, scan, unpacked
-from marbleworks.spool.recovery import IndexRebuild, State
+from marbleworks.spool.record_codec import (
+    CorruptRecordError,
+    Record,
+    RecordKind,
+    ScannedRecord,
+    decode_record,
+    decompress_payload,
+    scan_records,
+)
+from marbleworks.spool.recovery import Checkpoint, IndexRebuild
 
 LOCK_FILE, CHECKPOINT_FILE, NEW_CHECKPOINT_FILE = "lock", "checkpoint", "checkpoint.new"
 SEGMENT_FILE_NAME = re.compile(r"segment-(\d{8})-([0-9a-f]{16})\.log")  # number and salt
@@ -32,15 +40,15 @@
         results: the results that were recovered.
         lost: results that had been committed and lack records.
         segments: size in bytes of each segment, by number.
-        spoilt: numbers of the segments in which a read failed.
-        notes: faults found, each as a log event with its details.
+        unreadable: numbers of the segments in which a read failed.
+        faults: faults found, each as a log event with its details.
     """
 
     results: list[Result]
     lost: list[Result]
     segments: dict[int, int]
-    spoilt: set[int]
-    notes: list[tuple[str, dict[str, object]]] = field(default_factory=list)
+    unreadable: set[int]
+    faults: list[tuple[str, dict[str, object]]] = field(default_factory=list)
 
 
 class SegmentStore:
@@ -89,7 +97,7 @@
         if lock:
             self.disk.prepare()
             self.lock_fd = self.disk.lock(LOCK_FILE)
-        files = self.disk.names()
+        files = self.disk.list_files()
         for name, size in files.items():
             if match := SEGMENT_FILE_NAME.fullmatch(name):
                 number = int(match[1])
@@ -108,13 +116,15 @@
                 self._recover_segment(rebuild, number, start, notes, unreadable)
         results, lost = rebuild.recover(self.sizes, now)
         for result in lost:
-            notes.append(("spool result lost", {"profile": result.profile, "made": round(result.made, 3)}))
+            notes.append(
+                ("spool result lost", {"profile": result.profile, "made": round(result.committed_at, 3)})
+            )
         return OpenedFolder(results, lost, dict(self.sizes), unreadable, notes)
 
-    def _read_checkpoint(self, notes: list[tuple[str, dict[str, object]]]) -> State | None:
+    def _read_checkpoint(self, notes: list[tuple[str, dict[str, object]]]) -> Checkpoint | None:
         try:
-            size = self.disk.names()[CHECKPOINT_FILE]
-            return State.decode(self.disk.read(CHECKPOINT_FILE, 0, size))
+            size = self.disk.list_files()[CHECKPOINT_FILE]
+            return Checkpoint.decode(self.disk.read(CHECKPOINT_FILE, 0, size))
         except (OSError, CorruptRecordError) as err:
             notes.append(("spool checkpoint unusable", {"error": str(err)}))
             return None
@@ -145,10 +155,10 @@
                 ("spool segment torn", {"segment": number, "bytes": gap_bytes, "records": corrupt_records})
             )
 
-    def scan_segment(self, number: int, start: int = 0) -> Iterator[Found | int]:
-        """Scans a segment from an offset on, as `record_codec.scan` does."""
+    def scan_segment(self, number: int, start: int = 0) -> Iterator[ScannedRecord | int]:
+        """Scans a segment from an offset on, as `record_codec.scan_records` does."""
         name = self.file_names[number]
-        return scan(
+        return scan_records(
             lambda offset, count: self.disk.read(name, offset, count),
             self.sizes[number],
             self.salts[number],
@@ -165,7 +175,7 @@
 
     # Writing.
 
-    def append(self, records: list[Entry], sync: bool) -> list[RecordSpan]:
+    def append(self, records: list[Record], sync: bool) -> list[RecordSpan]:
         """Appends records in order.
 
         Args:
@@ -195,11 +205,11 @@
             raise
         return spans
 
-    def _roll_and_encode(self, record: Entry) -> bytes:
+    def _roll_and_encode(self, record: Record) -> bytes:
         """Begins a new segment if the current one is full, and encodes the record for the current one."""
-        if record.kind is Kind.PAGE and sum(list(self.sizes.values())) + record.stored > self.room:
+        if record.kind is RecordKind.PAGE and sum(list(self.sizes.values())) + record.stored_size > self.room:
             raise OSError(errno.ENOSPC, "the spool folder has used up its setting `room`")
-        if self.write_fd is None or self.sizes[self.current] + record.stored > self.segment_size:
+        if self.write_fd is None or self.sizes[self.current] + record.stored_size > self.segment_size:
             if self.write_fd is not None:
                 self._sync()
                 fd, self.write_fd = self.write_fd, None
@@ -228,7 +238,7 @@
                 self.disk.close(fd)
             with contextlib.suppress(OSError):
                 # The file may end with a part of a record.
-                file_size = self.disk.names().get(self.file_names[self.current], 0)
+                file_size = self.disk.list_files().get(self.file_names[self.current], 0)
                 self.sizes[self.current] = max(file_size, self.sizes[self.current])
 
     @property
@@ -236,7 +246,7 @@
         """Segment and offset of the end of everything appended."""
         return self.current, self.sizes.get(self.current, 0)
 
-    def checkpoint(self, data: bytes, obsolete: Sequence[int] = ()) -> None:
+    def write_checkpoint(self, data: bytes, obsolete: Sequence[int] = ()) -> None:
         """Replaces the checkpoint atomically, after everything appended has been made durable.
 
         Args:
@@ -286,7 +296,7 @@
                 FileNotFoundError means the same.
         """
         segment, offset = unpack_location(span[0])
-        record = decode(self.disk.read(self.file_names[segment], offset, span[1]), self.salts[segment])
+        record = decode_record(self.disk.read(self.file_names[segment], offset, span[1]), self.salts[segment])
         if (record.number, record.page) != (number, page):
             raise CorruptRecordError("the location holds a record of another result or page")
-        return unpacked(record)
+        return decompress_payload(record)
--- a/marbleworks/spool/service.py
+++ b/marbleworks/spool/service.py
@@ -25,8 +25,15 @@
 from marbleworks.ports import PageUnavailable, ResultNotStoredError, StoredPage, StoredResult
 from marbleworks.spool.catalog import USABLE_SHARE, Catalog, Lifetimes, Result, digest, pack_location
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.record_codec import HEADER_SIZE, CorruptRecordError, Entry, Found, Kind, packed
-from marbleworks.spool.recovery import State, end_of
+from marbleworks.spool.record_codec import (
+    HEADER_SIZE,
+    CorruptRecordError,
+    Record,
+    RecordKind,
+    ScannedRecord,
+    compress_record,
+)
+from marbleworks.spool.recovery import Checkpoint, end_record
 from marbleworks.spool.segment_store import RecordSpan, SegmentStore
 from marbleworks.spool.space_allocator import Reservation, SpaceAllocator
 
@@ -42,7 +49,7 @@
 ANSWER_MARGIN_S = 0.02  # subtracted from a deadline, to leave time for sending the answer
 WriteJob = tuple[
     "AsyncResult[list[RecordSpan]]",
-    Callable[[], list[Entry]],
+    Callable[[], list[Record]],
     bool,
     int | None,
     Callable[[list[RecordSpan]], None],
@@ -64,11 +71,11 @@
         settings: values of the section `spool`, by setting name.
         task_runner: runs the background tasks.
         store: the segment files.
-        catalogue: the index of stored results.
+        catalog: the index of stored results.
         allocator: the room that results take and may take.
         page_timeout_s: seconds that a client may take to read a page.
         page_slots: one for each page that may be in memory on its way to a client.
-        writing: the thread that writes.
+        writer_thread: the thread that writes.
         reader_threads: the threads that read pages.
         write_queue: write jobs that the writer greenlet has not taken yet.
         work_available: set when there is a write job, or when the writer greenlet has to stop.
@@ -108,18 +115,18 @@
         """
         self.settings, self.task_runner = settings, task_runner
         self.store = SegmentStore(disk or Disk(settings["folder"]), _segment_size(settings), settings["room"])
-        self.catalogue = Catalog(_lifetimes(settings))
+        self.catalog = Catalog(_lifetimes(settings))
         self.allocator = SpaceAllocator(
             *_allocator_limits(settings),
             max_retry_after_s=max_retry_after_s,
-            upcoming_expiries=self.catalogue.upcoming_expiries,
+            upcoming_expiries=self.catalog.upcoming_expiries,
             max_results=settings["most"],
             writable_bytes=self._writable_bytes,
-            upcoming_deletions=self.catalogue.upcoming_deletions,
+            upcoming_deletions=self.catalog.upcoming_deletions,
         )
         self.page_timeout_s = settings["page"] / settings["least-pace"] + PAGE_SLOT_TIMEOUT_S
         self.page_slots = BoundedSemaphore(max(int(settings["in-hand"] // settings["page"]), 1))
-        self.writing, self.reader_threads = make_threads(1), make_threads(READER_THREADS)
+        self.writer_thread, self.reader_threads = make_threads(1), make_threads(READER_THREADS)
         self.write_queue, self.work_available = deque[WriteJob](), Event()
         self.open_writers: dict[int, SpoolResultWriter] = {}
         self.position, self.stopped = (0, 0), False
@@ -148,33 +155,33 @@
         started_at = clock()
         while True:
             try:
-                found = self.writing.call(self.store.open, clock())
+                found = self.writer_thread.call(self.store.open, clock())
                 break
             except BlockingIOError:
                 if clock() >= started_at + timeout_s:
                     raise FolderLockedError(
-                        f"{self.settings['folder']}: another router has this folder"
+                        f"{self.settings['folder']}: another router uses this folder"
                     ) from None
                 gevent.sleep(0.05)
-        for event, details in found.notes:
+        for event, details in found.faults:
             LOG.warning(event, **details)
-        self.catalogue.wrote(found.segments)
-        for number, segment in self.catalogue.segments.items():
-            segment.closed, segment.drops, segment.unreadable = True, None, number in found.spoilt
+        self.catalog.update_segment_sizes(found.segments)
+        for number, segment in self.catalog.segments.items():
+            segment.closed, segment.drops, segment.unreadable = True, None, number in found.unreadable
         for result in found.results:
-            self.catalogue.add(result)
+            self.catalog.add(result)
             self.allocator.adjust_held(result.tenant, result.stored_bytes)
         self.position = self.store.position
         LOG.info(
             "spool open",
             results=len(found.results),
             lost=len(found.lost),
-            bytes=self.catalogue.used_bytes,
+            bytes=self.catalog.used_bytes,
             after=round(clock() - started_at, 3),
         )
 
     def _writable_bytes(self) -> float:
-        return float((1.0 - COPY_SHARE) * self.settings["room"] - self.catalogue.used_bytes)
+        return float((1.0 - COPY_SHARE) * self.settings["room"] - self.catalog.used_bytes)
 
     # Storing results.
 
@@ -210,60 +217,62 @@
         self.page_slots.release()
 
     def _read_page(self, token: str, tenant: str, number: int) -> StoredPage | PageUnavailable:
-        result = self.catalogue.find(token, tenant, clock())
+        result = self.catalog.find(token, tenant, clock())
         if result is None:
             return PageUnavailable.UNKNOWN_RESULT
-        if not 1 <= number <= result.pages:
+        if not 1 <= number <= result.page_count:
             return PageUnavailable.UNKNOWN_PAGE
         for is_last_try in (False, True):
-            span = result.places[number - 1], result.lengths[number - 1]
+            span = result.locations[number - 1], result.lengths[number - 1]
             try:
-                rows = self.reader_threads.call(self.store.read, span, result.number, number - 1)
+                rows = self.reader_threads.call(self.store.read, span, result.result_id, number - 1)
                 break
             except (OSError, CorruptRecordError, KeyError) as err:
-                if self.catalogue.by_number.get(result.number) is not result:
+                if self.catalog.by_number.get(result.result_id) is not result:
                     return PageUnavailable.UNKNOWN_RESULT  # the result was removed during the read
-                if is_last_try or span[0] == result.places[number - 1]:
+                if is_last_try or span[0] == result.locations[number - 1]:
                     self._remove_lost(result, err)
                     return PageUnavailable.LOST
         now = clock()
-        if self.catalogue.by_number.get(result.number) is not result:
+        if self.catalog.by_number.get(result.result_id) is not result:
             return PageUnavailable.UNKNOWN_RESULT
-        self.catalogue.touch(result, now)
+        self.catalog.touch(result, now)
         fields = {
             "page": str(number),
-            "pages": str(result.pages),
-            "until": _unix_ms(self.catalogue.expires_at(result)),
+            "pages": str(result.page_count),
+            "until": _unix_ms(self.catalog.expires_at(result)),
         }
         return StoredPage(rows, fields)
 
     def release(self, token: str, tenant: str) -> bool:
         """Removes a result; False where the tenant has none under this token."""
-        result = self.catalogue.find(token, tenant, clock())
+        result = self.catalog.find(token, tenant, clock())
         if result is None:
             return False
         self._remove([result])
         return True
 
     def _remove_lost(self, result: Result, err: Exception) -> None:
-        LOG.error("spool result lost", profile=result.profile, made=round(result.made, 3), error=repr(err))
+        LOG.error(
+            "spool result lost", profile=result.profile, made=round(result.committed_at, 3), error=repr(err)
+        )
         self._remove([result])
 
     def _remove(self, results: list[Result]) -> None:
         """Removes results at once, and has DROP records written so that a restart does not recover them."""
         for result in results:
-            if result.number in self.catalogue.by_number:
-                self.catalogue.remove(result)
+            if result.result_id in self.catalog.by_number:
+                self.catalog.remove(result)
                 self.allocator.adjust_held(result.tenant, -result.stored_bytes)
         if results and not self.stopped:
             # Copies that a compaction is making may still be written to the segment after the current one.
             drops = [
-                (r.number, self.store.current + 1 if r.segments & self.compacting else max(r.segments))
+                (r.result_id, self.store.current + 1 if r.segments & self.compacting else max(r.segments))
                 for r in results
             ]
-            records = [Entry(Kind.DROP, number, last, b"", 0) for number, last in drops]
+            records = [Record(RecordKind.DROP, number, last, b"", 0) for number, last in drops]
             self.submit(partial(list, records), False, None, partial(self._note_drops, drops))
-            if self.catalogue.used_bytes > TIGHT_SHARE * self.settings["room"]:
+            if self.catalog.used_bytes > TIGHT_SHARE * self.settings["room"]:
                 self.task_runner.run_soon("expiry")
                 self.task_runner.run_soon("compaction")
 
@@ -275,18 +284,18 @@
             spans: where the same records were written.
         """
         for drop, (location, _) in zip(drops, spans, strict=True):
-            segment_drops = self.catalogue.segments[location >> 32].drops
+            segment_drops = self.catalog.segments[location >> 32].drops
             if segment_drops is not None:
                 segment_drops.append(drop)
 
     def _remove_expired(self) -> None:
-        self._remove(self.catalogue.pop_expired(clock()))
+        self._remove(self.catalog.pop_expired(clock()))
 
     # Writing.
 
     def submit(
         self,
-        make_records: Callable[[], list[Entry]],
+        make_records: Callable[[], list[Record]],
         sync: bool,
         write_epoch: int | None = None,
         on_written: Callable[[list[RecordSpan]], None] = lambda spans: None,
@@ -319,14 +328,14 @@
                 for _ in range(min(len(self.write_queue), GROUP_COMMIT_BYTES // int(self.settings["page"])))
             ]
             try:
-                outcomes = self.writing.call(self._append_group, jobs)
+                outcomes = self.writer_thread.call(self._append_group, jobs)
             except Exception as err:
                 if isinstance(err, OSError):
                     self.on_disk_failure(err)
                 outcomes = [err] * len(jobs)
             else:
                 self.allocator.on_disk_success(clock())
-            self.catalogue.wrote(self.store.sizes)
+            self.catalog.update_segment_sizes(self.store.sizes)
             self.position = self.store.position
             for (done, _, _, _, on_written), outcome in zip(jobs, outcomes, strict=True):
                 if isinstance(outcome, Exception):
@@ -341,7 +350,7 @@
 
         def run() -> None:
             try:
-                done.set(self.writing.call(work, *args))
+                done.set(self.writer_thread.call(work, *args))
             except Exception as err:
                 done.set_exception(err)
 
@@ -355,7 +364,7 @@
             The spans of each job's records, or an error for a job that depends on an earlier write epoch.
         """
         outcomes: list[list[RecordSpan] | Exception] = []
-        groups: list[list[Entry]] = []
+        groups: list[list[Record]] = []
         for _, make_records, _, write_epoch, _ in jobs:
             is_stale = write_epoch is not None and write_epoch != self.store.write_epoch
             groups.append([] if is_stale else make_records())
@@ -376,12 +385,12 @@
 
     # Background tasks.
 
-    def state(self) -> State:
+    def checkpoint_state(self) -> Checkpoint:
         """Returns the contents of a checkpoint made now."""
         uncommitted_pages = {
             number: writer.page_spans() for number, writer in self.open_writers.items() if writer.spans
         }
-        return State(*self.position, list(self.catalogue.results.values()), uncommitted_pages)
+        return Checkpoint(*self.position, list(self.catalog.results.values()), uncommitted_pages)
 
     def _expiry_task(self) -> TaskSteps:
         """Removes expired results and, while room is tight, deletes at once the files without live records.
@@ -390,8 +399,8 @@
         checkpoint may then refer to files that are missing; every result in them had ended.
         """
         self._remove_expired()
-        dead, now = self.catalogue.deletable_segments(self._pinned_segments()), clock()
-        if not dead or self.catalogue.used_bytes <= TIGHT_SHARE * self.settings["room"]:
+        dead, now = self.catalog.deletable_segments(self._pinned_segments()), clock()
+        if not dead or self.catalog.used_bytes <= TIGHT_SHARE * self.settings["room"]:
             self.dead_since.clear()
             return
         self.dead_since = {number: self.dead_since.get(number, now) for number in dead}
@@ -409,13 +418,13 @@
             if number in self.store.file_names:
                 self.obsolete_segments.append(number)
                 continue
-            self.catalogue.segments.pop(number, None)
+            self.catalog.segments.pop(number, None)
             if number in self.dead_since:
                 self.allocator.record_deletion(clock() - self.dead_since.pop(number))
         self.room_freed.set()
 
     def _next_expiry_delay(self) -> float:
-        return max(min(self.catalogue.next_expiry() - clock(), MAX_EXPIRY_INTERVAL_S), 0.001)
+        return max(min(self.catalog.next_expiry() - clock(), MAX_EXPIRY_INTERVAL_S), 0.001)
 
     def wait_for_room(self, count: int, deadline: float) -> None:
         """Waits until files that are being deleted have made room for so many bytes.
@@ -447,7 +456,7 @@
         self.checkpoint_count = own_count = self.checkpoint_count + 1
         # The thread may read a location before or after a compaction changes it. Either is right: both copies
         # exist until a later checkpoint is written.
-        data = yield OffloadedCall(self.state().encode)
+        data = yield OffloadedCall(self.checkpoint_state().encode)
         if own_count < self.checkpoint_count:
             # A newer checkpoint is being written. This one, written after it, would refer to deleted files.
             return
@@ -456,7 +465,7 @@
         self.obsolete_segments = [number for number in self.obsolete_segments if number not in deletable]
         self.deleting.update(deletable)
         try:
-            yield Wait(self._run_on_writing_thread(self.store.checkpoint, data, deletable), len(data))
+            yield Wait(self._run_on_writing_thread(self.store.write_checkpoint, data, deletable), len(data))
         except OSError as err:
             self.on_disk_failure(err)
         finally:
@@ -466,11 +475,11 @@
         """Compacts the segments with the smallest live shares; checkpoints delete them afterwards."""
         copied_bytes = 0
         for _ in range(MAX_COMPACTED_SEGMENTS):
-            number = self.catalogue.next_to_compact(self.settings["room"], self._pinned_segments())
+            number = self.catalog.next_to_compact(self.settings["room"], self._pinned_segments())
             if number is None:
                 break
-            if self.catalogue.segments[number].live_bytes or self.catalogue.segments[number].drops != []:
-                copied_bytes += self.catalogue.segments[number].live_bytes
+            if self.catalog.segments[number].live_bytes or self.catalog.segments[number].drops != []:
+                copied_bytes += self.catalog.segments[number].live_bytes
                 self.compacting.add(number)
                 try:
                     yield from self._compact_segment(number)
@@ -482,17 +491,17 @@
                     yield from self._checkpoint_task()
             else:
                 self.obsolete_segments.append(number)
-        obsolete_bytes = sum(self.catalogue.segments[number].size for number in self.obsolete_segments)
+        obsolete_bytes = sum(self.catalog.segments[number].size for number in self.obsolete_segments)
         if (
             obsolete_bytes
-            > (0.02 if self.catalogue.used_bytes > TIGHT_SHARE * self.settings["room"] else 0.2)
+            > (0.02 if self.catalog.used_bytes > TIGHT_SHARE * self.settings["room"] else 0.2)
             * self.settings["room"]
         ):
             yield from self._checkpoint_task()
 
     def _compact_segment(self, number: int) -> TaskSteps:
         """Copies the live records and the needed DROP records of a segment to the end of the log."""
-        oldest = min((n for n in self.catalogue.segments if n != number), default=number)
+        oldest = min((n for n in self.catalog.segments if n != number), default=number)
         write_epoch = self.store.write_epoch
         moves: list[tuple[int, int, int]] = []
         scan = self.store.scan_segment(number)
@@ -500,7 +509,7 @@
             try:
                 batch = yield OffloadedCall(partial(_next_batch, scan))
             except OSError as err:
-                self.catalogue.segments[number].unreadable = True
+                self.catalog.segments[number].unreadable = True
                 LOG.error("spool segment unreadable", segment=number, error=str(err))
                 return
             if not batch:
@@ -513,7 +522,7 @@
             ]
             if needed:
                 records = [record for _, record in needed]
-                count = sum(record.stored for record in records)
+                count = sum(record.stored_size for record in records)
                 try:
                     spans = yield Wait(
                         self.submit(partial(list, records), False, write_epoch, self._pin_copies), count
@@ -523,7 +532,7 @@
                 drops = [
                     (r.number, r.page, location)
                     for r, (location, _) in zip(records, spans, strict=True)
-                    if r.kind is Kind.DROP
+                    if r.kind is RecordKind.DROP
                 ]
                 self._note_drops([drop[:2] for drop in drops], [(location, 0) for _, _, location in drops])
                 moves += [(r.number, old, new) for (old, r), (new, _) in zip(needed, spans, strict=True)]
@@ -532,11 +541,11 @@
         except OSError:
             return
         for result_number, old, new in moves:
-            self.catalogue.relocate(result_number, old, new)
+            self.catalog.relocate(result_number, old, new)
         # What is still live there could not be read, so its results are lost.
-        if self.catalogue.segments[number].live_bytes > 0:
-            for result in list(self.catalogue.results.values()):
-                if any(location >> 32 == number for location in result.places):
+        if self.catalog.segments[number].live_bytes > 0:
+            for result in list(self.catalog.results.values()):
+                if any(location >> 32 == number for location in result.locations):
                     self._remove_lost(result, CorruptRecordError("compaction found a corrupt record"))
         self.obsolete_segments.append(number)
 
@@ -544,7 +553,7 @@
         """Pins the segments that hold copies: these do not count as live until the index refers to them."""
         self.compacting.update(location >> 32 for location, _ in spans)
 
-    def _is_needed(self, segment: int, scanned: Found, oldest: int) -> bool:
+    def _is_needed(self, segment: int, scanned: ScannedRecord, oldest: int) -> bool:
         """Returns whether a compaction has to copy a record.
 
         Args:
@@ -555,14 +564,14 @@
         record = scanned.record
         if record is None:
             return False
-        if record.kind is Kind.DROP:
+        if record.kind is RecordKind.DROP:
             return oldest <= record.page
-        result = self.catalogue.by_number.get(record.number)
+        result = self.catalog.by_number.get(record.number)
         page = record.page
         return (
             result is not None
-            and page <= result.pages
-            and result.places[page] == pack_location(segment, scanned.offset)
+            and page <= result.page_count
+            and result.locations[page] == pack_location(segment, scanned.offset)
         )
 
     def _scrub_task(self) -> TaskSteps:
@@ -570,11 +579,11 @@
 
         A result with a corrupt record is then lost at once, not only when it is read.
         """
-        budget = self.catalogue.used_bytes / self.settings["scrub"]  # bytes for this second
+        budget = self.catalog.used_bytes / self.settings["scrub"]  # bytes for this second
         while budget > 0:
             segment, offset = self.scrub_position
             remaining = [
-                n for n, s in self.catalogue.segments.items() if s.closed and n >= segment and s.live_bytes
+                n for n, s in self.catalog.segments.items() if s.closed and n >= segment and s.live_bytes
             ]
             if not remaining:
                 self.scrub_position = 0, 0
@@ -594,11 +603,11 @@
                 self.scrub_position = segment + 1, 0
                 continue
             for scanned in batch:
-                result = self.catalogue.by_number.get(scanned.number)
+                result = self.catalog.by_number.get(scanned.number)
                 if (
                     scanned.record is None
                     and result
-                    and pack_location(segment, scanned.offset) in result.places
+                    and pack_location(segment, scanned.offset) in result.locations
                 ):
                     self._remove_lost(result, CorruptRecordError("scrubbing found a corrupt record"))
             self.scrub_position = segment, batch[-1].offset + batch[-1].length
@@ -606,10 +615,10 @@
 
     # Reconfiguration and shutdown.
 
-    def change(self, settings: dict[str, Any]) -> None:
+    def reconfigure(self, settings: dict[str, Any]) -> None:
         """Takes over the reloadable settings given."""
         self.settings = {**self.settings, **settings}
-        self.catalogue.set_lifetimes(_lifetimes(self.settings))
+        self.catalog.set_lifetimes(_lifetimes(self.settings))
         self.allocator.set_limits(*_allocator_limits(self.settings))
         self.allocator.max_results = self.settings["most"]
         self.store.room, self.store.segment_size = self.settings["room"], _segment_size(self.settings)
@@ -621,11 +630,11 @@
         self.work_available.set()
         self.writer_greenlet.join(5.0)
         try:
-            self.writing.call(self.store.checkpoint, self.state().encode())
+            self.writer_thread.call(self.store.write_checkpoint, self.checkpoint_state().encode())
         except OSError as err:
             LOG.error("spool write failed", error=str(err), rests=0.0)
         self.store.close()
-        LOG.info("spool closed", results=len(self.catalogue.results))
+        LOG.info("spool closed", results=len(self.catalog.results))
 
 
 @dataclass(eq=False)
@@ -738,7 +747,7 @@
         while len(self.pending) >= MAX_PENDING_PAGES:
             self._await_write(self.pending.popleft(), deadline)
         self.service.wait_for_room(count, deadline)
-        make_records = partial(_compressed_records, Kind.PAGE, self.number, page, data)
+        make_records = partial(_compressed_records, RecordKind.PAGE, self.number, page, data)
         self.pending.append(
             self.service.submit(make_records, False, self.write_epoch, partial(self._on_page_written, count))
         )
@@ -769,7 +778,7 @@
         result = Result(
             self.number, key, reservation.tenant, reservation.profile, now, self.rows, self.size, self.pages
         )
-        make_records = partial(lambda: [end_of(result)])
+        make_records = partial(lambda: [end_record(result)])
         self._await_write(
             service.submit(make_records, True, self.write_epoch, partial(self._on_committed, result)),
             deadline,
@@ -779,7 +788,7 @@
             "pages": str(self.pages),
             "bytes": str(self.size),
             "rows": str(self.rows),
-            "until": _unix_ms(service.catalogue.expires_at(result)),
+            "until": _unix_ms(service.catalog.expires_at(result)),
         }
         return StoredResult(self.first_page, fields)
 
@@ -790,14 +799,14 @@
         """
         was_discarded = self.finished
         self._finish()
-        result.lies([*self.spans, *spans])
+        result.append_spans([*self.spans, *spans])
         if self.reservation.space is not None and not was_discarded:
             if self.reservation.space.released:
                 self.service.allocator.adjust_held(result.tenant, result.stored_bytes)
-            self.reservation.space.commit_result(result.stored_bytes, result.size)
+            self.reservation.space.commit_result(result.stored_bytes, result.raw_bytes)
         elif was_discarded:
             self.service.allocator.adjust_held(result.tenant, result.stored_bytes)
-        self.service.catalogue.add(result)
+        self.service.catalog.add(result)
         if was_discarded:  # the request has been answered without the result
             self.service._remove([result])
 
@@ -832,15 +841,15 @@
                 self.reservation.space.give_back(self.taken, sum(length for _, length in self.spans))
 
 
-def _compressed_records(kind: Kind, number: int, page: int, data: bytes) -> list[Entry]:
-    return [packed(kind, number, page, data)]
+def _compressed_records(kind: RecordKind, number: int, page: int, data: bytes) -> list[Record]:
+    return [compress_record(kind, number, page, data)]
 
 
-def _next_batch(scan: Any) -> list[Found]:
+def _next_batch(scan: Any) -> list[ScannedRecord]:
     """Returns the next records of a scan, at most SCAN_BATCH_RECORDS; none at its end. Called on a thread."""
-    batch: list[Found] = []
+    batch: list[ScannedRecord] = []
     for scanned in scan:
-        if isinstance(scanned, Found):
+        if isinstance(scanned, ScannedRecord):
             batch.append(scanned)
             if len(batch) >= SCAN_BATCH_RECORDS:
                 break
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -177,7 +177,7 @@
         if "background" in live and self.task_runner is not None:
             self.task_runner.configure(BackgroundOptions.from_section(new_config["background"]))
         if "spool" in live and self.spool is not None:
-            self.spool.change(live["spool"])
+            self.spool.reconfigure(live["spool"])
         if "door" in live and self.fair_queue is not None:
             self.fair_queue.change(live["door"])
         for name, values in live.items():
--- a/tests/spool/test_segment_store.py
+++ b/tests/spool/test_segment_store.py
@@ -15,15 +15,15 @@
 from marbleworks.spool import service as service_module
 from marbleworks.spool.record_codec import (
     CorruptRecordError,
-    Entry,
-    Found,
-    Kind,
-    decode,
-    packed,
-    scan,
-    unpacked,
+    Record,
+    RecordKind,
+    ScannedRecord,
+    compress_record,
+    decode_record,
+    decompress_payload,
+    scan_records,
 )
-from marbleworks.spool.recovery import State
+from marbleworks.spool.recovery import Checkpoint
 from marbleworks.spool.service import SpoolService
 from marbleworks.subsystems.registry import parse_sections
 from tests.support.faulty_disk import ByHand, FaultyDisk, InStep
@@ -166,11 +166,11 @@
         for token, pages in self.released.items():
             answer = self.service.read_page(token, "oslo", 1)
             assert answer == "no such result" or answer[0] == pages[0] and token not in self.durably_released
-        held = sum(r.stored_bytes for r in self.service.catalogue.results.values())
+        held = sum(r.stored_bytes for r in self.service.catalog.results.values())
         assert sum(self.service.allocator.held.values()) == held
         if not self.open_writers:
             assert sum(self.service.allocator.reserved.values()) == 0
-        for number, segment in self.service.catalogue.segments.items():
+        for number, segment in self.service.catalog.segments.items():
             assert 0 <= segment.live_bytes <= segment.size, number
 
 
@@ -361,7 +361,7 @@
         return
     scenario.start()
     scenario.check()
-    assert len(scenario.service.catalogue.results) == 2
+    assert len(scenario.service.catalog.results) == 2
 
 
 def test_compaction_frees_bytes_and_keeps_drop_records() -> None:
@@ -370,20 +370,20 @@
         scenario.store_result(4)
     for _ in range(9):
         scenario.perform("release", 0, 0)
-    used_before = scenario.service.catalogue.used_bytes
+    used_before = scenario.service.catalog.used_bytes
     for _ in range(20):
         scenario.tasks.run("compaction")
     scenario.tasks.run("checkpoint")
-    assert scenario.service.catalogue.used_bytes < 0.5 * used_before
+    assert scenario.service.catalog.used_bytes < 0.5 * used_before
     assert (
         sum(len(f.data) for n, f in scenario.disk.files.items() if n.startswith("segment"))
-        == scenario.service.catalogue.used_bytes
+        == scenario.service.catalog.used_bytes
     )
     scenario.check()
     del scenario.disk.files["checkpoint"]  # a restart has to find the drops in the segments alone
     scenario.start()
     scenario.check()
-    assert len(scenario.service.catalogue.results) == 3
+    assert len(scenario.service.catalog.results) == 3
 
 
 def test_a_read_error_loses_only_that_result(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -391,14 +391,14 @@
     scenario.store_result(2)
     scenario.store_result(2)
     first_token, second_token = scenario.committed
-    damaged = scenario.service.catalogue.find(first_token, "oslo", Clock.now)
+    damaged = scenario.service.catalog.find(first_token, "oslo", Clock.now)
     assert damaged is not None
     original_read = scenario.disk.read
 
     def read(name: str, offset: int, count: int) -> bytes:
         if (
-            offset == damaged.places[0] & 0xFFFFFFFF
-            and scenario.service.store.file_names[damaged.places[0] >> 32] == name
+            offset == damaged.locations[0] & 0xFFFFFFFF
+            and scenario.service.store.file_names[damaged.locations[0] >> 32] == name
         ):
             raise OSError(errno.EIO, "unreadable sector")
         return original_read(name, offset, count)
@@ -414,37 +414,39 @@
     for _ in range(4):
         scenario.store_result(4)
     token = next(iter(scenario.committed))
-    result = scenario.service.catalogue.find(token, "oslo", Clock.now)
+    result = scenario.service.catalog.find(token, "oslo", Clock.now)
     assert result is not None
-    name = scenario.service.store.file_names[result.places[0] >> 32]
-    scenario.disk.files[name].data[(result.places[0] & 0xFFFFFFFF) + 60] ^= 1
+    name = scenario.service.store.file_names[result.locations[0] >> 32]
+    scenario.disk.files[name].data[(result.locations[0] & 0xFFFFFFFF) + 60] ^= 1
     scenario.service.settings = {**scenario.service.settings, "scrub": 1.0}
     for _ in range(20):
         scenario.tasks.run("scrub")
-    assert scenario.service.catalogue.find(token, "oslo", Clock.now) is None
-    assert len(scenario.service.catalogue.results) == 3
+    assert scenario.service.catalog.find(token, "oslo", Clock.now) is None
+    assert len(scenario.service.catalog.results) == 3
 
 
 def test_a_record_is_accepted_only_whole_and_in_its_own_segment() -> None:
-    records = [packed(Kind.PAGE, 7, page, b"x\ty\tz\n" * 50) for page in range(3)]
+    records = [compress_record(RecordKind.PAGE, 7, page, b"x\ty\tz\n" * 50) for page in range(3)]
     data = b"".join(record.encode(11) for record in records)
-    found = list(scan(lambda offset, count: data[offset : offset + count], len(data), 11))
-    assert [f.record.page for f in found if isinstance(f, Found) and f.record] == [0, 1, 2]
+    found = list(scan_records(lambda offset, count: data[offset : offset + count], len(data), 11))
+    assert [f.record.page for f in found if isinstance(f, ScannedRecord) and f.record] == [0, 1, 2]
     assert not [
         f
-        for f in scan(lambda offset, count: data[offset : offset + count], len(data), 12)
-        if isinstance(f, Found)
+        for f in scan_records(lambda offset, count: data[offset : offset + count], len(data), 12)
+        if isinstance(f, ScannedRecord)
     ]
     with pytest.raises(CorruptRecordError):
-        decode(records[0].encode(11), 12)
+        decode_record(records[0].encode(11), 12)
     with pytest.raises(CorruptRecordError):
         # The header states a raw size that is too small.
-        unpacked(Entry(Kind.PAGE, 7, 0, records[0].payload, 10))
+        decompress_payload(Record(RecordKind.PAGE, 7, 0, records[0].payload, 10))
     with pytest.raises(CorruptRecordError):
-        State.decode(b"mWc\x01" + b"\0" * 40)
+        Checkpoint.decode(b"mWc\x01" + b"\0" * 40)
     torn = data[: len(data) // 2] + b"mW\x01" + data[len(data) // 2 + 3 :]
-    scanned: list[Any] = list(scan(lambda offset, count: torn[offset : offset + count], len(torn), 11))
-    assert sum(isinstance(f, Found) and f.record is not None for f in scanned) == 2
+    scanned: list[Any] = list(
+        scan_records(lambda offset, count: torn[offset : offset + count], len(torn), 11)
+    )
+    assert sum(isinstance(f, ScannedRecord) and f.record is not None for f in scanned) == 2
 
 
 def test_a_drop_record_is_kept_while_records_of_its_result_may_remain() -> None:
--- a/tests/spool/test_space_allocator.py
+++ b/tests/spool/test_space_allocator.py
@@ -172,22 +172,22 @@
         122.0,
         130.0,
     ]
-    catalogue = Catalog(lifetimes)
-    catalogue.wrote({1: 1000})
+    catalog = Catalog(lifetimes)
+    catalog.update_segment_sizes({1: 1000})
     for i in range(3):
         result = Result(i, digest(f"t{i}", "a"), "a", "report", 100.0, 1, 10, 1)
-        result.lies([(1 << 32 | 100 * i, 100)])
-        catalogue.add(result)
-    found = catalogue.find("t1", "a", 104.0)
-    assert found is not None and catalogue.find("t1", "b", 104.0) is None
-    catalogue.touch(found, 104.0)
-    expired = catalogue.pop_expired(105.0)
-    assert [r.number for r in expired] == [0, 2] and catalogue.find("t0", "a", 105.0) is None
+        result.append_spans([(1 << 32 | 100 * i, 100)])
+        catalog.add(result)
+    found = catalog.find("t1", "a", 104.0)
+    assert found is not None and catalog.find("t1", "b", 104.0) is None
+    catalog.touch(found, 104.0)
+    expired = catalog.pop_expired(105.0)
+    assert [r.result_id for r in expired] == [0, 2] and catalog.find("t0", "a", 105.0) is None
     for result in expired:
-        catalogue.remove(result)
-    assert catalogue.pop_expired(113.0) == [] and catalogue.upcoming_expiries(113.0)[-1] == (114.0, 100, "a")
-    catalogue.set_lifetimes(Lifetimes(1.0, 1.0, 1.0))
-    assert [r.number for r in catalogue.pop_expired(105.0)] == [1]
+        catalog.remove(result)
+    assert catalog.pop_expired(113.0) == [] and catalog.upcoming_expiries(113.0)[-1] == (114.0, 100, "a")
+    catalog.set_lifetimes(Lifetimes(1.0, 1.0, 1.0))
+    assert [r.result_id for r in catalog.pop_expired(105.0)] == [1]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -245,41 +245,41 @@
     assert isinstance(scenario.reserve(fingerprint=1), Reservation) and isinstance(scenario.reserve(), float)
 
 
-def add_result(catalogue: Catalog, number: int, made: float, *spans: tuple[int, int]) -> Result:
+def add_result(catalog: Catalog, number: int, made: float, *spans: tuple[int, int]) -> Result:
     result = Result(number, digest(f"t{number}", "a"), "a", "report", made, 1, 10, 1)
-    result.lies([(segment << 32 | number, length) for segment, length in spans])
-    catalogue.add(result)
+    result.append_spans([(segment << 32 | number, length) for segment, length in spans])
+    catalog.add(result)
     return result
 
 
 def test_upcoming_expiries_follow_every_add_read_and_removal() -> None:
-    catalogue = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
-    catalogue.wrote({1: 300, 2: 300})
-    assert catalogue.upcoming_expiries(0.0) == []
-    first, second = add_result(catalogue, 1, 0.0, (1, 100)), add_result(catalogue, 2, 1.0, (1, 50))
-    assert catalogue.upcoming_expiries(0.0) == [(5.0, 100, "a"), (6.0, 50, "a")]
-    assert catalogue.upcoming_expiries(0.0, 5.5) == [(5.0, 100, "a")] and catalogue.next_expiry() == 5.0
-    catalogue.touch(first, 2.0)
-    assert catalogue.upcoming_expiries(0.0) == [(6.0, 50, "a"), (12.0, 100, "a")]
-    catalogue.remove(second)
-    assert catalogue.upcoming_expiries(0.0) == [(12.0, 100, "a")]
+    catalog = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
+    catalog.update_segment_sizes({1: 300, 2: 300})
+    assert catalog.upcoming_expiries(0.0) == []
+    first, second = add_result(catalog, 1, 0.0, (1, 100)), add_result(catalog, 2, 1.0, (1, 50))
+    assert catalog.upcoming_expiries(0.0) == [(5.0, 100, "a"), (6.0, 50, "a")]
+    assert catalog.upcoming_expiries(0.0, 5.5) == [(5.0, 100, "a")] and catalog.next_expiry() == 5.0
+    catalog.touch(first, 2.0)
+    assert catalog.upcoming_expiries(0.0) == [(6.0, 50, "a"), (12.0, 100, "a")]
+    catalog.remove(second)
+    assert catalog.upcoming_expiries(0.0) == [(12.0, 100, "a")]
 
 
 def test_a_file_is_deletable_when_its_last_result_ends_and_no_drop_in_it_is_needed() -> None:
-    catalogue = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
-    catalogue.wrote({1: 300, 2: 200, 3: 100})
-    first, second = add_result(catalogue, 1, 0.0, (1, 100), (2, 100)), add_result(catalogue, 2, 3.0, (2, 100))
-    assert catalogue.upcoming_deletions(0.0) == [(5.0, 300), (8.0, 200)]  # the third segment is still written
-    catalogue.remove(first)
-    assert catalogue.deletable_segments(set()) == [1] and catalogue.deletable_segments({1}) == []
-    drops = catalogue.segments[1].drops
+    catalog = Catalog(Lifetimes(since_read_s=10.0, unread_s=5.0, max_age_s=30.0))
+    catalog.update_segment_sizes({1: 300, 2: 200, 3: 100})
+    first, second = add_result(catalog, 1, 0.0, (1, 100), (2, 100)), add_result(catalog, 2, 3.0, (2, 100))
+    assert catalog.upcoming_deletions(0.0) == [(5.0, 300), (8.0, 200)]  # the third segment is still written
+    catalog.remove(first)
+    assert catalog.deletable_segments(set()) == [1] and catalog.deletable_segments({1}) == []
+    drops = catalog.segments[1].drops
     assert drops is not None
     drops.append((9, 2))  # the second file may hold a record of result 9
-    assert catalogue.deletable_segments(set()) == []
-    catalogue.remove(second)
-    assert catalogue.deletable_segments(set()) == [1, 2]
-    catalogue.segments[2].has_moved_records = True  # an older checkpoint may refer to the moved records
-    assert catalogue.deletable_segments(set()) == []
+    assert catalog.deletable_segments(set()) == []
+    catalog.remove(second)
+    assert catalog.deletable_segments(set()) == [1, 2]
+    catalog.segments[2].has_moved_records = True  # an older checkpoint may refer to the moved records
+    assert catalog.deletable_segments(set()) == []
 
 
 def test_a_promise_waits_for_the_deletion_of_the_file_and_is_then_kept() -> None:
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -207,8 +207,8 @@
     assert sum(len(engine.asked("POST")) for engine in router.engines) == 2
     assert sum(engine.asked("GET").count(f"GET /o/{1:016x}/3") for engine in router.engines) == 4
     held = sum(router.service.allocator.held.values())
-    assert held == sum(r.stored_bytes for r in router.service.catalogue.results.values())
-    assert len(router.service.catalogue.results) == 1 and not router.service.open_writers
+    assert held == sum(r.stored_bytes for r in router.service.catalog.results.values())
+    assert len(router.service.catalog.results) == 1 and not router.service.open_writers
     router.close()
 
 
@@ -223,7 +223,7 @@
     wait_until(
         lambda: not router.service.open_writers and sum(router.service.allocator.reserved.values()) == 0
     )
-    assert not router.service.catalogue.results
+    assert not router.service.catalog.results
     router.close()
 
 
@@ -281,7 +281,7 @@
     assert ask_spooled(client, profile)[2][0] == expected_error
     assert sum(len(engine.asked("POST")) for engine in router.engines) == 1
     wait_until(lambda: sum(router.service.allocator.reserved.values()) == 0)
-    assert router.service.allocator.outgrown_count == 1 and not router.service.catalogue.results
+    assert router.service.allocator.outgrown_count == 1 and not router.service.catalog.results
     router.close()
 
 
@@ -343,7 +343,7 @@
     disk.error_numbers[call] = 0
     gevent.sleep(0.6)
     assert read_all_pages(client, ask_spooled(client)[3][1]) == b"".join(PAGES[:8])
-    assert len(router.service.catalogue.results) == 2
+    assert len(router.service.catalog.results) == 2
     router.close()
 
 
@@ -364,7 +364,7 @@
     assert blocked.hear()[2][0] == "Rejected" and 0.5 < time.monotonic() - started_at < 0.85
     assert longest < 0.2
     gevent.sleep(1.5)
-    assert len(router.service.catalogue.results) == 1  # the result that was durable too late has been removed
+    assert len(router.service.catalog.results) == 1  # the result that was durable too late has been removed
     router.close()
 
 
@@ -395,7 +395,7 @@
     wait_until(
         lambda: not router.service.open_writers and sum(router.service.allocator.reserved.values()) == 0
     )
-    assert not router.service.catalogue.results and router.engines[0].asked("DELETE")
+    assert not router.service.catalog.results and router.engines[0].asked("DELETE")
     router.close()
 
 
@@ -502,7 +502,7 @@
     router = Router(tmp_path, paged_result(PAGES))
     client = router.client()
     result_fields = ask_spooled(client)[3][1]
-    with pytest.raises(FolderLockedError, match="another router has this folder"):
+    with pytest.raises(FolderLockedError, match="another router uses this folder"):
         Router(tmp_path, paged_result(PAGES), **{"hand-over": 0.1})
     gevent.spawn_later(0.3, router.close)
     later = Router(tmp_path, paged_result(PAGES), **{"hand-over": 3.0})
@@ -612,7 +612,7 @@
     for _ in range(2):
         ask_spooled(client)
     completed = run_marbleworks("spool", "drop", str(tmp_path), "0" * 16)
-    assert completed.returncode == 1 and "a router has this folder" in completed.stderr
+    assert completed.returncode == 1 and "a router uses this folder" in completed.stderr
     router.close()
     listed = run_marbleworks("spool", "list", str(tmp_path))
     numbers = re.findall(r"^([0-9a-f]{16})  acme  look  4 pages  6000 rows", listed.stdout, re.MULTILINE)
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -92,7 +92,7 @@
     def lock(self, name: str) -> int:
         return -1
 
-    def names(self) -> dict[str, int]:
+    def list_files(self) -> dict[str, int]:
         return {name: len(file.data) for name, file in self.files.items()}
 
     def create(self, name: str) -> int:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -29,9 +29,9 @@
 from marbleworks.spool import record_codec
 from marbleworks.spool.catalog import Catalog, Lifetimes, Result, digest
 from marbleworks.spool.disk import Disk
-from marbleworks.spool.maintenance import checked, listed
+from marbleworks.spool.maintenance import check_folder, list_results
 from marbleworks.spool.options import SPOOL_SECTION
-from marbleworks.spool.recovery import State, end_of
+from marbleworks.spool.recovery import Checkpoint, end_record
 from marbleworks.spool.segment_store import SegmentStore
 from marbleworks.spool.service import SpoolService
 from tests.support.stand_ins import RULES, Stage
@@ -251,33 +251,33 @@
 def result(number: int = NUMBER) -> Result:
     """Returns a spooled result of two pages."""
     stored = Result(number, bytes(range(16)), "acme", "look", 1_722_000_000.25, 16, 192, 2)
-    stored.lies([(3 << 32 | 40, 100), (3 << 32 | 140, 90), (4 << 32, 80)])
+    stored.append_spans([(3 << 32 | 40, 100), (3 << 32 | 140, 90), (4 << 32, 80)])
     return stored
 
 
 def stored_fields(stored: Result) -> tuple[Any, ...]:
     """Returns the fields of a result that a checkpoint contains."""
-    location = list(stored.places), list(stored.lengths)
+    location = list(stored.locations), list(stored.lengths)
     return (
-        stored.number,
+        stored.result_id,
         stored.key,
         stored.tenant,
         stored.profile,
-        stored.made,
-        stored.rows,
-        stored.size,
-        stored.pages,
+        stored.committed_at,
+        stored.row_count,
+        stored.raw_bytes,
+        stored.page_count,
         location,
     )
 
 
 RECORDS = {
-    "page": record_codec.packed(record_codec.Kind(1), NUMBER, 1, ROWS),
-    "empty page": record_codec.packed(record_codec.Kind(1), NUMBER, 0, b""),
-    "end": end_of(result()),
-    "drop": record_codec.Entry(record_codec.Kind(3), NUMBER, 4, b"", 0),
+    "page": record_codec.compress_record(record_codec.RecordKind(1), NUMBER, 1, ROWS),
+    "empty page": record_codec.compress_record(record_codec.RecordKind(1), NUMBER, 0, b""),
+    "end": end_record(result()),
+    "drop": record_codec.Record(record_codec.RecordKind(3), NUMBER, 4, b"", 0),
 }
-CHECKPOINT = State(4, 80, [result(), result(8)], {9: [(0, 3 << 32, 40), (1, 4 << 32 | 80, 60)]})
+CHECKPOINT = Checkpoint(4, 80, [result(), result(8)], {9: [(0, 3 << 32, 40), (1, 4 << 32 | 80, 60)]})
 
 
 def encoded_entries() -> dict[str, bytes]:
@@ -310,7 +310,7 @@
     assert list(encoded_entries()) == list(GOLDEN_HEX)
     assert [int(message_type) for message_type in membership_codec.MessageType] == list(range(1, 10))
     assert [int(state) for state in membership_codec.MemberState] == [0, 1, 2, 3]
-    assert [int(kind) for kind in record_codec.Kind] == [1, 2, 3]
+    assert [int(kind) for kind in record_codec.RecordKind] == [1, 2, 3]
 
 
 @pytest.mark.parametrize("name", GOLDEN_HEX)
@@ -380,18 +380,22 @@
 @pytest.mark.parametrize("name", RECORDS)
 def test_golden_record_is_decoded(name: str) -> None:
     data, entry = golden_bytes(f"record {name}"), RECORDS[name]
-    decoded = record_codec.decode(data, SALT)
-    assert decoded == entry and len(data) == entry.stored
+    decoded = record_codec.decode_record(data, SALT)
+    assert decoded == entry and len(data) == entry.stored_size
     content = {"page": ROWS, "end": END_CONTENT}.get(name, b"")
-    assert record_codec.unpacked(decoded) == content and decoded.size == len(content)
-    found = list(record_codec.scan(lambda at, count: data[at : at + count], len(data), SALT))
-    assert found == [record_codec.Found(0, len(data), NUMBER, entry)]
+    assert record_codec.decompress_payload(decoded) == content and decoded.raw_size == len(content)
+    found = list(record_codec.scan_records(lambda at, count: data[at : at + count], len(data), SALT))
+    assert found == [record_codec.ScannedRecord(0, len(data), NUMBER, entry)]
 
 
 def test_golden_checkpoint_is_decoded() -> None:
     data = golden_bytes("checkpoint")
-    decoded = State.decode(data)
-    assert (decoded.segment, decoded.offset, decoded.loose) == (4, 80, CHECKPOINT.loose)
+    decoded = Checkpoint.decode(data)
+    assert (decoded.segment, decoded.offset, decoded.uncommitted_pages) == (
+        4,
+        80,
+        CHECKPOINT.uncommitted_pages,
+    )
     assert [stored_fields(stored) for stored in decoded.results] == [
         stored_fields(result()),
         stored_fields(result(8)),
@@ -438,16 +442,16 @@
         return writer
 
     def finish(writer: Any, name: str, tenant: str, count: int) -> None:
-        _, answer = writer.finish(1e12)
-        stored = spool.catalogue.find(answer["spool"], tenant, 0.0)
+        _, answer = writer.commit(1e12)
+        stored = spool.catalog.find(answer["spool"], tenant, 0.0)
         assert stored is not None
         answers.append(
             {
                 "name": name,
                 "tenant": tenant,
                 "token": answer["spool"],
-                "number": f"{stored.number:016x}",
-                "made": stored.made,
+                "number": f"{stored.result_id:016x}",
+                "made": stored.committed_at,
                 "rows": count,
                 "pages": int(answer["pages"]),
                 "bytes": int(answer["bytes"]),
@@ -463,7 +467,7 @@
     write("gone early", "acme", 100)
     slow = begin("slow", "globex", 400)
     spool.submit(list, True).get()
-    spool.writing.call(spool.store.checkpoint, spool.state().encode())
+    spool.writer_thread.call(spool.store.write_checkpoint, spool.checkpoint_state().encode())
     finish(slow, "slow", "globex", 400)
     write("gone late", "globex", 100)
     write("last", "acme", 1)
@@ -493,9 +497,9 @@
         path.name: hashlib.sha256(path.read_bytes()).hexdigest()[:16] for path in SPOOL_FOLDER.iterdir()
     }
     assert digests == FILE_DIGESTS
-    state = State.decode((SPOOL_FOLDER / "checkpoint").read_bytes())
+    state = Checkpoint.decode((SPOOL_FOLDER / "checkpoint").read_bytes())
     # The segments have more records after the checkpoint.
-    assert len(state.results) == 3 and len(state.loose) == 1
+    assert len(state.results) == 3 and len(state.uncommitted_pages) == 1
     assert [(answer["name"], answer["tenant"], answer["pages"]) for answer in golden_answers(False)] == [
         ("first", "acme", 4),
         ("second", "globex", 3),
@@ -512,24 +516,24 @@
     now = max(answer["made"] for answer in golden_answers(False)) + 60.0
     store = SegmentStore(Disk(str(folder)), 20e3, 640e3)
     found = store.open(now)
-    assert (found.lost, found.spoilt, found.notes) == ([], set(), [])
-    catalogue = Catalog(Lifetimes(600.0, 300.0, 3600.0))
-    catalogue.wrote(found.segments)
+    assert (found.lost, found.unreadable, found.faults) == ([], set(), [])
+    catalog = Catalog(Lifetimes(600.0, 300.0, 3600.0))
+    catalog.update_segment_sizes(found.segments)
     for stored in found.results:
-        catalogue.add(stored)
+        catalog.add(stored)
     for answer in golden_answers(False):
-        stored = catalogue.find(answer["token"], answer["tenant"], now)
+        stored = catalog.find(answer["token"], answer["tenant"], now)
         assert stored is not None and stored.key == digest(answer["token"], answer["tenant"])
-        assert (f"{stored.number:016x}", stored.tenant) == (answer["number"], answer["tenant"])
+        assert (f"{stored.result_id:016x}", stored.tenant) == (answer["number"], answer["tenant"])
         assert stored.profile == "look"
-        assert (stored.made, stored.rows, stored.size, stored.pages) == tuple(
+        assert (stored.committed_at, stored.row_count, stored.raw_bytes, stored.page_count) == tuple(
             answer[name] for name in ("made", "rows", "bytes", "pages")
         )
-        locations = list(zip(stored.places, stored.lengths, strict=True))[:-1]
-        pages = [store.read(location, stored.number, page) for page, location in enumerate(locations)]
+        locations = list(zip(stored.locations, stored.lengths, strict=True))[:-1]
+        pages = [store.read(location, stored.result_id, page) for page, location in enumerate(locations)]
         assert b"".join(pages) == rows_of(answer["name"], answer["rows"])
-        assert catalogue.find(answer["token"], "initech", now) is None
-        assert catalogue.find(answer["token"], answer["tenant"], now + 600.0) is None  # expired
+        assert catalog.find(answer["token"], "initech", now) is None
+        assert catalog.find(answer["token"], answer["tenant"], now + 600.0) is None  # expired
     assert len(found.results) == len(golden_answers(False))
     store.close()
 
@@ -537,7 +541,7 @@
 def test_router_started_on_golden_folder_returns_every_page(folder: Path) -> None:
     for start in range(2):  # the second start also reads what the current code has written
         spool = open_spool(folder)
-        assert len(spool.catalogue.results) == len(golden_answers(False)) + start
+        assert len(spool.catalog.results) == len(golden_answers(False)) + start
         for answer in golden_answers(False):
             pages = []
             for number in range(1, answer["pages"] + 1):
@@ -554,12 +558,12 @@
         writer.write(ROWS, 1e12)
         assert writer.commit(1e12)[0] == ROWS
         spool.close()
-    assert checked(str(folder))[1]
+    assert check_folder(str(folder))[1]
 
 
 def test_maintenance_tool_lists_and_checks_golden_folder(folder: Path) -> None:
-    assert checked(str(folder)) == CHECK_RESULT
-    lines = list(listed(str(folder)))
+    assert check_folder(str(folder)) == CHECK_RESULT
+    lines = list(list_results(str(folder)))
     assert lines[0] == LIST_SUMMARY
     assert (
         [line.rpartition("  ")[0] for line in lines[1:]]
