--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -29,14 +29,14 @@
 from marbleworks.cells.budget_leases import (
     BudgetLeaseGranter,
     BudgetLeaseHolder,
+    CellRouterPolicy,
     Hello,
-    Places,
-    Said,
+    LevelMessage,
     Welcome,
+    budget_for_level_above,
     decode,
     encode_hello,
     encode_welcome,
-    lifted,
 )
 from marbleworks.lab.group import Group
 from marbleworks.lab.purses import ENDS
@@ -80,7 +80,7 @@
     return total
 
 
-def encode_message(message: Said) -> bytes:
+def encode_message(message: LevelMessage) -> bytes:
     """Encodes a message between a cell's leader and the level above."""
     if isinstance(message, Hello):
         return encode_hello(GROUP_NUMBER, message)
@@ -275,7 +275,7 @@
             router.local_budgets.release(local_budget, now, False)
             local_budget.record_hold(REQUEST_S)
         router.request_ends = [end for end in router.request_ends if end > now]
-        for _, excess in router.local_budgets.overdue(now):
+        for _, excess in router.local_budgets.find_overdue(now):
             for end in sorted(router.request_ends)[-excess:]:
                 router.request_ends.remove(end)
                 router.local_budgets.release(local_budget, now, True)
@@ -308,13 +308,13 @@
             return
         now = self.clock()
         with cost.measure_cpu():
-            leader_info = peer.fellow.leader_ref(peer.clock())
+            leader_info = peer.node.leader_ref(peer.clock())
             if leader_info.leader_until <= peer.clock():
                 router.ledger = router.lease_holder = None
             elif router.ledger is None or leader_info.term != router.term:
                 self._start_leading(cell_index, slot, router, leader_info.generation, leader_info.term)
             if tick % cell_report_ticks == slot % cell_report_ticks and router.lease_holder is not None:
-                for machine, message in router.lease_holder.tells(now):
+                for machine, message in router.lease_holder.make_messages(now):
                     data = encode_message(message)
                     cost.budget_bytes += len(data)
                     self._send_up(
@@ -327,7 +327,7 @@
             tick % report_ticks == slot % report_ticks
             and leader_info.generation
             and leader_info.leader >= 0
-            and not leader_info.superseded
+            and not leader_info.is_superseded
         ):
             with cost.measure_cpu():
                 reports = router.local_budgets.make_reports(
@@ -354,18 +354,18 @@
             LEASE_S,
             now,
             {self.budget.budget_id: {self.budget.units}},
-            Places(self.slot_count, GUARANTEED_RATIO, self.share_count),
+            CellRouterPolicy(self.slot_count, GUARANTEED_RATIO, self.share_count),
             router.lease_holder,
         )
         router.ledger.set_budgets([self.budget])
-        router.lease_holder.books = router.ledger
+        router.lease_holder.ledger = router.ledger
 
     def _handle_report(self, cell_index: int, slot: int, leader_slot: int, data: bytes) -> None:
         leader, peer = (
             self.routers_by_slot[cell_index].get(leader_slot),
             self.groups[cell_index].routers[leader_slot],
         )
-        if leader is None or leader.ledger is None or not peer.alive or not peer.standing().is_leader:
+        if leader is None or leader.ledger is None or not peer.alive or not peer.partition_status().is_leader:
             return
         cost = self.costs[cell_index][leader_slot]
         with cost.measure_cpu():
@@ -399,15 +399,20 @@
         self, cell_index: int, machine: int, data: bytes, on_answer: Callable[[bytes, int], None]
     ) -> None:
         granter, peer = self.lease_granters.get(machine), self.level_above.routers[machine]
-        if granter is None or not peer.alive or not peer.standing().is_leader or cell_index in self.cut_cells:
+        if (
+            granter is None
+            or not peer.alive
+            or not peer.partition_status().is_leader
+            or cell_index in self.cut_cells
+        ):
             return
         cost = self.machine_costs[machine]
         with cost.measure_cpu():
             message, answer = decode(GROUP_NUMBER, data), None
             if isinstance(message, Hello):
-                answer = granter.hello(message)
+                answer = granter.handle_hello(message)
             elif isinstance(message, UsageReport):
-                answer = granter.reported(cell_index, message, self.clock())  # type: ignore[assignment]
+                answer = granter.handle_report(cell_index, message, self.clock())  # type: ignore[assignment]
             encoded_answer = encode_message(answer) if answer is not None else b""
         if encoded_answer:
             cost.budget_bytes += len(encoded_answer)
@@ -418,17 +423,17 @@
         if (
             router.lease_holder is not None
             and peer.alive
-            and peer.standing().is_leader
+            and peer.partition_status().is_leader
             and cell_index not in self.cut_cells
         ):
             with self.costs[cell_index][slot].measure_cpu():
                 message = decode(GROUP_NUMBER, data)
                 assert isinstance(message, Welcome | BudgetAnswer)
-                router.lease_holder.heard(by, message, self.clock())
+                router.lease_holder.handle_message(by, message, self.clock())
 
     def _update_granters(self) -> None:
         for machine, peer in enumerate(self.level_above.routers):
-            leader_info = peer.fellow.leader_ref(peer.clock())
+            leader_info = peer.node.leader_ref(peer.clock())
             if not peer.alive or leader_info.leader_until <= peer.clock():
                 self.lease_granters.pop(machine, None)
             elif (
@@ -447,7 +452,7 @@
                     self.clock(),
                     seen,
                 )
-                granter.ledger.set_budgets([lifted(self.budget, LEASE_S)])
+                granter.ledger.set_budgets([budget_for_level_above(self.budget, LEASE_S)])
 
     # Faults.
 
@@ -465,7 +470,7 @@
     def is_leader(self, cell_index: int, slot: int) -> bool:
         """Returns whether the router in this slot runs and is the leader of its cell."""
         peer = self.groups[cell_index].routers[slot]
-        return peer.alive and peer.standing().is_leader
+        return peer.alive and peer.partition_status().is_leader
 
     def kill(self, cell_index: int, slot: int) -> Router:
         """Kills a router; its units stay in use until the engines end them."""
@@ -510,14 +515,14 @@
         self.lease_holder = BudgetLeaseHolder(
             cell_index, (cell_index * fleet.cell_size, 1, 1), MACHINES, CELL_LEASE_S, now
         )
-        router_policy = Places(fleet.slot_count, GUARANTEED_RATIO, fleet.share_count)
+        router_policy = CellRouterPolicy(fleet.slot_count, GUARANTEED_RATIO, fleet.share_count)
         budget = fleet.budget
         seen = {budget.budget_id: {budget.units}}
         self.ledger = AllocationLedger(
             0, fleet.slot_count, 1, 1, GUARANTEED_RATIO, LEASE_S, now, seen, router_policy, self.lease_holder
         )
         self.ledger.set_budgets([budget])
-        self.lease_holder.books, self.token = self.ledger, 0
+        self.lease_holder.ledger, self.token = self.ledger, 0
         self.usage = BudgetUsage(budget.budget_id, 0, 0, 0, 5 * fleet.cell_size, 1.0, budget.units, 1, 0)
 
     def run_control(self, tick: int) -> None:
@@ -543,13 +548,13 @@
         if tick % round(CELL_REPORT_INTERVAL_S / STEP_S) == self.cell_index % round(
             CELL_REPORT_INTERVAL_S / STEP_S
         ):
-            for machine, message in self.lease_holder.tells(now):
+            for machine, message in self.lease_holder.make_messages(now):
                 fleet._send_up(self.cell_index, machine, encode_message(message), self._handle_level_answer)
 
     def _handle_level_answer(self, data: bytes, by: int) -> None:
         message = decode(GROUP_NUMBER, data)
         assert isinstance(message, Welcome | BudgetAnswer)
-        self.lease_holder.heard(by, message, self.fleet.clock())
+        self.lease_holder.handle_message(by, message, self.fleet.clock())
 
 
 # Costs of control.
@@ -589,7 +594,7 @@
             cpu_values.append(cost.cpu_s / seconds)
             byte_values.append((cost.budget_bytes + group.sent_bytes[slot]) / seconds)
             router_objects = [
-                group.routers[slot].fellow,
+                group.routers[slot].node,
                 router.local_budgets,
                 router.ledger,
                 router.lease_holder,
@@ -600,7 +605,7 @@
         (m.budget_bytes + fleet.level_above.sent_bytes[n]) / seconds for n, m in fleet.machine_costs.items()
     ]
     machine_state_values = [
-        float(object_bytes([peer.fellow, fleet.lease_granters.get(n)]))
+        float(object_bytes([peer.node, fleet.lease_granters.get(n)]))
         for n, peer in enumerate(fleet.level_above.routers)
     ]
     return {
--- a/marbleworks/subsystems/wiring.py
+++ b/marbleworks/subsystems/wiring.py
@@ -181,7 +181,7 @@
         if "background" in applicable and self.task_runner is not None:
             self.task_runner.configure(BackgroundOptions.from_section(new_config["background"]))
         if "spool" in applicable and self.spool is not None:
-            self.spool.change(applicable["spool"])
+            self.spool.reconfigure(applicable["spool"])
         if "door" in applicable and self.fair_queue is not None:
             self.fair_queue.reload(applicable["door"])
         for name, values in applicable.items():
