--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -23,10 +23,10 @@
 from marbleworks.budgets.allocation_ledger import AllocationLedger
 from marbleworks.budgets.budget_catalog import ABANDONED_ATTEMPT_TIMEOUT_S, Budget
 from marbleworks.budgets.local_budget import LocalBudgets
+from marbleworks.lab.budget_model import exhaust, stroll
 from marbleworks.lab.explore import InvariantViolation
 from marbleworks.lab.faultnet import FaultNet
 from marbleworks.lab.load import Ask, Caller, arrivals
-from marbleworks.lab.purses import exhaust, stroll
 from marbleworks.lab.report import Report, percentile
 from marbleworks.lab.stage import TENANTS, Stage, divided, until
 
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -38,8 +38,8 @@
     encode_hello,
     encode_welcome,
 )
+from marbleworks.lab.budget_model import ENDS
 from marbleworks.lab.group import Group
-from marbleworks.lab.purses import ENDS
 from marbleworks.lab.report import Report, percentile
 from marbleworks.lab.slopes import Slope, fit
 from marbleworks.membership.messages import MemberState
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -29,8 +29,8 @@
     Welcome,
     budget_for_level_above,
 )
+from marbleworks.lab.budget_model import LEASE, WEIGHTS, Fleet, drawn
 from marbleworks.lab.explore import every_order
-from marbleworks.lab.purses import LEASE, WEIGHTS, Fleet, drawn
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 CELL_LEASE_S = 1.5  # seconds of a cell's lease
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,7 +1,7 @@
 """Tests of budgets: datagrams, division, ledger and local state, configuration, and enforcement.
 
-The ledger and the local state are also explored with the simulated network of `lab/purses.py`: every order of
-a few events, long random walks, and the same walks with one safeguard removed, which have to fail.
+The ledger and the local state are also explored with the simulated network of `lab/budget_model.py`: every
+order of a few events, long random walks, and the same walks with one safeguard removed, which have to fail.
 """
 
 import math
@@ -35,8 +35,8 @@
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.budgets.options import BudgetOptions
+from marbleworks.lab.budget_model import World, exhaust, stroll
 from marbleworks.lab.explore import InvariantViolation
-from marbleworks.lab.purses import World, exhaust, stroll
 from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
