--- a/marbleworks/cli/lab.py
+++ b/marbleworks/cli/lab.py
@@ -65,14 +65,14 @@
     """Write the tables of the capacity page from the results, or check them."""
     from pathlib import Path
 
-    from marbleworks.lab.page import PageError, problems, read, written
+    from marbleworks.lab.page import PageError, find_problems, read_results, render_page
 
     try:
-        capacity_results, text = read(Path(results)), Path(page).read_text()
+        capacity_results, text = read_results(Path(results)), Path(page).read_text()
         if not check:
-            text = written(text, capacity_results)
+            text = render_page(text, capacity_results)
             Path(page).write_text(text)
-        page_problems = problems(text, capacity_results)
+        page_problems = find_problems(text, capacity_results)
     except OSError as error:
         raise failure(f"{page}: {error.strerror}") from None
     except PageError as error:
--- a/marbleworks/lab/assignments.py
+++ b/marbleworks/lab/assignments.py
@@ -24,7 +24,7 @@
 )
 from marbleworks.lab.explore import InvariantViolation
 from marbleworks.lab.home_moves import exhaust, stroll
-from marbleworks.lab.report import Report, spread
+from marbleworks.lab.report import Report, distribution
 
 KEY = b"of the experiment"
 KINDS = ("large", "small", "burst")
@@ -300,7 +300,7 @@
     report.claim("plans that moved more than a step", oversized_steps, 0)
     report.claim("fleets that did not settle", unsettled, 0)
     report.charts.append(
-        ("moves over those that must be", "ratio", "part of changes", {"changes": spread(ratios)})
+        ("moves over those that must be", "ratio", "part of changes", {"changes": distribution(ratios)})
     )
 
 
--- a/marbleworks/lab/budgets.py
+++ b/marbleworks/lab/budgets.py
@@ -25,10 +25,10 @@
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.lab.budget_model import exhaust, stroll
 from marbleworks.lab.explore import InvariantViolation
-from marbleworks.lab.faultnet import FaultNet
-from marbleworks.lab.load import Ask, Caller, arrivals
+from marbleworks.lab.faultnet import FaultyNetwork
+from marbleworks.lab.load import LoadClient, RequestOutcome, schedule_arrivals
 from marbleworks.lab.report import Report, percentile
-from marbleworks.lab.stage import TENANTS, Stage, divided, until
+from marbleworks.lab.stage import TENANTS, LabCluster, is_allocated, wait_until
 
 ROUTERS, ENGINES, CORES = 6, 4, 16
 WHOLE = 48  # look-ups in flight at all routers; fewer than the engines' cores, so none queues at an engine
@@ -57,7 +57,7 @@
         failures: Log events "failed" of all routers.
     """
 
-    outcomes: list[tuple[int, Ask]] = field(default_factory=list)
+    outcomes: list[tuple[int, RequestOutcome]] = field(default_factory=list)
     max_out_samples: list[tuple[float, int]] = field(default_factory=list)
     out_samples: list[tuple[float, int]] = field(default_factory=list)
     failures: int = 0
@@ -73,11 +73,15 @@
 
     def served(self) -> float:
         """Returns the fraction of all requests that were answered within their latency target."""
-        return sum(ask.in_time for _, ask in self.outcomes) / max(len(self.outcomes), 1)
+        return sum(request.in_time for _, request in self.outcomes) / max(len(self.outcomes), 1)
 
     def served_at(self, router: int, start: float, end: float) -> float:
         """Returns the same fraction for one router's requests that were sent from `start` to `end`."""
-        in_time = [ask.in_time for number, ask in self.outcomes if number == router and start <= ask.at < end]
+        in_time = [
+            request.in_time
+            for number, request in self.outcomes
+            if number == router and start <= request.sent_at < end
+        ]
         return sum(in_time) / max(len(in_time), 1)
 
 
@@ -100,7 +104,7 @@
     seconds: float,
     seed: int,
     shifts: list[float],
-    faults: Callable[[Stage, FaultNet, set[int], float], None] | None = None,
+    faults: Callable[[LabCluster, FaultyNetwork, set[int], float], None] | None = None,
 ) -> RunResult:
     """Runs one load and returns its measurements.
 
@@ -109,26 +113,31 @@
         seconds: Length of the load.
         seed: Seed of arrivals, work and network faults.
         shifts: Times in seconds at which the hot router changes.
-        faults: Called in a greenlet of its own when the load starts, with the stage, the network, the set of
-            routers that clients know to be down, and the length of the load. If given, all routers have the
-            same traffic.
+        faults: Called in a greenlet of its own when the load starts, with the cluster, the network, the set
+            of routers that clients know to be down, and the length of the load. If given, all routers have
+            the same traffic.
     """
-    result, rng, net, down = RunResult(), np.random.default_rng(seed), FaultNet(ROUTERS, seed), set[int]()
-    with Stage(ENGINES, CORES, operator, routers=ROUTERS, net=net) as stage:
+    result, rng, network, down = (
+        RunResult(),
+        np.random.default_rng(seed),
+        FaultyNetwork(ROUTERS, seed),
+        set[int](),
+    )
+    with LabCluster(ENGINES, CORES, operator, routers=ROUTERS, network=network) as cluster:
         if "(peers)" in operator:
-            until(lambda: divided(stage, "named looks"))
-        idle_callers: dict[int, list[Caller]] = defaultdict(list)
+            wait_until(lambda: is_allocated(cluster, "named looks"))
+        idle_clients: dict[int, list[LoadClient]] = defaultdict(list)
 
         def send_one(router_number: int) -> None:
-            caller = (
-                idle_callers[router_number].pop()
-                if idle_callers[router_number]
-                else Caller(stage.routers[router_number].address, TENANTS[router_number % 4], seed)
+            client = (
+                idle_clients[router_number].pop()
+                if idle_clients[router_number]
+                else LoadClient(cluster.routers[router_number].address, TENANTS[router_number % 4], seed)
             )
             result.outcomes.append(
-                (router_number, caller.ask("date-lookup", int(rng.uniform(*WORK_RANGE_MS)), 600))
+                (router_number, client.send_request("date-lookup", int(rng.uniform(*WORK_RANGE_MS)), 600))
             )
-            idle_callers[router_number].append(caller)
+            idle_clients[router_number].append(client)
 
         def send_to_live_router(router_number: int) -> None:
             """Sends a request to another router if the client's own is known to be down."""
@@ -147,23 +156,25 @@
                 times = rng.uniform(start, end, rng.poisson(rate(start, n) * (end - start)))
                 greenlets += [gevent.spawn_later(float(t), send_to_live_router, n) for t in sorted(times)]
         if faults is not None:
-            greenlets.append(gevent.spawn(faults, stage, net, down, seconds))
+            greenlets.append(gevent.spawn(faults, cluster, network, down, seconds))
         while time.monotonic() < began + seconds:
-            stage.tell_fleet(stats=True)
-            profile_stats = stage.profiles.get("date-lookup", {"most": 0, "out": 0})
+            cluster.command_fleet(stats=True)
+            profile_stats = cluster.profiles.get("date-lookup", {"most": 0, "out": 0})
             at = time.monotonic() - began
             result.max_out_samples.append((at, profile_stats["most"]))
             result.out_samples.append((at, profile_stats["out"]))
             gevent.sleep(SAMPLE_INTERVAL_S)
         gevent.joinall(greenlets, timeout=10)
-        result.failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
-        for _, ask in result.outcomes:
-            ask.at -= began
-    net.close()
+        result.failures = sum(router.read_log().count('"event": "failed"') for router in cluster.routers)
+        for _, request in result.outcomes:
+            request.sent_at -= began
+    network.close()
     return result
 
 
-def kills_pauses_cuts(stage: Stage, net: FaultNet, down: set[int], seconds: float, seed: int) -> None:
+def kills_pauses_cuts(
+    cluster: LabCluster, network: FaultyNetwork, down: set[int], seconds: float, seed: int
+) -> None:
     """Injects faults in turn until 6 s before the end of the load.
 
     A router is killed and restarted, a router is stopped for longer than its lease, or the group is
@@ -172,26 +183,26 @@
     rng, began, turn = random.Random(seed), time.monotonic(), 0
     while time.monotonic() < began + seconds - 6.0:
         number = rng.randrange(ROUTERS)
-        router = stage.routers[number]
+        router = cluster.routers[number]
         if turn % 3 == 0:
-            router.end(signal.SIGKILL)
+            router.stop(signal.SIGKILL)
             gevent.sleep(0.3)
             down.add(number)  # clients learn of it after 0.3 s
             gevent.sleep(0.7)
             router.start()
             down.discard(number)
         elif turn % 3 == 1:
-            router.tell(signal.SIGSTOP)
+            router.send_signal(signal.SIGSTOP)
             gevent.sleep(0.3)
             down.add(number)
             gevent.sleep(3.7)  # longer than the lease
-            router.tell(signal.SIGCONT)
+            router.send_signal(signal.SIGCONT)
             down.discard(number)
         else:
             minority = rng.sample(range(ROUTERS), rng.randrange(1, ROUTERS // 2))
-            net.part(minority, [n for n in range(ROUTERS) if n not in minority])
+            network.partition(minority, [n for n in range(ROUTERS) if n not in minority])
             gevent.sleep(4.0)
-            net.part()
+            network.partition()
         turn += 1
         gevent.sleep(4.0)
 
@@ -316,30 +327,30 @@
 
     The failing router may use what the other two leave of the budget.
     """
-    bound, net = 12.0, FaultNet(3, seed)
+    bound, network = 12.0, FaultyNetwork(3, seed)
     operator = f"(peers) (budgets (further {bound:g}) (tenants off))"
-    with Stage(3, CORES, operator, routers=3, net=net) as stage:
-        until(lambda: divided(stage, "further sends"))
-        rng, outcomes = np.random.default_rng(seed), list[Ask]()
-        idle_callers: dict[int, list[Caller]] = defaultdict(list)
+    with LabCluster(3, CORES, operator, routers=3, network=network) as cluster:
+        wait_until(lambda: is_allocated(cluster, "further sends"))
+        rng, outcomes = np.random.default_rng(seed), list[RequestOutcome]()
+        idle_clients: dict[int, list[LoadClient]] = defaultdict(list)
 
         def send_one(router_number: int) -> None:
-            caller = (
-                idle_callers[router_number].pop()
-                if idle_callers[router_number]
-                else Caller(stage.routers[router_number].address, "oslo", seed)
+            client = (
+                idle_clients[router_number].pop()
+                if idle_clients[router_number]
+                else LoadClient(cluster.routers[router_number].address, "oslo", seed)
             )
-            caller.errs = " errs" if router_number == 0 else ""
-            outcomes.append(caller.ask("date-lookup", 30, 600))
-            idle_callers[router_number].append(caller)
+            client.error_mark = " errs" if router_number == 0 else ""
+            outcomes.append(client.send_request("date-lookup", 30, 600))
+            idle_clients[router_number].append(client)
 
         greenlets: list[Any] = []
         for router_number in range(3):
-            greenlets += arrivals(rng, 40.0, seconds, partial(send_one, router_number))
+            greenlets += schedule_arrivals(rng, 40.0, seconds, partial(send_one, router_number))
         gevent.joinall(greenlets, timeout=seconds + 8)
-        started_attempts = sum(engine["ran"] for engine in stage.tell_fleet(stats=True))
-        commands = stage.profiles["date-lookup"]["commands"]
-    net.close()
+        started_attempts = sum(engine["ran"] for engine in cluster.command_fleet(stats=True))
+        commands = cluster.profiles["date-lookup"]["commands"]
+    network.close()
     further_sends = started_attempts - commands
     report.figures |= {"further_asked": len(outcomes), "further_sends": further_sends}
     report.claim(
@@ -351,7 +362,7 @@
         "the same: what one router had of them, times its even part",
         further_sends / seconds / (bound / 3),
         1.5,
-        least=True,
+        is_minimum=True,
     )
 
 
@@ -377,7 +388,7 @@
                 "whole in use": f"{result.use(2.0, end - 0.5):.3f}",
                 "most out": max(max_out for _, max_out in result.max_out_samples),
                 "beats over the whole": result.over(),
-                "lost": sum(a.end == "lost" for _, a in result.outcomes),
+                "lost": sum(a.outcome == "lost" for _, a in result.outcomes),
             }
         )
         report.figures |= {f"{name}: served": result.served(), f"{name}: use": result.use(2.0, end - 0.5)}
@@ -388,17 +399,17 @@
     )
     report.claim("moments above the whole, counted at the engines", need.over() + faults.over(), 0)
     use = need.use(2.0, seconds - 0.5)
-    report.claim("use of the whole while more is wanted", use, 0.9, least=True)
+    report.claim("use of the whole while more is wanted", use, 0.9, is_minimum=True)
     report.claim(
         "use over a day of kills, pauses and cuts",
         faults.use(2.0, faults.max_out_samples[-1][0] - 0.5),
         0.75,
-        least=True,
+        is_minimum=True,
     )
     follow = [time_to_follow_shift(need, shift, (n + 1) % ROUTERS) for n, shift in enumerate(shifts)]
     report.claim("a shift followed within, s", max(follow), 1.5)
     report.claim(
-        "served in time, points over even parts", 100 * (need.served() - even.served()), 10, least=True
+        "served in time, points over even parts", 100 * (need.served() - even.served()), 10, is_minimum=True
     )
     report.claim("exceptions", sum(result.failures for result in results.values()), 0)
     report.figures["asking_us"] = 1e6 * room_check_cost(20_000)
--- a/marbleworks/lab/capacity.py
+++ b/marbleworks/lab/capacity.py
@@ -209,7 +209,7 @@
     """Adds the slopes of the optional modules that are installed: hollow routers and cells."""
     for name in ("marbleworks.lab.hollow", "marbleworks.lab.cells"):
         if importlib.util.find_spec(name) is not None:
-            for slope in importlib.import_module(name).slopes(seed, quick):
+            for slope in importlib.import_module(name).measure_slopes(seed, quick):
                 slopes.add(slope)
 
 
@@ -255,15 +255,15 @@
     limit_ratios = dict[str, float]()
     for name, slope_name, x, factor, limit in EXTRAPOLATIONS:
         slope = slopes[slope_name]
-        low, high = slope.between(x)
+        low, high = slope.range_at(x)
         report.figures |= {
-            name: factor * slope.at(x),
+            name: factor * slope.value_at(x),
             f"{name}_low": factor * low,
             f"{name}_high": factor * high,
-            f"{name}_sizes_beyond": slope.times(x),
+            f"{name}_sizes_beyond": slope.extrapolation_ratio(x),
         }
         if limit:
-            limit_ratios[name] = factor * slope.at(x) / limit
+            limit_ratios[name] = factor * slope.value_at(x) / limit
             report.figures[f"{name}_of_allowed"] = limit_ratios[name]
     for place, name in enumerate(sorted(limit_ratios, key=lambda n: -limit_ratios[n])[:5], 1):
         report.figures[f"missing_{place}_{name}"] = limit_ratios[name]
@@ -291,7 +291,7 @@
         ]
         if common_points:
             x, y = common_points[-1]
-            difference = abs(simulated_slope.at(x) - y) / y
+            difference = abs(simulated_slope.value_at(x) - y) / y
             report.claim(
                 f"{simulated_name} simulated, off {hollow_name} at {x:.0f}",
                 difference,
@@ -329,7 +329,7 @@
             slope = slopes[name]
             series[name] = list(slope.xs), list(slope.ys)
             curve_sizes = [slope.xs[0] * (largest / slope.xs[0]) ** (n / 20) for n in range(21)]
-            series[f"{name}, curve"] = curve_sizes, [slope.at(curve_size) for curve_size in curve_sizes]
+            series[f"{name}, curve"] = curve_sizes, [slope.value_at(curve_size) for curve_size in curve_sizes]
         report.charts.append((title, x, y, series))
     report.logarithmic = True
     report.extra["slopes"] = slopes.to_dict()
--- a/marbleworks/lab/cells.py
+++ b/marbleworks/lab/cells.py
@@ -38,8 +38,8 @@
     encode_hello,
     encode_welcome,
 )
-from marbleworks.lab.budget_model import ENDS
-from marbleworks.lab.group import Group
+from marbleworks.lab.budget_model import ABANDONED_ATTEMPT_END_S
+from marbleworks.lab.group import SimulatedGroup
 from marbleworks.lab.report import Report, percentile
 from marbleworks.lab.slopes import Slope, fit
 from marbleworks.membership.messages import MemberState
@@ -113,10 +113,10 @@
         self.cpu_s += time.process_time() - began
 
 
-def measure_membership(group: Group, costs: dict[int, ControlCost]) -> None:
+def measure_membership(group: SimulatedGroup, costs: dict[int, ControlCost]) -> None:
     """Adds the processor time of the group's membership handlers to the costs, from now on."""
     for peer in group.routers:
-        for name in ("ring", "heard"):
+        for name in ("run_timers", "receive"):
             setattr(peer, name, _timed(getattr(peer, name), costs, peer.number))
 
 
@@ -191,10 +191,10 @@
         self.share_count = cell_count * self.slot_count
         self.budget = Budget("w", UNITS_PER_ROUTER * cell_count * cell_size, 0.0, SETTLE_S)
         self.groups = [
-            Group(self.slot_count, seed + cell_index, hold=True)
+            SimulatedGroup(self.slot_count, seed + cell_index, without_timers=True)
             for cell_index in range(min(cell_count, full_cell_count))
         ]
-        self.level_above = Group(MACHINES, seed + 7919)
+        self.level_above = SimulatedGroup(MACHINES, seed + 7919)
         self.lease_granters: dict[int, BudgetLeaseGranter] = {}
         self.machine_costs = {m: ControlCost() for m in range(MACHINES)}
         measure_membership(self.level_above, self.machine_costs)
@@ -220,7 +220,7 @@
             measure_membership(group, self.costs[cell_index])
             for p in range(cell_size):
                 self.routers_by_slot[cell_index][p] = self._new_router(cell_index * cell_size + p, p, -60.0)
-                group.at(0.2 * self.chance.random(), group.routers[p].ring)
+                group.schedule(0.2 * self.chance.random(), group.routers[p].run_timers)
         self.leader_only_cells = [
             LeaderOnlyCell(self, cell_index) for cell_index in range(len(self.groups), cell_count)
         ]
@@ -279,7 +279,7 @@
             for end in sorted(router.request_ends)[-excess:]:
                 router.request_ends.remove(end)
                 router.local_budgets.release(local_budget, now, True)
-                self.orphan_ends.append(self.now + ENDS)
+                self.orphan_ends.append(self.now + ABANDONED_ATTEMPT_END_S)
         rate = self.rates[self.traffic_ranks[router.number]] * STEP_S
         new_requests = int(rate) + (self.chance.random() < rate % 1.0)
         local_budget.arrivals += new_requests
@@ -476,7 +476,7 @@
         """Kills a router; its units stay in use until the engines end them."""
         self.groups[cell_index].kill(slot)
         router = self.routers_by_slot[cell_index].pop(slot)
-        self.orphan_ends += [self.now + ENDS for _ in router.request_ends]
+        self.orphan_ends += [self.now + ABANDONED_ATTEMPT_END_S for _ in router.request_ends]
         return router
 
     def start(self, cell_index: int, slot: int, number: int) -> None:
@@ -629,7 +629,7 @@
     Returns:
         Processor seconds per second, and bytes per second.
     """
-    group, costs = Group(routers, seed), {n: ControlCost() for n in range(routers)}
+    group, costs = SimulatedGroup(routers, seed), {n: ControlCost() for n in range(routers)}
     group.run(12.0)
     measure_membership(group, costs)
     group.sent_bytes = [0] * routers
@@ -639,20 +639,22 @@
 
 def flat_death_seconds(routers: int, kill_count: int, seed: int) -> float:
     """Returns the median seconds until a death is known in a flat group whose routers are killed in turn."""
-    group, chance, detection_seconds = Group(routers, seed), random.Random(seed), list[float]()
+    group, chance, detection_seconds = SimulatedGroup(routers, seed), random.Random(seed), list[float]()
     group.run(15.0)
     for _ in range(kill_count):
         number, at = chance.randrange(routers), group.now
         group.changes.clear()
         group.kill(number)
         group.run(8.0)
-        detection_seconds += _detection_seconds(group, number, at, [r.number for r in group.living()])
+        detection_seconds += _detection_seconds(group, number, at, [r.number for r in group.live_routers()])
         group.start(number)
         group.run(8.0)
     return percentile(detection_seconds, 50)
 
 
-def _detection_seconds(group: Group, number: int, killed_at: float, observers: list[int]) -> list[float]:
+def _detection_seconds(
+    group: SimulatedGroup, number: int, killed_at: float, observers: list[int]
+) -> list[float]:
     """Returns the seconds until each of the given routers knew of a death.
 
     Args:
@@ -715,7 +717,7 @@
     ]
 
 
-def slopes(seed: int, quick: bool) -> list[Slope]:
+def measure_slopes(seed: int, quick: bool) -> list[Slope]:
     """Measures and fits all slopes of this module; `quick` measures small fleets only."""
     return fit_slopes(measure(seed, quick), seed)
 
@@ -947,11 +949,11 @@
         "leaders' deaths, cuts and plans, the fewest",
         min(results.deaths, results.cuts, results.plans),
         2 if quick else 20,
-        least=True,
+        is_minimum=True,
     )
     shift_seconds, usage = measure_shift(seed, 2 if quick else 6, CELL_SIZE)
     report.figures |= {"shift_between_cells_s": shift_seconds}
-    report.claim("use of the whole while more is wanted", usage, 0.85, least=True)
+    report.claim("use of the whole while more is wanted", usage, 0.85, is_minimum=True)
     report.charts.append(
         (
             "use of the whole after a leader's death",
--- a/marbleworks/lab/duties.py
+++ b/marbleworks/lab/duties.py
@@ -11,24 +11,24 @@
 from enum import Enum
 
 from marbleworks.lab.target import (
+    ABANDONED_ATTEMPT_TIMEOUT_S,
     CLIENTS,
     DAY,
     DRIFT,
     ENGINES,
     FAILED,
     LEASE,
+    LIST_PROPAGATION_S,
     MACHINES,
-    QUIET,
-    RACK,
+    RACK_MACHINES,
     REGIONS,
-    RESTART,
+    RESTART_FRACTION,
+    RESTART_S,
     RESTARTED,
     ROUTERS,
     SETTLE,
     START_WITHIN,
-    TENTH,
     TERM,
-    TOLD,
     ZONE_CLIENTS,
     ZONE_ENGINES,
     ZONE_ROUTERS,
@@ -624,7 +624,7 @@
         }
 
 
-_RACK_ROUTERS = RACK * ROUTERS / (ROUTERS + ENGINES)
+_RACK_ROUTERS = RACK_MACHINES * ROUTERS / (ROUTERS + ENGINES)
 _NOTHING = "nothing"
 _ALL_SERVE = "all routers serve; what they held is divided anew"
 BURSTS = [
@@ -641,7 +641,7 @@
         (_ALL_SERVE, "all cells, each with some routers and engines fewer"),
         ("commands out on its engines that may not run twice",) * 2,
         lost_routers=_RACK_ROUTERS,
-        lost_engines=RACK - _RACK_ROUTERS,
+        lost_engines=RACK_MACHINES - _RACK_ROUTERS,
     ),
     Burst(
         "a zone at once",
@@ -662,12 +662,12 @@
         "restarts, a tenth of the fleet at a time",
         (_ALL_SERVE, "all cells, each with a tenth fewer"),
         ("nothing that may go to another router",) * 2,
-        lost_routers=TENTH * ROUTERS,
-        lost_engines=TENTH * ENGINES,
-        lost_clients=TENTH * CLIENTS,
-        restarts_per_s=TENTH * ROUTERS / RESTART,
-        starting_routers=TENTH * ROUTERS,
-        cold_engines=TENTH * ENGINES,
+        lost_routers=RESTART_FRACTION * ROUTERS,
+        lost_engines=RESTART_FRACTION * ENGINES,
+        lost_clients=RESTART_FRACTION * CLIENTS,
+        restarts_per_s=RESTART_FRACTION * ROUTERS / RESTART_S,
+        starting_routers=RESTART_FRACTION * ROUTERS,
+        cold_engines=RESTART_FRACTION * ENGINES,
     ),
     Burst(
         "a region cut off for minutes",
@@ -750,10 +750,10 @@
 # process have ended.
 QUOTA_AFTER_START: Formula = (*GROUP_STARTED, *product("term"), *product("quiet"))
 CONSTANT_INPUTS = {
-    "told": TOLD,
+    "told": LIST_PROPAGATION_S,
     "lease": LEASE,
-    "back": LEASE + SETTLE + QUIET,
-    "quiet": QUIET,
+    "back": LEASE + SETTLE + ABANDONED_ATTEMPT_TIMEOUT_S,
+    "quiet": ABANDONED_ATTEMPT_TIMEOUT_S,
     "at_once": 0.0,
     "term": TERM * (1 + DRIFT),
     "within": START_WITHIN,
--- a/marbleworks/lab/explore.py
+++ b/marbleworks/lab/explore.py
@@ -16,7 +16,7 @@
 from itertools import combinations
 from typing import Any, Protocol, TypeVar
 
-from marbleworks.lab.group import Group, Terms
+from marbleworks.lab.group import GroupTimes, SimulatedGroup
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT, LeaderElection
 from marbleworks.membership.messages import Message
 
@@ -27,7 +27,7 @@
     """An invariant does not hold; the message names the acts that led there."""
 
 
-def check_invariants(group: Group) -> None:
+def check_invariants(group: SimulatedGroup) -> None:
     """Checks the invariants of a group.
 
     Raises:
@@ -43,14 +43,16 @@
         )
 
 
-def walk(seed: int, events: int, count: int = 4, uneven: float = MAX_CLOCK_DRIFT / 2) -> int:
+def random_group_walk(
+    seed: int, events: int, count: int = 4, clock_drift: float = MAX_CLOCK_DRIFT / 2
+) -> int:
     """Runs a group in simulated time with random faults and checks the invariants after each event.
 
     Args:
         seed: Seed of all random choices.
         events: Events to run, at least.
         count: Routers in the group.
-        uneven: Largest drift of a clock.
+        clock_drift: Largest drift of a clock.
 
     Returns:
         The number of events.
@@ -59,7 +61,7 @@
         InvariantViolation: An invariant does not hold.
     """
     chance = random.Random(seed)
-    group = Group(count, seed, Terms(term=1.5, lease=1.0), uneven)
+    group = SimulatedGroup(count, seed, GroupTimes(term=1.5, lease=1.0), clock_drift)
     seen = 0
 
     def each() -> None:
@@ -69,11 +71,11 @@
 
     while seen < events:
         group.network_faults.loss = chance.choice([0.0, 0.05, 0.3])
-        group.network_faults.doubled = chance.choice([0.0, 0.2])
+        group.network_faults.duplication = chance.choice([0.0, 0.2])
         group.network_faults.jitter = chance.choice([0.002, 0.2, 1.5])
         split = chance.sample(range(count), chance.randrange(count))
         one_way = chance.random() < 0.3
-        group.network_faults.cut = (
+        group.network_faults.is_cut = (
             lambda a, b, split=split, one_way=one_way: (a in split) != (b in split)  # type: ignore[misc]
             and (not one_way or a in split)
         )
@@ -98,14 +100,14 @@
         elections: The election state of each router.
         now: The time by each router's clock.
         starts: The generation of each router.
-        flying: Messages in flight: sender, receiver, message.
+        in_flight: Messages in flight: sender, receiver, message.
         acts: The latest acts.
     """
 
     elections: list[LeaderElection]
     now: list[float]
     starts: list[int]
-    flying: list[tuple[int, int, Message]] = field(default_factory=list)
+    in_flight: list[tuple[int, int, Message]] = field(default_factory=list)
     acts: tuple[str, ...] = ()
 
     def check(self) -> None:
@@ -121,13 +123,13 @@
                 f"routers {leaders} lead, quota shares of {used:.3f} are in use after {', '.join(self.acts)}"
             )
 
-    def does(self, act: str, do: Callable[[ElectionModel], None]) -> None:
+    def perform(self, act: str, do: Callable[[ElectionModel], None]) -> None:
         """Performs an act and checks the invariants."""
         self.acts = (*self.acts[-40:], act)
         do(self)
         self.check()
 
-    def moves(
+    def possible_acts(
         self, clock_paces: list[float], step: float
     ) -> Iterator[tuple[str, Callable[[ElectionModel], None]]]:
         """Yields the acts that are possible, by name.
@@ -153,11 +155,11 @@
                 def request_votes(model: ElectionModel, n: int = n, seen: list[int] = seen) -> None:
                     election = model.elections[n]
                     election.next_round_at = -math.inf
-                    model.flying += [
+                    model.in_flight += [
                         (n, to, message) for to, message in election.tick(seen, model.starts[n], model.now[n])
                     ]
 
-                if len(self.flying) < 8:
+                if len(self.in_flight) < 8:
                     yield f"{n} asks for votes as of {seen}", request_votes
 
             def restart(model: ElectionModel, n: int = n) -> None:
@@ -173,17 +175,17 @@
                 )
 
             yield f"{n} restarts", restart
-        for i in range(len(self.flying)):
+        for i in range(len(self.in_flight)):
 
             def deliver(model: ElectionModel, i: int = i, keep: bool = False) -> None:
-                sender, to, message = model.flying[i] if keep else model.flying.pop(i)
+                sender, to, message = model.in_flight[i] if keep else model.in_flight.pop(i)
                 replies = model.elections[to].receive(sender, message, model.starts[to], model.now[to])
-                model.flying += [(to, recipient, reply) for recipient, reply in replies]
+                model.in_flight += [(to, recipient, reply) for recipient, reply in replies]
 
             def lose(model: ElectionModel, i: int = i) -> None:
-                model.flying.pop(i)
+                model.in_flight.pop(i)
 
-            sender, to, message = self.flying[i]
+            sender, to, message = self.in_flight[i]
             name = f"{sender}>{to} {message.message_type.name}"
             yield name, deliver
             yield name + " again", partial(deliver, keep=True)
@@ -214,7 +216,7 @@
     )
     for _ in range(acts):
         step = chance.choice([0.05, 0.2, 0.45, 0.9])
-        moves = list(model.moves(clock_paces, step))
+        moves = list(model.possible_acts(clock_paces, step))
         weights = [
             0.02
             if "restarts" in name
@@ -226,7 +228,7 @@
             for name, _ in moves
         ]
         name, do = chance.choices(moves, weights)[0]
-        model.does(name, do)
+        model.perform(name, do)
     return acts
 
 
@@ -252,22 +254,22 @@
     )
     for _ in range(warm):
         first.now = [now + 0.45 * pace for now, pace in zip(first.now, clock_paces, strict=True)]
-        first.flying += [
+        first.in_flight += [
             (0, to, message) for to, message in first.elections[0].tick(list(range(count)), 1, first.now[0])
         ]
-        while first.flying:
-            sender, to, message = first.flying.pop(0)
+        while first.in_flight:
+            sender, to, message = first.in_flight.pop(0)
             replies = first.elections[to].receive(sender, message, 1, first.now[to])
-            first.flying += [(to, recipient, message) for recipient, message in replies]
+            first.in_flight += [(to, recipient, message) for recipient, message in replies]
         first.elections[0].next_round_at = -math.inf
         first.check()
-    return every_order(first, depth, lambda model: model.moves(clock_paces, step))
+    return every_order(first, depth, lambda model: model.possible_acts(clock_paces, step))
 
 
 class Explorable(Protocol):
     """A system that can be explored."""
 
-    def does(self, act: str, do: Any) -> None:
+    def perform(self, act: str, do: Any) -> None:
         """Performs an act; raises InvariantViolation if an invariant does not hold after it."""
         ...
 
@@ -292,7 +294,7 @@
         for state in states_at_depth:
             for name, do in moves(state):
                 next_state = copy.deepcopy(state)
-                next_state.does(name, do)
+                next_state.perform(name, do)
                 state_count += 1
                 next_states.append(next_state)
         states_at_depth = next_states
--- a/marbleworks/lab/faultnet.py
+++ b/marbleworks/lab/faultnet.py
@@ -26,24 +26,24 @@
 Address = tuple[str, int]
 
 
-class FaultNet:
+class FaultyNetwork:
     """Relays for the datagrams between routers.
 
     Attributes:
         routers: Number of routers.
         seed: Seed of all random faults.
         loss: Fraction of datagrams that are dropped.
-        doubled: Fraction of datagrams that are delivered twice.
+        duplication: Fraction of datagrams that are delivered twice.
         delay: Delay of each datagram in seconds.
         jitter: Largest random addition to the delay in seconds.
-        cut: Whether nothing passes from a sender to a receiver, by router number.
+        is_cut: Whether nothing passes from a sender to a receiver, by router number.
         ports: Ports on which the routers listen, by router number.
-        twins: Port of a second process with the same router name, keyed by router number.
-        passed: Number of datagrams delivered.
+        duplicate_ports: Port of a second process with the same router name, keyed by router number.
+        delivered: Number of datagrams delivered.
         dropped: Number of datagrams dropped when they were sent.
         bytes: Bytes sent, by router number.
         counters: Number of datagrams sent, keyed by sender and receiver.
-        spy: Called with sender, receiver and data for each datagram sent.
+        on_send: Called with sender, receiver and data for each datagram sent.
         pair_sockets: Sockets keyed by (router, peer). A socket's address is that of the peer as the router
             sees it.
         broadcast_sockets: Sockets whose addresses reach all peers, by router number.
@@ -52,13 +52,13 @@
 
     def __init__(self, routers: int, seed: int) -> None:
         self.routers, self.seed = routers, seed
-        self.loss = self.doubled = self.delay = self.jitter = 0.0
-        self.cut: Callable[[int, int], bool] = lambda sender, receiver: False
+        self.loss = self.duplication = self.delay = self.jitter = 0.0
+        self.is_cut: Callable[[int, int], bool] = lambda sender, receiver: False
         self.ports: list[int] = []
-        self.twins: dict[int, int] = {}
-        self.passed, self.dropped, self.bytes = 0, 0, [0] * routers
+        self.duplicate_ports: dict[int, int] = {}
+        self.delivered, self.dropped, self.bytes = 0, 0, [0] * routers
         self.counters: dict[tuple[int, int], int] = {}
-        self.spy: Callable[[int, int, bytes], None] = lambda sender, receiver, data: None
+        self.on_send: Callable[[int, int, bytes], None] = lambda sender, receiver, data: None
         self.pair_sockets = {
             (i, j): _datagram_socket() for i in range(routers) for j in range(routers) if i != j
         }
@@ -67,7 +67,7 @@
         self.greenlets += [gevent.spawn(self._relay_pair, i, j) for i, j in self.pair_sockets]
         self.greenlets += [gevent.spawn(self._relay_broadcasts, i) for i in range(routers)]
 
-    def of(self, router: int) -> tuple[list[tuple[str, int]], tuple[str, int]]:
+    def addresses_for(self, router: int) -> tuple[list[tuple[str, int]], tuple[str, int]]:
         """Returns the addresses that a router needs.
 
         Args:
@@ -82,14 +82,14 @@
         ]
         return seen, self.broadcast_sockets[router].getsockname()
 
-    def listen(self, ports: list[int]) -> None:
+    def set_ports(self, ports: list[int]) -> None:
         """Sets the ports on which the routers listen."""
         self.ports = ports
 
-    def part(self, *parts: Iterable[int]) -> None:
+    def partition(self, *parts: Iterable[int]) -> None:
         """Partitions the group into these parts. Without arguments, removes the partition."""
         side = {router: index for index, part in enumerate(parts) for router in part}
-        self.cut = lambda sender, receiver: side.get(sender) != side.get(receiver)
+        self.is_cut = lambda sender, receiver: side.get(sender) != side.get(receiver)
 
     def send(self, sender: int, receiver: int, data: bytes) -> None:
         """Sends a datagram in the name of a router."""
@@ -115,13 +115,13 @@
 
     def _forward(self, sender: int, receiver: int, data: bytes) -> None:
         self.bytes[sender] += len(data)
-        self.spy(sender, receiver, data)
+        self.on_send(sender, receiver, data)
         sequence = self.counters[sender, receiver] = self.counters.get((sender, receiver), 0) + 1
         rng = random.Random(struct.pack("<QIII", self.seed, sender, receiver, sequence))
-        if self.cut(sender, receiver) or rng.random() < self.loss:
+        if self.is_cut(sender, receiver) or rng.random() < self.loss:
             self.dropped += 1
             return
-        for _ in range(1 + (rng.random() < self.doubled)):
+        for _ in range(1 + (rng.random() < self.duplication)):
             delay_s = self.delay + self.jitter * rng.random()
             if delay_s:
                 gevent.spawn_later(delay_s, self._deliver, sender, receiver, data)
@@ -129,16 +129,16 @@
                 self._deliver(sender, receiver, data)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        if not self.cut(sender, receiver):
-            self.passed += 1
+        if not self.is_cut(sender, receiver):
+            self.delivered += 1
             for port in [
                 self.ports[receiver],
-                *[twin_port for router, twin_port in self.twins.items() if router == receiver],
+                *[twin_port for router, twin_port in self.duplicate_ports.items() if router == receiver],
             ]:
                 self.pair_sockets[receiver, sender].sendto(data, (HOST, port))
 
 
-class Lines:
+class ConnectionRelays:
     """Relays for one router's connections with clients and engines, and for its engine directory.
 
     Directory responses are rewritten, so that the router connects to the relays of its engines.
@@ -150,25 +150,25 @@
         delay: Delay of each piece of data in seconds.
         socks: Open sockets, keyed by connection kind.
         greenlets: The running relays.
-        front: Address to which clients connect.
+        client_address: Address to which clients connect.
         engines: Relay address of each engine, keyed by name.
         ports: Relay port of each engine, keyed by its real port.
         directory_socket: Socket that receives the router's directory queries.
         directory: Address of that socket.
     """
 
-    def __init__(self, front: Address, directory: Address, engines: dict[str, Address]) -> None:
+    def __init__(self, client_address: Address, directory: Address, engines: dict[str, Address]) -> None:
         self.held, self.changed, self.delay = set[tuple[str, bool]](), Event(), 0.0
         self.socks: dict[str, set[Any]] = {"clients": set(), "engines": set()}
         self.greenlets: list[gevent.Greenlet[..., None]] = []
-        self.front = self._listen("clients", front)
+        self.client_address = self._listen("clients", client_address)
         self.engines = {name: self._listen("engines", address) for name, address in engines.items()}
         self.ports = {port: self.engines[name][1] for name, (_, port) in engines.items()}
         self.directory_socket = _datagram_socket()
         self.directory: Address = self.directory_socket.getsockname()
         self.greenlets.append(gevent.spawn(self._relay_directory, directory))
 
-    def hold(self, kind: str, *directions: bool) -> None:
+    def hold_back(self, kind: str, *directions: bool) -> None:
         """Sets the directions in which bytes of connections of a kind are held back.
 
         Args:
--- a/marbleworks/lab/flat.py
+++ b/marbleworks/lab/flat.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from marbleworks.lab.group import Group, NetworkFaults, Router
+from marbleworks.lab.group import NetworkFaults, Router, SimulatedGroup
 from marbleworks.lab.meter import MEASUREMENT_OVERHEAD_S, PACE, collection_disabled, state_bytes
 from marbleworks.membership.messages import MemberState
 
@@ -29,7 +29,7 @@
 RESTARTED_GROUP_SIZE, LOSSY_GROUP_SIZE = 48, 24
 
 
-class MeasuredGroup(Group):
+class MeasuredGroup(SimulatedGroup):
     """A group that counts the work of each router.
 
     Attributes:
@@ -49,9 +49,9 @@
 
     def run_measured(self, seconds: float) -> None:
         """Runs the group like `run` and adds the processor time of each event to its router."""
-        end, line, process_time = self.now + seconds, self.line, time.process_time
-        while line and line[0][0] <= end:
-            when, _, what, args = heapq.heappop(line)
+        end, events, process_time = self.now + seconds, self.events, time.process_time
+        while events and events[0][0] <= end:
+            when, _, what, args = heapq.heappop(events)
             self.now = max(self.now, when)
             number = self._router_of(what, args)
             began = process_time()
@@ -98,7 +98,7 @@
         """Returns whether a leader has divided the quota among all live routers, in an active division."""
         number = self.leader()
         election = self.routers[number].election if number >= 0 else None
-        live_routers = {router.number for router in self.living()}
+        live_routers = {router.number for router in self.live_routers()}
         return (
             election is not None
             and election.is_division_active
--- a/marbleworks/lab/fleet.py
+++ b/marbleworks/lab/fleet.py
@@ -35,11 +35,11 @@
 from gevent.fileobject import FileObjectThread
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.lab.standins import HOST, answer, dns_answer
+from marbleworks.lab.standins import HOST, dns_answer, http_response
 
 MAX_PAGE_BYTES = 6_000  # limit of the protocol
 POLL_TIMEOUT_S = 0.25  # seconds that a request waits for a result that is not ready
-FORGOTTEN = 2.0  # seconds without a request after which a run is released
+ABANDONED_RUN_TIMEOUT_S = 2.0  # seconds without a request after which a run is released
 FILLER = "moved by van from bergen to oslo on a wet tuesday, piano and all; " * 4
 STATEMENT_MARK = re.compile(rb"/\* work=(\d+) size=(\d+)( errs)? \*/")
 
@@ -222,15 +222,15 @@
         if verb == "DELETE":
             if run is not None:
                 self._release(run)
-            return answer(204)
+            return http_response(204)
         if run is None:
-            return answer(500)
+            return http_response(500)
         number = int(page[0])
         if number == 0:
             return self._poll(run)
         if not run.done.is_set() or number >= page_count(run.size):
-            return answer(500)
-        response = answer(200, rows_of(ref, number, run.size), X_Sheet=number)
+            return http_response(500)
+        response = http_response(200, rows_of(ref, number, run.size), X_Sheet=number)
         if self.pages_to_truncate:
             self.pages_to_truncate -= 1
             return response[: len(response) // 2]
@@ -241,7 +241,7 @@
         """Starts a statement, and waits a short time for its result."""
         mark = STATEMENT_MARK.search(body)
         if mark is None:
-            return answer(500)
+            return http_response(500)
         run = self.runs[ref] = Run(
             ref, int(mark[2]), int(mark[1]) / 1000.0, time.monotonic(), last_request_at=time.monotonic()
         )
@@ -252,7 +252,7 @@
         self.starts_by_ref[ref] = self.starts_by_ref.get(ref, 0) + 1
         if mark[3]:
             self._release(run)
-            return answer(500)
+            return http_response(500)
         gevent.spawn(self._execute, run)
         return self._poll(run)
 
@@ -269,13 +269,13 @@
     def _poll(self, run: Run) -> bytes:
         """Returns the first page of a result, or status 202 if it is not ready in time."""
         if not run.done.wait(POLL_TIMEOUT_S):
-            return answer(202)
+            return http_response(202)
         pages, report = (
             page_count(run.size),
             f"inflight:{sum(not other.released for other in self.runs.values())}",
         )
         self._page_sent(run, 0)
-        return answer(
+        return http_response(
             200,
             rows_of(run.ref, 0, run.size),
             X_Sheets=pages,
@@ -314,7 +314,9 @@
         while not self.dead:
             gevent.sleep(0.1)
             for run in [
-                other for other in self.runs.values() if time.monotonic() > other.last_request_at + FORGOTTEN
+                other
+                for other in self.runs.values()
+                if time.monotonic() > other.last_request_at + ABANDONED_RUN_TIMEOUT_S
             ]:
                 self._release(run)
                 self.runs.pop(run.ref, None)
--- a/marbleworks/lab/group.py
+++ b/marbleworks/lab/group.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Terms:
+class GroupTimes:
     """Times of the group in seconds. The field names are options of the operator's file.
 
     Attributes:
@@ -51,17 +51,17 @@
 
     Attributes:
         loss: Fraction of datagrams that are lost.
-        doubled: Fraction of datagrams that are duplicated.
+        duplication: Fraction of datagrams that are duplicated.
         delay: Delay in seconds.
         jitter: Largest random addition to the delay in seconds.
-        cut: Whether nothing passes from a sender to a receiver, by router number.
+        is_cut: Whether nothing passes from a sender to a receiver, by router number.
     """
 
     loss: float = 0.0
-    doubled: float = 0.0
+    duplication: float = 0.0
     delay: float = 0.001
     jitter: float = 0.002
-    cut: Callable[[int, int], bool] = field(default=lambda sender, to: False)
+    is_cut: Callable[[int, int], bool] = field(default=lambda sender, to: False)
 
 
 class Router:
@@ -70,7 +70,7 @@
     Attributes:
         group: The group.
         number: Number of the router.
-        pace: Rate of its clock, where 1 is true time.
+        clock_rate: Rate of its clock, where 1 is true time.
         born: Simulated time at which the router was first created.
         alive: Whether the process runs.
         paused_until: Simulated time until which the process is paused.
@@ -78,54 +78,57 @@
         node: The membership node.
         failure_detector: Failure detector of the node.
         election: Leader election of the node.
-        wake: Sequence number of the latest timer; older timers have no effect.
+        timer_number: Sequence number of the latest timer; older timers have no effect.
     """
 
-    def __init__(self, group: Group, number: int, pace: float) -> None:
-        self.group, self.number, self.pace, self.born = group, number, pace, group.now
+    def __init__(self, group: SimulatedGroup, number: int, clock_rate: float) -> None:
+        self.group, self.number, self.clock_rate, self.born = group, number, clock_rate, group.now
         self.alive, self.paused_until, self.slow = True, 0.0, 0.0
         self.begin()
 
     def begin(self) -> None:
         """Creates the membership node, as a process start does."""
-        seed, options = self.group.chance.getrandbits(32), self.group.terms.options()
+        seed, options = self.group.rng.getrandbits(32), self.group.terms.options()
         self.node = MembershipNode(self.number, self.group.count, seed, self.clock(), options)
         self.failure_detector, self.election = self.node.failure_detector, self.node.election
-        self.wake = 0
+        self.timer_number = 0
 
     def clock(self) -> float:
         """Returns the time of the router's own clock in seconds."""
-        return 1000.0 + self.group.now * self.pace
+        return 1000.0 + self.group.now * self.clock_rate
 
-    def ring(self) -> None:
+    def run_timers(self) -> None:
         """Runs the node's timers."""
-        self.say(self.node.tick(self.clock()))
-        self.settle()
+        self.send_all(self.node.tick(self.clock()))
+        self.schedule_next()
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def receive(self, peer: int, data: bytes) -> None:
         """Passes a datagram to the node."""
-        self.say(self.node.receive(peer, decode(GROUP, self.group.count, data), self.clock()))
-        self.settle()
+        self.send_all(self.node.receive(peer, decode(GROUP, self.group.count, data), self.clock()))
+        self.schedule_next()
 
-    def settle(self) -> None:
+    def schedule_next(self) -> None:
         """Records the node's changes and sets the next timer."""
         for change in self.node.take_changes():
-            self.group.changed(self.number, change)
+            self.group.record_change(self.number, change)
         due = self.node.next_due()
-        self.wake += 1
-        at = max((due - 1000.0) / self.pace, self.group.now + 0.005) + self.slow * self.group.chance.random()
-        self.group.at(max(at, self.paused_until), self._on_timer, self.wake)
+        self.timer_number += 1
+        at = (
+            max((due - 1000.0) / self.clock_rate, self.group.now + 0.005)
+            + self.slow * self.group.rng.random()
+        )
+        self.group.schedule(max(at, self.paused_until), self._on_timer, self.timer_number)
 
-    def _on_timer(self, wake: int) -> None:
-        if self.alive and wake == self.wake:
-            self.ring()
+    def _on_timer(self, timer_number: int) -> None:
+        if self.alive and timer_number == self.timer_number:
+            self.run_timers()
 
-    def say(self, messages: list[OutgoingMessage]) -> None:
+    def send_all(self, messages: list[OutgoingMessage]) -> None:
         """Sends the node's messages."""
         for receiver, message in messages:
             self.group.send(self.number, receiver, encode(GROUP, message))
 
-    def part(self) -> float:
+    def quota_share(self) -> float:
         """Returns the fraction of the whole quota that the router may use now."""
         return self.partition_status().quota_share if self.alive else 0.0
 
@@ -134,17 +137,17 @@
         return self.node.partition_status(self.clock())
 
 
-class Group:
+class SimulatedGroup:
     """The simulated routers, their network and the simulated time.
 
     Attributes:
         count: Number of routers.
         terms: Times of the group.
-        chance: Random generator of the simulation.
+        rng: Random generator of the simulation.
         now: Simulated time in seconds.
         network_faults: Behaviour of the network.
-        line: Heap of pending events: time, sequence number, function and arguments.
-        numbered: Number of events so far.
+        events: Heap of pending events: time, sequence number, function and arguments.
+        event_count: Number of events so far.
         sent_bytes: Bytes sent, by router number.
         sent: Number of datagrams sent.
         changes: Time, observing router and member change of each change.
@@ -152,7 +155,12 @@
     """
 
     def __init__(
-        self, count: int, seed: int, terms: Terms | None = None, uneven: float = 0.0, hold: bool = False
+        self,
+        count: int,
+        seed: int,
+        terms: GroupTimes | None = None,
+        max_clock_drift: float = 0.0,
+        without_timers: bool = False,
     ) -> None:
         """Creates the routers and their first timers.
 
@@ -160,64 +168,64 @@
             count: Number of routers.
             seed: Seed of all random draws.
             terms: Times of the group; the defaults if not given.
-            uneven: Largest deviation of a clock's rate from 1.
-            hold: Whether routers get no first timer, so that the caller starts them.
+            max_clock_drift: Largest deviation of a clock's rate from 1.
+            without_timers: Whether routers get no first timer, so that the caller starts them.
         """
-        self.count, self.terms, self.chance = count, terms or Terms(), random.Random(seed)
-        self.now, self.network_faults, self.line = (
+        self.count, self.terms, self.rng = count, terms or GroupTimes(), random.Random(seed)
+        self.now, self.network_faults, self.events = (
             0.0,
             NetworkFaults(),
             list[tuple[float, int, Callable[..., None], Any]](),
         )
-        self.numbered, self.sent_bytes, self.sent = 0, [0] * count, 0
+        self.event_count, self.sent_bytes, self.sent = 0, [0] * count, 0
         self.changes: list[tuple[float, int, Any]] = []
         self.routers: list[Router] = []
         for number in range(count):
-            pace = 1.0 + uneven * self.chance.uniform(-1.0, 1.0)
-            self.routers.append(Router(self, number, pace))
-            if not hold:
-                self.at(self.chance.random() * 0.2, self.routers[-1].ring)
+            clock_rate = 1.0 + max_clock_drift * self.rng.uniform(-1.0, 1.0)
+            self.routers.append(Router(self, number, clock_rate))
+            if not without_timers:
+                self.schedule(self.rng.random() * 0.2, self.routers[-1].run_timers)
 
-    def changed(self, by: int, change: Any) -> None:
+    def record_change(self, by: int, change: Any) -> None:
         """Records a change of a member as a router observed it."""
         self.changes.append((self.now, by, change))
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: float, what: Callable[..., None], *args: Any) -> None:
         """Schedules a call at a simulated time."""
-        self.numbered += 1
-        heapq.heappush(self.line, (when, self.numbered, what, args))
+        self.event_count += 1
+        heapq.heappush(self.events, (when, self.event_count, what, args))
 
     def send(self, sender: int, to: int, data: bytes) -> None:
         """Sends a datagram over the simulated network."""
         self.sent_bytes[sender] += len(data)
         self.sent += 1
         faults = self.network_faults
-        if faults.cut(sender, to):
+        if faults.is_cut(sender, to):
             return
-        for _ in range(1 + (self.chance.random() < faults.doubled)):
-            if self.chance.random() >= faults.loss:
-                self.at(
-                    self.now + faults.delay + faults.jitter * self.chance.random(),
-                    self._arrive,
+        for _ in range(1 + (self.rng.random() < faults.duplication)):
+            if self.rng.random() >= faults.loss:
+                self.schedule(
+                    self.now + faults.delay + faults.jitter * self.rng.random(),
+                    self._deliver,
                     sender,
                     to,
                     data,
                 )
 
-    def _arrive(self, sender: int, to: int, data: bytes) -> None:
+    def _deliver(self, sender: int, to: int, data: bytes) -> None:
         router = self.routers[to]
         if not router.alive:
             return
         if self.now < router.paused_until:
-            self.at(router.paused_until + 0.001, self._arrive, sender, to, data)
+            self.schedule(router.paused_until + 0.001, self._deliver, sender, to, data)
         elif router.slow:
-            self.at(self.now + router.slow * self.chance.random(), self._deliver_late, sender, to, data)
+            self.schedule(self.now + router.slow * self.rng.random(), self._deliver_late, sender, to, data)
         else:
-            router.heard(sender, data)
+            router.receive(sender, data)
 
     def _deliver_late(self, sender: int, to: int, data: bytes) -> None:
         if self.routers[to].alive:
-            self.routers[to].heard(sender, data)
+            self.routers[to].receive(sender, data)
 
     def run(self, seconds: float, each: Callable[[], None] | None = None) -> None:
         """Advances the simulated time.
@@ -227,8 +235,8 @@
             each: Called after each event.
         """
         end = self.now + seconds
-        while self.line and self.line[0][0] <= end:
-            when, _, what, args = heapq.heappop(self.line)
+        while self.events and self.events[0][0] <= end:
+            when, _, what, args = heapq.heappop(self.events)
             self.now = max(self.now, when)
             what(*args)
             if each is not None:
@@ -246,27 +254,29 @@
         router = self.routers[number]
         router.alive, router.paused_until = True, 0.0
         router.begin()
-        router.ring()
+        router.run_timers()
 
     def pause(self, number: int, seconds: float) -> None:
         """Pauses a router's process for a number of seconds."""
         self.routers[number].paused_until = self.now + seconds
-        self.routers[number].settle()
+        self.routers[number].schedule_next()
 
     # State of the group.
 
-    def living(self) -> list[Router]:
+    def live_routers(self) -> list[Router]:
         """Returns the routers that are alive."""
         return [router for router in self.routers if router.alive]
 
     def views_agree(self) -> bool:
         """Returns whether each live router sees exactly the live routers as alive."""
-        live_numbers = [router.number for router in self.living()]
-        return all(router.failure_detector.view.alive_routers() == live_numbers for router in self.living())
+        live_numbers = [router.number for router in self.live_routers()]
+        return all(
+            router.failure_detector.view.alive_routers() == live_numbers for router in self.live_routers()
+        )
 
     def used_quota(self) -> float:
         """Returns the fraction of the whole quota that all routers together may use now."""
-        return sum(router.part() for router in self.routers if router.alive)
+        return sum(router.quota_share() for router in self.routers if router.alive)
 
     def leaders(self) -> list[int]:
         """Returns the numbers of the routers that act as leader."""
--- a/marbleworks/lab/hollow.py
+++ b/marbleworks/lab/hollow.py
@@ -30,10 +30,10 @@
 from gevent import socket, subprocess
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.lab.group import Group
+from marbleworks.lab.group import SimulatedGroup
 from marbleworks.lab.slopes import Slope, fit
-from marbleworks.lab.stage import settings, until
-from marbleworks.lab.standins import HOST, configuration, dns_answer
+from marbleworks.lab.stage import lab_settings, wait_until
+from marbleworks.lab.standins import HOST, dns_answer, router_configuration
 from marbleworks.membership.messages import MemberState
 from marbleworks.net.engine_protocol import MAX_DNS_RESPONSE_BYTES
 
@@ -297,12 +297,12 @@
             The paths of the configuration and of the operator's file, as the command `start` takes them.
         """
         config = json.loads(
-            configuration(
+            router_configuration(
                 1,
                 1,
                 nameserver,
                 engines,
-                settings(8, routers=self.count, me=number),
+                lab_settings(8, routers=self.count, router_index=number),
                 group=(self.addresses(), self.broadcast_socket.getsockname()),
             )
         )
@@ -473,7 +473,7 @@
         for number in living:
             self.configure(number, server.address, server.engines)
         answers = self.all("reload", lambda p: [n for n in p.numbers if n not in self.killed])
-        if not until(lambda: len(server.first_queried_at) >= len(living), ANSWER_TIMEOUT_S):
+        if not wait_until(lambda: len(server.first_queried_at) >= len(living), ANSWER_TIMEOUT_S):
             raise RuntimeError(
                 f"{len(server.first_queried_at)} of {len(living)} routers queried the new name server"
             )
@@ -552,7 +552,7 @@
         hollow_group.measure_idle_cpu(0.5)
         began = time.monotonic()
         hollow_group.start()
-        if not until(hollow_group.is_divided, AGREEMENT_TIMEOUT_S):
+        if not wait_until(hollow_group.is_divided, AGREEMENT_TIMEOUT_S):
             raise RuntimeError(f"{count} hollow routers did not agree in {AGREEMENT_TIMEOUT_S:.0f} s")
         agreed = time.monotonic() - began
         usage = _measure_idle(hollow_group, seconds)
@@ -562,7 +562,7 @@
         for number in choose_killed(count, kills, seed):
             hollow_group.kill(number)
             living = count - len(hollow_group.killed)
-            if not until(
+            if not wait_until(
                 lambda number=number, living=living: (  # type: ignore[misc]
                     len(hollow_group.detection_seconds(number)) >= living
                 )
@@ -582,7 +582,7 @@
     then.
     """
     for _ in range(MAX_COUNTS):
-        if not until(hollow_group.is_gossip_over, AGREEMENT_TIMEOUT_S):
+        if not wait_until(hollow_group.is_gossip_over, AGREEMENT_TIMEOUT_S):
             raise RuntimeError(
                 f"gossip of {hollow_group.count} hollow routers did not end in {AGREEMENT_TIMEOUT_S:.0f} s"
             )
@@ -603,7 +603,7 @@
         hollow_group.measure_idle_cpu(0.5)
         hollow_group.start()
         server = hollow_group.lists[0]
-        if not until(
+        if not wait_until(
             lambda: len(server.query_counts) >= QUERYING_ROUTERS and min(server.query_counts.values()) > 1
         ):
             raise RuntimeError("some routers did not query the engine list twice")
@@ -628,7 +628,7 @@
             return listed[1]
 
         # The list was taken over, or two answers were ignored by the time of the third query.
-        until(lambda: engine_count() == engines or max(server.query_counts.values(), default=0) > 2)
+        wait_until(lambda: engine_count() == engines or max(server.query_counts.values(), default=0) > 2)
         lines = hollow_group.processes[0].log.read_text().count("name server response unreadable")
         return answer_bytes(engines), engine_count(), lines
 
@@ -683,7 +683,7 @@
     return RunResults(groups, costs, list(zip(engines, configuring.get(), strict=True)))
 
 
-def slopes(seed: int, quick: bool) -> list[Slope]:
+def measure_slopes(seed: int, quick: bool) -> list[Slope]:
     """Measures and fits all slopes of hollow routers; `quick` measures small sizes only."""
     return fit_slopes(measure_all(seed, quick), seed)
 
@@ -769,7 +769,7 @@
     """
     run, rows = measure_all(seed, quick), list[dict[str, Any]]()
     for m in run.groups[-2:]:
-        group = Group(m.count, seed)
+        group = SimulatedGroup(m.count, seed)
         while (
             not group.views_agree()
             or not group.leaders()
@@ -805,7 +805,7 @@
     return rows
 
 
-def measure_simulated_death(group: Group, number: int) -> list[float]:
+def measure_simulated_death(group: SimulatedGroup, number: int) -> list[float]:
     """Kills a simulated router and restarts it after all know.
 
     Returns:
@@ -814,7 +814,7 @@
     at, first = group.now, dict[int, float]()
     group.changes.clear()
     group.kill(number)
-    living = len(group.living())
+    living = len(group.live_routers())
     while len(first) < living and group.now < at + 20.0:
         group.run(0.5)
         for when, by, change in group.changes:
--- a/marbleworks/lab/kills.py
+++ b/marbleworks/lab/kills.py
@@ -9,7 +9,7 @@
 from gevent import Timeout
 
 from marbleworks.lab.fleet import result_of
-from marbleworks.lab.stage import TENANTS, Stage
+from marbleworks.lab.stage import TENANTS, LabCluster
 from marbleworks.lab.standins import RpcClient
 
 WRITERS = 3  # concurrent clients
@@ -43,11 +43,14 @@
         """Returns the whole result and an empty string, or None and the reason why it could not be read."""
         data = bytearray()
         for page in range(1, self.pages + 1):
-            client.last += 1
+            client.last_message_number += 1
             client.send(
-                0, client.last, "page", [{"spool": self.token, "page": str(page), "tenant": self.tenant}]
+                0,
+                client.last_message_number,
+                "page",
+                [{"spool": self.token, "page": str(page), "tenant": self.tenant}],
             )
-            reply = client.hear()
+            reply = client.receive()
             if reply is None or reply[2]:
                 return None, str(reply)
             data += reply[3][0]
@@ -71,38 +74,41 @@
     rng, results = random.Random(seed), list[SpooledResult]()
     figures = {"answered": 0, "lost": 0, "wrong": 0, "started": 0, "released": 0}
 
-    def write(stage: Stage) -> None:
+    def write(cluster: LabCluster) -> None:
         try:
-            client = RpcClient(stage.router.address)
+            client = RpcClient(cluster.router.address)
             while True:
                 ref, size = f"{rng.getrandbits(64):016x}", rng.randrange(7_000, 400_000)
                 tenant = rng.choice(TENANTS)
                 text = f"select 1 /* work=5 size={size} */"
-                client.ask("market-report", text, ref=ref, tenant=tenant, wait="5000", spool="1")
-                reply = client.hear()
+                client.send_request("market-report", text, ref=ref, tenant=tenant, wait="5000", spool="1")
+                reply = client.receive()
                 if reply is not None and reply[2] is None:
                     results.append(SpooledResult(ref, size, tenant, reply[3][1]))
                     figures["answered"] += 1
                 if reply is not None and rng.random() < 0.3 and results:
                     released = results.pop(rng.randrange(len(results)))
-                    client.last += 1
+                    client.last_message_number += 1
                     client.send(
-                        0, client.last, "release", [{"spool": released.token, "tenant": released.tenant}]
+                        0,
+                        client.last_message_number,
+                        "release",
+                        [{"spool": released.token, "tenant": released.tenant}],
                     )
-                    client.hear()
+                    client.receive()
                     figures["released"] += 1
         except (OSError, TypeError, Timeout, AttributeError):
             return  # the router has been killed
 
-    with Stage(engines=2, operator=SPOOL) as stage:
+    with LabCluster(engines=2, operator=SPOOL) as cluster:
         for _ in range(count):
-            writers = [gevent.spawn(write, stage) for _ in range(WRITERS)]
+            writers = [gevent.spawn(write, cluster) for _ in range(WRITERS)]
             gevent.sleep(0.05 + 0.35 * rng.random())
-            stage.router.end(signal.SIGKILL)
+            cluster.router.stop(signal.SIGKILL)
             gevent.joinall(writers, timeout=6)
-            stage.router.start()
+            cluster.router.start()
             figures["started"] += 1
-            client = RpcClient(stage.router.address)
+            client = RpcClient(cluster.router.address)
             for result in results:
                 data, reason = result.read(client)
                 if data is None:
--- a/marbleworks/lab/levels.py
+++ b/marbleworks/lab/levels.py
@@ -29,13 +29,14 @@
     Welcome,
     budget_for_level_above,
 )
-from marbleworks.lab.budget_model import LEASE, WEIGHTS, Fleet, drawn
+from marbleworks.lab.budget_model import LEASE, WEIGHTS, BudgetModel, draw_action
 from marbleworks.lab.explore import every_order
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 
 CELL_LEASE_S = 1.5  # seconds of a cell's lease
-CELLS, PLACES = 2, 4  # cells, and places of a cell, one of which is free for a router that moves there
-SHARES = CELLS * PLACES
+# Cells, and places of a cell, one of which is free for a router that moves there.
+CELL_COUNT, SLOTS_PER_CELL = 2, 4
+SHARE_COUNT = CELL_COUNT * SLOTS_PER_CELL
 MACHINES = 2  # machines of the level above
 MAX_IN_FLIGHT = 12  # datagrams in flight
 OVERDUE_CHECK_INTERVAL_S = 0.1  # seconds between a router's checks for overdue requests
@@ -47,11 +48,11 @@
 
     Attributes:
         ledger: The cell's allocation ledger.
-        lessee: The cell's leases from the level above.
+        lease_holder: The cell's leases from the level above.
     """
 
     ledger: AllocationLedger
-    lessee: BudgetLeaseHolder
+    lease_holder: BudgetLeaseHolder
 
 
 @dataclass
@@ -61,14 +62,14 @@
     Attributes:
         leader: The router that is the leader; -1 if there is none.
         members: Routers by place.
-        starts: Generation of the last router in each place.
-        desks: Leader state by router, also of former leaders that have not noticed their replacement.
+        generations: Generation of the last router in each place.
+        leader_states: Leader state by router, also of former leaders that have not noticed their replacement.
     """
 
     leader: int = -1
     members: dict[int, int] = field(default_factory=dict)
-    starts: dict[int, int] = field(default_factory=dict)
-    desks: dict[int, LeaderState] = field(default_factory=dict)
+    generations: dict[int, int] = field(default_factory=dict)
+    leader_states: dict[int, LeaderState] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -98,61 +99,61 @@
 
 
 @dataclass
-class World(Fleet):
+class LeaseModel(BudgetModel):
     """A fleet in cells, with the level above and the network.
 
     Attributes:
         machine_paces: Paces of the clocks of the machines above.
         top_machine: The machine that leads the level above; -1 if there is none.
-        lessor: The leases that the level above grants.
+        lease_granter: The leases that the level above grants.
         machine_starts: Generations of the machines above.
         top_term: Term of the level above.
         top_budget: The budget by the file of the machines above.
         cells: The cells.
-        home: Cell and place by router.
+        cell_and_place: Cell and place by router.
         cut_cells: Cells that are cut off from the level above.
         muted_routers: Routers whose datagrams get lost.
         stale_routers: Routers that do not hear of a new leader.
         followed_leaders: The leader that each router reports to.
-        flying: Datagrams in flight.
+        in_flight: Datagrams in flight.
     """
 
     machine_paces: list[float] = field(
         default_factory=lambda: [1.0 + MAX_CLOCK_DRIFT / 2, 1.0 - MAX_CLOCK_DRIFT / 2]
     )
     top_machine: int = -1
-    lessor: BudgetLeaseGranter | None = None
+    lease_granter: BudgetLeaseGranter | None = None
     machine_starts: list[int] = field(default_factory=lambda: [1] * MACHINES)
     top_term: int = 0
     top_budget: Budget | None = None
     cells: list[Cell] = field(default_factory=list)
-    home: dict[int, tuple[int, int]] = field(default_factory=dict)
+    cell_and_place: dict[int, tuple[int, int]] = field(default_factory=dict)
     cut_cells: set[int] = field(default_factory=set)
     muted_routers: set[int] = field(default_factory=set)
     stale_routers: set[int] = field(default_factory=set)
     followed_leaders: dict[int, int] = field(default_factory=dict)
-    flying: list[Datagram] = field(default_factory=list)
+    in_flight: list[Datagram] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.top_budget = self.wholes[0]
-        self.cells = [Cell() for _ in range(CELLS)]
+        self.top_budget = self.budgets[0]
+        self.cells = [Cell() for _ in range(CELL_COUNT)]
         for n in range(len(self.routers)):
-            cell, place = n % CELLS, n // CELLS
-            self.cells[cell].members[place], self.home[n] = n, (cell, place)
-            self.cells[cell].starts[place] = 1
+            cell, place = n % CELL_COUNT, n // CELL_COUNT
+            self.cells[cell].members[place], self.cell_and_place[n] = n, (cell, place)
+            self.cells[cell].generations[place] = 1
 
-    def _purse(self, number: int) -> LocalBudgets:
+    def _make_local_budgets(self, number: int) -> LocalBudgets:
         began = self.clock(number) if self.now else 0.0
-        purse = LocalBudgets(number, PLACES, self.kept, LEASE, began, SHARES)
-        purse.set_budgets([self.wholes[number]], self.clock(number))
-        return purse
+        local_budgets = LocalBudgets(number, SLOTS_PER_CELL, self.guaranteed_ratio, LEASE, began, SHARE_COUNT)
+        local_budgets.set_budgets([self.budgets[number]], self.clock(number))
+        return local_budgets
 
-    def above(self, machine: int) -> float:
+    def machine_clock(self, machine: int) -> float:
         """Returns the time by the clock of a machine of the level above."""
         return 500.0 + self.now * self.machine_paces[machine]
 
-    def may(self, cell: int, number: int) -> bool:
+    def is_leader(self, cell: int, number: int) -> bool:
         """Returns whether a router leads the cell by its own clock.
 
         A leader checks this before it acts, also after its process stood still.
@@ -161,42 +162,42 @@
 
     # Acts.
 
-    def passes(self, step: float) -> None:
+    def advance(self, step: float) -> None:
         """Lets time pass in steps, with a check for overdue requests after each."""
         while step > 1e-9:
-            super().passes(min(step, OVERDUE_CHECK_INTERVAL_S))
+            super().advance(min(step, OVERDUE_CHECK_INTERVAL_S))
             step -= OVERDUE_CHECK_INTERVAL_S
 
-    def tells(self, number: int) -> None:
+    def send_reports(self, number: int) -> None:
         """Sends a router's reports to the leader that it follows."""
-        cell, place = self.home[number]
+        cell, place = self.cell_and_place[number]
         if number not in self.stale_routers:
             self.followed_leaders[number] = self.cells[cell].leader
         leader = self.followed_leaders.get(number, -1)
-        if leader < 0 or self.home[leader][0] != cell:
+        if leader < 0 or self.cell_and_place[leader][0] != cell:
             return
-        self.wants(number)
-        router, (_, leader_place) = self.routers[number], self.home[leader]
-        start = self.cells[cell].starts[leader_place]
-        for report in router.purse.make_reports(
-            leader_place, start, self.cells[cell].starts[place], self.clock(number)
+        self.add_waiting(number)
+        router, (_, leader_place) = self.routers[number], self.cell_and_place[leader]
+        start = self.cells[cell].generations[leader_place]
+        for report in router.local_budgets.make_reports(
+            leader_place, start, self.cells[cell].generations[place], self.clock(number)
         ):
-            self.flying.append(Datagram(number, leader, cell, place, False, report))
+            self.in_flight.append(Datagram(number, leader, cell, place, False, report))
 
-    def leader_tells(self, cell: int, number: int) -> None:
+    def send_leader_messages(self, cell: int, number: int) -> None:
         """Sends a leader's messages to the level above."""
-        lessee = self.cells[cell].desks[number].lessee
-        for machine, message in lessee.make_messages(self.clock(number)):
-            self.flying.append(Datagram(number, machine, cell, -1, True, message))
+        lease_holder = self.cells[cell].leader_states[number].lease_holder
+        for machine, message in lease_holder.make_messages(self.clock(number)):
+            self.in_flight.append(Datagram(number, machine, cell, -1, True, message))
 
-    def comes(self, i: int, keep: bool) -> None:
+    def deliver(self, i: int, keep: bool) -> None:
         """Delivers the datagram at an index.
 
         Args:
-            i: Index in `flying`.
+            i: Index in `in_flight`.
             keep: Whether it stays in flight, to be delivered again.
         """
-        datagram = self.flying[i] if keep else self.flying.pop(i)
+        datagram = self.in_flight[i] if keep else self.in_flight.pop(i)
         message, cell = datagram.message, datagram.cell
         if datagram.is_above and cell in self.cut_cells:
             return
@@ -209,128 +210,146 @@
         if datagram.is_above and isinstance(message, Hello | BudgetReport):
             self._deliver_to_level_above(datagram)
         elif datagram.is_above and isinstance(message, Welcome | BudgetAnswer):
-            if self.may(cell, datagram.receiver):
-                self.cells[cell].desks[datagram.receiver].lessee.handle_message(
+            if self.is_leader(cell, datagram.receiver):
+                self.cells[cell].leader_states[datagram.receiver].lease_holder.handle_message(
                     datagram.sender, message, self.clock(datagram.receiver)
                 )
         elif isinstance(message, BudgetReport):
-            if self.may(cell, datagram.receiver):
-                now, ledger = self.clock(datagram.receiver), self.cells[cell].desks[datagram.receiver].ledger
+            if self.is_leader(cell, datagram.receiver):
+                now, ledger = (
+                    self.clock(datagram.receiver),
+                    self.cells[cell].leader_states[datagram.receiver].ledger,
+                )
                 answer = ledger.handle_report(datagram.place, message, now)
                 if answer is not None:
                     reply = Datagram(datagram.receiver, datagram.sender, cell, datagram.place, False, answer)
-                    self.flying.append(reply)
-        elif isinstance(message, BudgetAnswer) and self.home[datagram.receiver] == (cell, datagram.place):
+                    self.in_flight.append(reply)
+        elif isinstance(message, BudgetAnswer) and self.cell_and_place[datagram.receiver] == (
+            cell,
+            datagram.place,
+        ):
             sender_place = next((p for p, n in self.cells[cell].members.items() if n == datagram.sender), -1)
-            self.routers[datagram.receiver].purse.handle_answer(
+            self.routers[datagram.receiver].local_budgets.handle_answer(
                 sender_place, message, self.clock(datagram.receiver)
             )
 
     def _deliver_to_level_above(self, datagram: Datagram) -> None:
-        if self.lessor is None or datagram.receiver != self.top_machine:
+        if self.lease_granter is None or datagram.receiver != self.top_machine:
             return
         message, answer = datagram.message, None
         if isinstance(message, Hello):
-            answer = self.lessor.handle_hello(message)
+            answer = self.lease_granter.handle_hello(message)
         elif isinstance(message, BudgetReport):
-            answer = self.lessor.handle_report(datagram.cell, message, self.above(self.top_machine))  # type: ignore[assignment]
+            answer = self.lease_granter.handle_report(
+                datagram.cell, message, self.machine_clock(self.top_machine)
+            )  # type: ignore[assignment]
         if answer is not None:
-            self.flying.append(Datagram(self.top_machine, datagram.sender, datagram.cell, -1, True, answer))
+            self.in_flight.append(
+                Datagram(self.top_machine, datagram.sender, datagram.cell, -1, True, answer)
+            )
 
-    def leads(self, cell: int, number: int) -> None:
+    def elect_leader(self, cell: int, number: int) -> None:
         """Makes a router the leader of its cell.
 
         The lease of the former leader is over by its own clock; its datagrams may still arrive.
         """
         cell_state, router, now = self.cells[cell], self.routers[number], self.clock(number)
         cell_state.leader = number
-        router.reign += 1
-        place = self.home[number][1]
-        start = cell_state.starts[place]
-        lessee = BudgetLeaseHolder(cell, (number, start, router.reign), MACHINES, CELL_LEASE_S, now)
+        router.term += 1
+        place = self.cell_and_place[number][1]
+        start = cell_state.generations[place]
+        lease_holder = BudgetLeaseHolder(cell, (number, start, router.term), MACHINES, CELL_LEASE_S, now)
         ledger = AllocationLedger(
             place,
-            PLACES,
+            SLOTS_PER_CELL,
             start,
-            router.reign,
-            self.kept,
+            router.term,
+            self.guaranteed_ratio,
             LEASE,
             now,
-            {self.wholes[number].budget_id: {self.wholes[number].units}},
-            CellRouterPolicy(PLACES, self.kept, SHARES),
-            lessee,
+            {self.budgets[number].budget_id: {self.budgets[number].units}},
+            CellRouterPolicy(SLOTS_PER_CELL, self.guaranteed_ratio, SHARE_COUNT),
+            lease_holder,
         )
-        ledger.set_budgets([self.wholes[number]])
-        lessee.ledger = ledger
-        cell_state.desks[number] = LeaderState(ledger, lessee)
+        ledger.set_budgets([self.budgets[number]])
+        lease_holder.ledger = ledger
+        cell_state.leader_states[number] = LeaderState(ledger, lease_holder)
 
-    def rules(self, machine: int, anew: bool = False) -> None:
+    def elect_machine(self, machine: int, restart: bool = False) -> None:
         """Makes a machine the leader of the level above.
 
         Args:
             machine: The machine.
-            anew: Whether its process has just started.
+            restart: Whether its process has just started.
         """
         assert self.top_budget is not None
-        self.machine_starts[machine] += anew
+        self.machine_starts[machine] += restart
         self.top_machine, self.top_term = machine, self.top_term + 1
         start = self.machine_starts[machine]
         seen = {self.top_budget.budget_id: {self.top_budget.units}}
-        self.lessor = BudgetLeaseGranter(
-            machine, CELLS, SHARES, start, self.top_term, self.kept, CELL_LEASE_S, self.above(machine), seen
+        self.lease_granter = BudgetLeaseGranter(
+            machine,
+            CELL_COUNT,
+            SHARE_COUNT,
+            start,
+            self.top_term,
+            self.guaranteed_ratio,
+            CELL_LEASE_S,
+            self.machine_clock(machine),
+            seen,
         )
-        self.lessor.ledger.set_budgets([budget_for_level_above(self.top_budget, LEASE)])
+        self.lease_granter.ledger.set_budgets([budget_for_level_above(self.top_budget, LEASE)])
 
-    def anew(self, number: int) -> None:
+    def restart(self, number: int) -> None:
         """Kills a router and starts it again."""
-        cell, place = self.home[number]
+        cell, place = self.cell_and_place[number]
         self._leave_cell(number)
-        super().anew(number)
-        self.cells[cell].starts[place] += 1
+        super().restart(number)
+        self.cells[cell].generations[place] += 1
 
     def _leave_cell(self, number: int) -> None:
-        cell = self.cells[self.home[number][0]]
-        cell.desks.pop(number, None)
+        cell = self.cells[self.cell_and_place[number][0]]
+        cell.leader_states.pop(number, None)
         if cell.leader == number:
             cell.leader = -1
 
-    def moves_to(self, number: int, cell: int, place: int) -> None:
+    def move_router(self, number: int, cell: int, place: int) -> None:
         """Moves a router to a place of another cell, as a new plan does."""
         self._leave_cell(number)
-        old_cell, old_place = self.home[number]
+        old_cell, old_place = self.cell_and_place[number]
         del self.cells[old_cell].members[old_place]
         new_cell = self.cells[cell]
-        new_cell.members[place], self.home[number] = number, (cell, place)
-        new_cell.starts[place] = new_cell.starts.get(place, 0) + 1
-        self.routers[number].purse.move_to_group(place, self.clock(number))
+        new_cell.members[place], self.cell_and_place[number] = number, (cell, place)
+        new_cell.generations[place] = new_cell.generations.get(place, 0) + 1
+        self.routers[number].local_budgets.move_to_group(place, self.clock(number))
 
-    def rewritten(self, number: int, units: int) -> None:
+    def change_units(self, number: int, units: int) -> None:
         """Changes the units of the budget in a configuration file.
 
         Args:
             number: The router whose file changes; -1 for the file of the machines above.
             units: The new units.
         """
-        old_budget = self.wholes[max(number, 0)]
+        old_budget = self.budgets[max(number, 0)]
         budget = Budget(old_budget.name, units, old_budget.window_s, old_budget.settle_s)
         if number < 0:
             self.top_budget = budget
-            if self.lessor is not None:
-                self.lessor.ledger.set_budgets([budget_for_level_above(budget, LEASE)])
+            if self.lease_granter is not None:
+                self.lease_granter.ledger.set_budgets([budget_for_level_above(budget, LEASE)])
             return
-        self.wholes[number] = budget
-        self.routers[number].purse.set_budgets([budget], self.clock(number))
+        self.budgets[number] = budget
+        self.routers[number].local_budgets.set_budgets([budget], self.clock(number))
         for cell in self.cells:
-            if number in cell.desks:
-                cell.desks[number].ledger.set_budgets([budget])
+            if number in cell.leader_states:
+                cell.leader_states[number].ledger.set_budgets([budget])
 
-    def cuts(self, cell: int) -> None:
+    def toggle_cut(self, cell: int) -> None:
         """Cuts a cell off from the level above, or ends the cut."""
         self.cut_cells ^= {cell}
 
-    def lost(self, i: int) -> None:
+    def lose(self, i: int) -> None:
         """Loses the datagram at an index."""
-        self.flying.pop(i)
+        self.in_flight.pop(i)
 
     def toggle_mute(self, number: int) -> None:
         """Cuts a router off from all others, or ends the cut."""
@@ -349,81 +368,87 @@
             step: Seconds that pass.
             twice: Whether the leaders' datagrams to the level above stay in flight to arrive once more.
         """
-        self.passes(step)
-        earlier_datagrams, self.flying = self.flying, []
+        self.advance(step)
+        earlier_datagrams, self.in_flight = self.in_flight, []
         for n in range(len(self.routers)):
-            self.tells(n)
+            self.send_reports(n)
         for cell_index, cell_state in enumerate(self.cells):
             if cell_state.leader >= 0:
-                self.leader_tells(cell_index, cell_state.leader)
-        earlier_datagrams += [datagram for datagram in self.flying if twice and datagram.is_above]
-        while self.flying:
-            self.comes(0, False)
-        self.flying = earlier_datagrams[-MAX_IN_FLIGHT:]
+                self.send_leader_messages(cell_index, cell_state.leader)
+        earlier_datagrams += [datagram for datagram in self.in_flight if twice and datagram.is_above]
+        while self.in_flight:
+            self.deliver(0, False)
+        self.in_flight = earlier_datagrams[-MAX_IN_FLIGHT:]
 
-    def fills(self, number: int) -> None:
+    def use_all_units(self, number: int) -> None:
         """Lets a router take all units that it may and start requests with them."""
-        while self.pocket(number).has_room(self.clock(number)):
+        while self.budget(number).has_room(self.clock(number)):
             self.take(number)
-        while self.routers[number].begins:
+        while self.routers[number].begin_deadlines:
             self.begin(number)
 
-    def moves(
-        self, step: float, wholes: tuple[int, ...] = (), who: tuple[int, ...] = ()
+    def possible_acts(
+        self, step: float, file_units: tuple[int, ...] = (), who: tuple[int, ...] = ()
     ) -> Iterator[tuple[str, Callable[[Any], None]]]:
         """Yields the acts that are possible, by name.
 
         Args:
             step: Seconds that pass in an act of time.
-            wholes: Units that a configuration file may change to.
+            file_units: Units that a configuration file may change to.
             who: Routers that act by themselves; all if empty.
         """
-        yield f"time {step}", partial(World.passes, step=step)
-        yield f"round {step}", partial(World.run_round, step=min(step, 0.2))
-        yield "round twice", partial(World.run_round, step=0.1, twice=True)
-        room = len(self.flying) < MAX_IN_FLIGHT
+        yield f"time {step}", partial(LeaseModel.advance, step=step)
+        yield f"round {step}", partial(LeaseModel.run_round, step=min(step, 0.2))
+        yield "round twice", partial(LeaseModel.run_round, step=0.1, twice=True)
+        room = len(self.in_flight) < MAX_IN_FLIGHT
         for n in who or range(len(self.routers)):
-            cell, _ = self.home[n]
+            cell, _ = self.cell_and_place[n]
             if room and self.cells[cell].leader >= 0:
-                yield f"{n} tells", partial(World.tells, number=n)
-            yield from self.traffic(n)
-            if self.pocket(n).has_room(self.clock(n)):
-                yield f"{n} fills", partial(World.fills, number=n)
+                yield f"{n} tells", partial(LeaseModel.send_reports, number=n)
+            yield from self.request_actions(n)
+            if self.budget(n).has_room(self.clock(n)):
+                yield f"{n} fills", partial(LeaseModel.use_all_units, number=n)
             if self.cells[cell].leader != n:
-                yield f"right of {cell} to {n}", partial(World.leads, cell=cell, number=n)
+                yield f"right of {cell} to {n}", partial(LeaseModel.elect_leader, cell=cell, number=n)
             else:
-                yield f"right of {cell} again", partial(World.leads, cell=cell, number=n)
-            yield f"{n} anew", partial(World.anew, number=n)
+                yield f"right of {cell} again", partial(LeaseModel.elect_leader, cell=cell, number=n)
+            yield f"{n} restart", partial(LeaseModel.restart, number=n)
             yield (
                 f"{n} {'is heard' if n in self.muted_routers else 'mute'}",
-                partial(World.toggle_mute, number=n),
+                partial(LeaseModel.toggle_mute, number=n),
             )
             yield (
                 f"{n} {'hears' if n in self.stale_routers else 'stale'}",
-                partial(World.toggle_stale, number=n),
+                partial(LeaseModel.toggle_stale, number=n),
             )
             for to, other in enumerate(self.cells):
-                free_places = [place for place in range(PLACES) if place not in other.members]
+                free_places = [place for place in range(SLOTS_PER_CELL) if place not in other.members]
                 if to != cell and free_places:
-                    yield f"{n} moved", partial(World.moves_to, number=n, cell=to, place=free_places[0])
-            for units in wholes:
-                if units != self.wholes[n].units:
-                    yield f"{n} file {units}", partial(World.rewritten, number=n, units=units)
+                    yield (
+                        f"{n} moved",
+                        partial(LeaseModel.move_router, number=n, cell=to, place=free_places[0]),
+                    )
+            for units in file_units:
+                if units != self.budgets[n].units:
+                    yield f"{n} file {units}", partial(LeaseModel.change_units, number=n, units=units)
         for cell_index, cell_state in enumerate(self.cells):
-            for n in cell_state.desks:
-                if room and self.may(cell_index, n):
-                    yield f"leader {n} up", partial(World.leader_tells, cell=cell_index, number=n)
-            yield f"cut {cell_index}", partial(World.cuts, cell=cell_index)
-        for units in wholes:
+            for n in cell_state.leader_states:
+                if room and self.is_leader(cell_index, n):
+                    yield (
+                        f"leader {n} up",
+                        partial(LeaseModel.send_leader_messages, cell=cell_index, number=n),
+                    )
+            yield f"cut {cell_index}", partial(LeaseModel.toggle_cut, cell=cell_index)
+        for units in file_units:
             if self.top_budget is not None and units != self.top_budget.units:
-                yield f"above file {units}", partial(World.rewritten, number=-1, units=units)
+                yield f"above file {units}", partial(LeaseModel.change_units, number=-1, units=units)
         for machine in range(MACHINES):
-            yield f"above to {machine}", partial(World.rules, machine=machine)
-            yield f"above anew {machine}", partial(World.rules, machine=machine, anew=True)
-        for i, datagram in enumerate(self.flying):
-            yield datagram.name(), partial(World.comes, i=i, keep=False)
-            yield f"{datagram.name()} again", partial(World.comes, i=i, keep=True)
-            yield f"{datagram.name()} lost", partial(World.lost, i=i)
+            yield f"above to {machine}", partial(LeaseModel.elect_machine, machine=machine)
+            yield f"above restart {machine}", partial(LeaseModel.elect_machine, machine=machine, restart=True)
+        for i, datagram in enumerate(self.in_flight):
+            yield datagram.name(), partial(LeaseModel.deliver, i=i, keep=False)
+            yield f"{datagram.name()} again", partial(LeaseModel.deliver, i=i, keep=True)
+            yield f"{datagram.name()} lost", partial(LeaseModel.lose, i=i)
 
 
 # Weights of acts in a random walk, by the first of these words in their name.
@@ -461,7 +486,7 @@
 
 
 def stroll(
-    seed: int, acts: int, span: float = 0.0, units: int = 9, often: dict[str, float] | None = None
+    seed: int, acts: int, window_s: float = 0.0, units: int = 9, weights: dict[str, float] | None = None
 ) -> int:
     """Takes a random walk that favours acts which use the budget up.
 
@@ -470,9 +495,9 @@
     Args:
         seed: Seed of all random choices.
         acts: Number of acts.
-        span: Seconds of the window of a rate budget; 0 for a concurrency budget.
+        window_s: Seconds of the window of a rate budget; 0 for a concurrency budget.
         units: Units of the budget.
-        often: Weights of acts that replace the usual ones.
+        weights: Weights of acts that replace the usual ones.
 
     Returns:
         The number of acts.
@@ -480,47 +505,47 @@
     Raises:
         InvariantViolation: More than the budget is in use.
     """
-    weights = (often or {}) | {
-        word: weight for word, weight in ACT_WEIGHTS.items() if word not in (often or {})
+    act_weights = (weights or {}) | {
+        word: weight for word, weight in ACT_WEIGHTS.items() if word not in (weights or {})
     }
-    chance = random.Random(seed)
-    settle = span if span else chance.choice([0.3, 1.0]) + ABANDONED_ATTEMPT_TIMEOUT_S
-    world = begun(Budget("w", units, span, settle), chance.choice([0.0, 0.25, 0.9]))
-    wholes = (units, 2 * units) if seed % 2 else ()
-    world.bound = max([units, *wholes])
-    warm(world, chance.choice([0, 70]), (chance.randrange(6),))
+    rng = random.Random(seed)
+    settle = window_s if window_s else rng.choice([0.3, 1.0]) + ABANDONED_ATTEMPT_TIMEOUT_S
+    world = start_model(Budget("w", units, window_s, settle), rng.choice([0.0, 0.25, 0.9]))
+    file_units = (units, 2 * units) if seed % 2 else ()
+    world.max_units = max([units, *file_units])
+    run_rounds(world, rng.choice([0, 70]), (rng.randrange(6),))
     for _ in range(acts):
-        moves = list(world.moves(chance.choice([0.02, 0.1, 0.3, 0.9]), wholes))
-        world.does(*drawn(chance, moves, weights))
+        moves = list(world.possible_acts(rng.choice([0.02, 0.1, 0.3, 0.9]), file_units))
+        world.perform(*draw_action(rng, moves, act_weights))
     return acts
 
 
-def begun(whole: Budget, kept: float) -> World:
+def start_model(budget: Budget, guaranteed_ratio: float) -> LeaseModel:
     """Returns a fleet in which the level above and each cell have a leader."""
-    world = World([whole] * len(PACES), list(PACES), kept)
-    world.rules(0)
-    for cell in range(CELLS):
-        world.leads(cell, cell)
+    world = LeaseModel([budget] * len(PACES), list(PACES), guaranteed_ratio)
+    world.elect_machine(0)
+    for cell in range(CELL_COUNT):
+        world.elect_leader(cell, cell)
     return world
 
 
-def warm(world: World, rounds: int, busy: tuple[int, ...]) -> None:
+def run_rounds(world: LeaseModel, rounds: int, busy: tuple[int, ...]) -> None:
     """Runs rounds of reports in which the busy routers take all units that they can."""
     for _ in range(rounds):
         world.run_round(0.1)
         for n in busy:
-            world.fills(n)
+            world.use_all_units(n)
         world.check()
 
 
-def exhaust(depth: int, span: float = 0.0, step: float = 1.2, rounds: int = 80) -> int:
+def exhaust(depth: int, window_s: float = 0.0, step: float = 1.2, rounds: int = 80) -> int:
     """Tries every order of acts to a depth, from a fleet in which one cell has the whole budget.
 
     Two routers of that cell act, and one of the other cell.
 
     Args:
         depth: Acts in a row.
-        span: Seconds of the window of a rate budget; 0 for a concurrency budget.
+        window_s: Seconds of the window of a rate budget; 0 for a concurrency budget.
         step: Seconds that pass in an act of time.
         rounds: Rounds of reports before the first act.
 
@@ -530,6 +555,8 @@
     Raises:
         InvariantViolation: More than the budget is in use.
     """
-    world = begun(Budget("w", 3, span, span if span else 0.3 + ABANDONED_ATTEMPT_TIMEOUT_S), 0.0)
-    warm(world, rounds, (0,))
-    return every_order(world, depth, lambda one: one.moves(step, (), (0, 1, 2)))
+    world = start_model(
+        Budget("w", 3, window_s, window_s if window_s else 0.3 + ABANDONED_ATTEMPT_TIMEOUT_S), 0.0
+    )
+    run_rounds(world, rounds, (0,))
+    return every_order(world, depth, lambda one: one.possible_acts(step, (), (0, 1, 2)))
--- a/marbleworks/lab/page.py
+++ b/marbleworks/lab/page.py
@@ -17,7 +17,7 @@
 from marbleworks.lab import duties, target
 from marbleworks.lab.duties import CONTROL, Duty, Role, Row, Status, Step
 from marbleworks.lab.slopes import Slope, Slopes
-from marbleworks.lab.target import Figure, Formula, Variant, by_name, worked
+from marbleworks.lab.target import Figure, Formula, Variant, by_name, evaluate
 
 RESULTS, PAGE = Path("docs/results/capacity.json"), Path("docs/CAPACITY.md")
 OVER_MARK, ERROR_MARK, NO_RUN, NO_VALUE = "**over**", "**off**", "no run yet", "-"
@@ -51,7 +51,7 @@
         return self.slopes.by_name
 
 
-def read(path: Path) -> Results:
+def read_results(path: Path) -> Results:
     """Reads a results file.
 
     Raises:
@@ -113,14 +113,14 @@
     figures: dict[str, Figure]
 
     @property
-    def unrun(self) -> frozenset[str]:
+    def slopes_without_run(self) -> frozenset[str]:
         """Names of slopes that have no run."""
-        return frozenset[str]().union(*(figure.unrun for figure in self.figures.values()))
+        return frozenset[str]().union(*(figure.slopes_without_run for figure in self.figures.values()))
 
     def measured_figure(self, what: str) -> Figure | None:
         """Returns the figure of a measure, None if it has no value."""
         figure = self.figures.get(what)
-        return figure if figure is not None and not figure.unrun else None
+        return figure if figure is not None and not figure.slopes_without_run else None
 
     def ratio(self) -> Ratio | None:
         """Returns the largest ratio to a limit, None if there is none."""
@@ -134,7 +134,7 @@
         ratio = self.ratio()
         if ratio is not None:
             return str(ratio)
-        return NO_RUN if self.row.awaited or self.unrun else "no limit"
+        return NO_RUN if self.row.awaited or self.slopes_without_run else "no limit"
 
 
 def limits_of(row: Row) -> dict[str, float]:
@@ -190,7 +190,7 @@
         self, formula: Formula, variant: Variant, more_inputs: Mapping[str, float] | None = None
     ) -> Figure:
         """Evaluates a formula for a variant, with additional inputs."""
-        return worked(
+        return evaluate(
             formula,
             self.slopes,
             {**self.inputs_by_variant[variant], **duties.CONSTANT_INPUTS, **(more_inputs or {})},
@@ -230,8 +230,8 @@
                     sum(figure.value for figure in figures),
                     sum(figure.low for figure in figures),
                     sum(figure.high for figure in figures),
-                    max(figure.far for figure in figures),
-                    max(figure.under for figure in figures),
+                    max(figure.times_beyond for figure in figures),
+                    max(figure.times_below for figure in figures),
                     frozenset(),
                     "",
                 )
@@ -283,15 +283,15 @@
     """Formats a figure of a measure."""
     if figure is None:
         return NO_VALUE
-    return NO_RUN if figure.unrun else FORMATTERS[what](figure.value)
+    return NO_RUN if figure.slopes_without_run else FORMATTERS[what](figure.value)
 
 
 def extrapolation_text(figures: Iterable[Figure]) -> str:
     """Describes how far the figures lie outside the measured sizes."""
-    there = [figure for figure in figures if not figure.unrun and figure.far]
+    there = [figure for figure in figures if not figure.slopes_without_run and figure.times_beyond]
     if not there:
         return NO_VALUE
-    far, under = max(figure.far for figure in there), max(figure.under for figure in there)
+    far, under = max(figure.times_beyond for figure in there), max(figure.times_below for figure in there)
     ends = [f"{format_number(far)} times"] if far > 1.0 else []
     ends += [f"{format_number(under)} times below"] if under > 1.0 else []
     return ", ".join(ends) or "measured"
@@ -342,7 +342,7 @@
         ("machines set aside", target.MACHINES, None),
         ("machines that fail on an ordinary day", target.FAILED, None),
         ("machines restarted or replaced", target.RESTARTED, None),
-        ("part of the fleet at a time", f"{100 * target.TENTH:g}%", None),
+        ("part of the fleet at a time", f"{100 * target.RESTART_FRACTION:g}%", None),
     )
 
     def cell(value: Any) -> str:
@@ -373,7 +373,11 @@
 
     def list_share(count: int) -> float:
         listed = math.ceil(count * allowance.engines)
-        return target.ASKS * model.slopes["list_bytes"].at(listed) / (allowance.listing * allowance.bytes)
+        return (
+            target.LIST_REQUESTS_PER_S
+            * model.slopes["list_bytes"].value_at(listed)
+            / (allowance.engine_list * allowance.bytes)
+        )
 
     routers, engines, bound = model.cell
     rows = [
@@ -388,7 +392,7 @@
     ]
 
     def report_share(count: int) -> float:
-        return target.REPORTS * count * model.slopes["ledger_cpu"].at(count) / allowance.cpu
+        return target.REPORTS_PER_S * count * model.slopes["ledger_cpu"].value_at(count) / allowance.cpu
 
     for what, used_share in (
         ("list, bytes a second, told as today", list_share),
@@ -418,7 +422,7 @@
         format_figure(resolved.figures.get(what), what) for what in ("messages", "bytes", "cpu", "memory")
     ]
     texts = [f"{what}: {figure.text}" for what, figure in resolved.figures.items()]
-    unrun = ", ".join(sorted(resolved.unrun))
+    unrun = ", ".join(sorted(resolved.slopes_without_run))
     if unrun or row.awaited:
         texts.append(f"{NO_RUN}: {unrun}" if unrun else NO_RUN)
     return (
@@ -503,7 +507,9 @@
             else {"cpu": target.CPU, "bytes": target.BYTES, "memory": target.MEMORY}
         )
         found = list(
-            ratios_to_limits({what: figure for what, figure in figures.items() if not figure.unrun}, limits)
+            ratios_to_limits(
+                {what: figure for what, figure in figures.items() if not figure.slopes_without_run}, limits
+            )
         )
         rows.append(
             (
@@ -547,9 +553,9 @@
         base.value + added.value,
         base.low + added.low,
         base.high + added.high,
-        max(base.far, added.far),
-        max(base.under, added.under),
-        added.unrun,
+        max(base.times_beyond, added.times_beyond),
+        max(base.times_below, added.times_below),
+        added.slopes_without_run,
         added.text,
     )
 
@@ -571,7 +577,7 @@
                     figure = _add_figures(sums.get(measure), figure)
                 figures.append(figure)
                 cells.append(format_figure(figure, kind or measure))
-                if kind and not figure.unrun:
+                if kind and not figure.slopes_without_run:
                     worst.append(_ratio_to(figure, LIMITS[kind], what.partition(", of")[0]))
             ratio = str(max(worst, key=lambda found: found.value)) if worst else NO_RUN
             rows.append((burst.name, variant.value, *cells, extrapolation_text(figures), ratio))
@@ -598,7 +604,7 @@
     if not formula:
         return NO_RUN
     figure = model.figure(formula, variant)
-    return NO_RUN if figure.unrun else f"{format_range(figure, format_number)} s"
+    return NO_RUN if figure.slopes_without_run else f"{format_range(figure, format_number)} s"
 
 
 def _recovery_table(model: CapacityModel) -> str:
@@ -636,7 +642,7 @@
                     what,
                     variant.value,
                     format_figure(figure, "bytes"),
-                    NO_RUN if figure.unrun else a_second,
+                    NO_RUN if figure.slopes_without_run else a_second,
                     extrapolation_text([figure]),
                     source,
                     figure.text,
@@ -654,7 +660,7 @@
                 (
                     what,
                     variant.value,
-                    NO_RUN if figure.unrun else f"{format_range(figure, format_number)} s{mark}",
+                    NO_RUN if figure.slopes_without_run else f"{format_range(figure, format_number)} s{mark}",
                     NO_VALUE,
                     extrapolation_text([figure]),
                     f"within {target.START_WITHIN:g} s",
@@ -681,7 +687,7 @@
         for variant in Variant:
             cells.append(_duration_text(model, step.seconds, variant))
             figure = None if step.seconds is None else model.figure(step.seconds, variant)
-            if figure is None or figure.unrun:
+            if figure is None or figure.slopes_without_run:
                 is_incomplete[variant] = True
             else:
                 sums[variant] += figure.value
@@ -836,7 +842,7 @@
     }
 
 
-def written(page: str, results: Results) -> str:
+def render_page(page: str, results: Results) -> str:
     """Renders a page again with current tables.
 
     Raises:
@@ -856,7 +862,7 @@
 # Checks.
 
 
-def problems(page: str, results: Results, package: Path = Path(target.__file__).parents[1]) -> list[str]:
+def find_problems(page: str, results: Results, package: Path = Path(target.__file__).parents[1]) -> list[str]:
     """Checks a page against its results.
 
     Args:
@@ -868,7 +874,7 @@
         A line for each problem.
 
     Raises:
-        PageError: The page can't be rendered; see `written`.
+        PageError: The page can't be rendered; see `render_page`.
     """
     return [
         *data_problems(results, package),
@@ -883,12 +889,12 @@
     there = set(results.by_name)
     for name in sorted(there - target.SLOPES):
         yield f"{name}: unknown slope"
-    for name in sorted(target.SLOPES - there - target.AWAITED):
+    for name in sorted(target.SLOPES - there - target.SLOPES_WITHOUT_RUN):
         yield f"{name}: has no run and is not marked so"
     for name in target.FIGURES.values():
         if name not in results.figures:
             yield f"{name}: has no run and is not marked so"
-    for name in sorted(there & target.AWAITED):
+    for name in sorted(there & target.SLOPES_WITHOUT_RUN):
         yield f"{name}: has a run; remove it from AWAITED"
     for role in Role:
         for duty in Duty:
@@ -930,7 +936,7 @@
                 yield f"table {name}: lacks the line: {line[:120]}"
         if sorted(body.splitlines()) == sorted(expected):
             yield f"table {name}: its rows are in another order"
-    written(page, results)
+    render_page(page, results)
 
 
 def mark_problems(page: str) -> Iterator[str]:
--- a/marbleworks/lab/peers.py
+++ b/marbleworks/lab/peers.py
@@ -20,14 +20,14 @@
     InvariantViolation,
     check_invariants,
     explore_all_orders,
+    random_group_walk,
     random_walk,
-    walk,
 )
-from marbleworks.lab.faultnet import FaultNet
-from marbleworks.lab.group import Group, NetworkFaults
-from marbleworks.lab.load import Ask, Caller, arrivals
-from marbleworks.lab.report import Report, percentile, spread
-from marbleworks.lab.stage import TENANTS, Stage, settings
+from marbleworks.lab.faultnet import FaultyNetwork
+from marbleworks.lab.group import NetworkFaults, SimulatedGroup
+from marbleworks.lab.load import LoadClient, RequestOutcome, schedule_arrivals
+from marbleworks.lab.report import Report, distribution, percentile
+from marbleworks.lab.stage import TENANTS, LabCluster, lab_settings
 from marbleworks.lab.standins import RpcClient
 from marbleworks.membership.messages import MemberState
 from marbleworks.model import EngineEntry, EngineStatus
@@ -46,7 +46,7 @@
 
     A group of 1,000 routers is neither restarted nor partitioned, because that would take an hour.
     """
-    group = Group(count, seed)
+    group = SimulatedGroup(count, seed)
     group.run(20.0 if count < 1000 else 8.0)
     detection_times, heal_times, rng = list[float](), list[float](), random.Random(seed)
     bytes_before, began = sum(group.sent_bytes), group.now
@@ -61,14 +61,14 @@
         for when, by, change in group.changes:
             if change.router == number and change.state is MemberState.DEAD:
                 first_seen.setdefault(by, when - at)
-        detection_times += [first_seen.get(router.number, 8.0) for router in group.living()]
+        detection_times += [first_seen.get(router.number, 8.0) for router in group.live_routers()]
         if count < 1000:
             group.start(number)
             group.run(8.0)
-    group.network_faults.cut = lambda a, b: (a < count // 3) != (b < count // 3)
+    group.network_faults.is_cut = lambda a, b: (a < count // 3) != (b < count // 3)
     group.run(10.0 if count < 1000 else 0.0)
     check_invariants(group)
-    group.network_faults.cut, at = lambda a, b: False, group.now
+    group.network_faults.is_cut, at = lambda a, b: False, group.now
     while count < 1000 and not group.views_agree() and group.now < at + 60.0:
         group.run(0.1)
     heal_times.append(group.now - at)
@@ -107,7 +107,7 @@
     Returns:
         Removals per hour, as all other routers together see them.
     """
-    group = Group(ROUTERS, seed)
+    group = SimulatedGroup(ROUTERS, seed)
     group.run(20.0)
     group.network_faults = NetworkFaults(loss=loss, delay=0.002, jitter=0.01)
     for number in range(slow):
@@ -126,20 +126,20 @@
 
 def measure_usable_quota(report: Report, seed: int) -> None:
     """Measures the fraction of the quota that is usable after three of seven routers died."""
-    group = Group(ROUTERS, seed)
+    group = SimulatedGroup(ROUTERS, seed)
     group.run(20.0)
     for number in (2, 4, 5):
         group.kill(number)
     group.run(10.0, lambda: check_invariants(group))
     usable_on, usable_off = group.used_quota(), 4 / ROUTERS
     report.figures |= {"usable_after_3_of_7_died_on": usable_on, "usable_after_3_of_7_died_off": usable_off}
-    report.claim("part of the whole usable after 3 of 7 died (off: 0.57)", usable_on, 0.85, least=True)
+    report.claim("part of the whole usable after 3 of 7 died (off: 0.57)", usable_on, 0.85, is_minimum=True)
 
 
 class IdlePort:
     """A scheduler port that does nothing; its clock is that of a simulated group."""
 
-    def __init__(self, group: Group) -> None:
+    def __init__(self, group: SimulatedGroup) -> None:
         self.group = group
 
     def now(self) -> float:
@@ -156,10 +156,10 @@
     in one of two runs.
     """
     for with_divider in (False, True):
-        group = Group(9, seed)
+        group = SimulatedGroup(9, seed)
         schedulers = []
         for me in range(9):
-            router_settings = Settings(settings(8, routers=9, me=me))
+            router_settings = Settings(lab_settings(8, routers=9, router_index=me))
             schedulers.append(
                 Scheduler(
                     cast(SchedulerPort, IdlePort(group)),
@@ -171,12 +171,12 @@
             )
         group.run(20.0)
 
-        def divide(group: Group = group, schedulers: list[Scheduler] = schedulers) -> list[int]:
+        def divide(group: SimulatedGroup = group, schedulers: list[Scheduler] = schedulers) -> list[int]:
             """Applies the quota shares; returns the live routers that may send to the engine."""
             for router, scheduler in zip(group.routers, schedulers, strict=True):
                 status = router.partition_status()
                 scheduler.set_router_share(status.quota_share, status.divisor, status.index)
-            living = [schedulers[live_router.number] for live_router in group.living()]
+            living = [schedulers[live_router.number] for live_router in group.live_routers()]
             senders = [
                 sender
                 for sender in living
@@ -215,7 +215,7 @@
         for n in range(20 if quick else 1500):
             acts += random_walk(seed + n, 500, 2 + n % 4)
         for n in range(1 if quick else 20):
-            acts += walk(seed + n, 10_000 if quick else 50_000)
+            acts += random_group_walk(seed + n, 10_000 if quick else 50_000)
     except InvariantViolation as err:
         broken = 1
         report.rows.append({"group": f"broken: {err}"})
@@ -227,7 +227,7 @@
     """Polls the views of all router processes, as fast as they answer.
 
     Attributes:
-        stage: The processes.
+        cluster: The processes.
         views: Latest view of each router that answers.
         history: Time, router and view of each answer.
         double_leaders: Samples in which more than one router acted as leader.
@@ -236,8 +236,8 @@
         greenlets: The polling greenlets.
     """
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage, self.views = stage, dict[int, dict[str, Any]]()
+    def __init__(self, cluster: LabCluster) -> None:
+        self.cluster, self.views = cluster, dict[int, dict[str, Any]]()
         self.history: list[tuple[float, int, dict[str, Any]]] = []
         self.double_leaders = self.over_quota = self.samples = 0
         self.greenlets = [gevent.spawn(self._poll_views, n) for n in range(ROUTERS)]
@@ -246,9 +246,9 @@
         client = None
         while True:
             try:
-                client = client or RpcClient(self.stage.routers[number].address)
+                client = client or RpcClient(self.cluster.routers[number].address)
                 client.send(0, 1, "health", [{"about": "peers"}])
-                reply = client.hear(0.5)
+                reply = client.receive(0.5)
                 self.views[number] = reply[3][1]
                 self.history.append((time.monotonic(), number, reply[3][1]))
                 self._check_sample()
@@ -312,23 +312,23 @@
         return [first_seen.get(n, AGREEMENT_TIMEOUT_S) for n in range(ROUTERS) if n != number]
 
 
-def start_load(stage: Stage, seconds: float, seed: int) -> tuple[list[Ask], list[Any]]:
+def start_load(cluster: LabCluster, seconds: float, seed: int) -> tuple[list[RequestOutcome], list[Any]]:
     """Starts look-ups at all routers. Returns the list that receives the outcomes, and the greenlets."""
-    rng, outcomes = np.random.default_rng(seed), list[Ask]()
-    idle_callers: dict[int, list[Caller]] = {n: [] for n in range(ROUTERS)}
+    rng, outcomes = np.random.default_rng(seed), list[RequestOutcome]()
+    idle_clients: dict[int, list[LoadClient]] = {n: [] for n in range(ROUTERS)}
 
     def send_one(at: int) -> None:
-        caller = (
-            idle_callers[at].pop()
-            if idle_callers[at]
-            else Caller(stage.routers[at].address, TENANTS[at % 4], seed)
+        client = (
+            idle_clients[at].pop()
+            if idle_clients[at]
+            else LoadClient(cluster.routers[at].address, TENANTS[at % 4], seed)
         )
-        outcomes.append(caller.ask("date-lookup", int(rng.uniform(10, 40)), 600))
-        idle_callers[at].append(caller)
+        outcomes.append(client.send_request("date-lookup", int(rng.uniform(10, 40)), 600))
+        idle_clients[at].append(client)
 
     greenlets: list[Any] = []
     for n in range(ROUTERS):
-        greenlets += arrivals(rng, LOOK_UP_RATE, seconds, lambda n=n: send_one(n))  # type: ignore[misc]
+        greenlets += schedule_arrivals(rng, LOOK_UP_RATE, seconds, lambda n=n: send_one(n))  # type: ignore[misc]
     return outcomes, greenlets
 
 
@@ -337,13 +337,13 @@
     durations: dict[str, list[float]] = {"off": [], "on": []}
     # Alternates, so that a busy period of the machine does not affect only one variant.
     for name, operator in itertools.chain(*[[("off", ""), ("on", OPERATOR)]] * 2):
-        net = FaultNet(ROUTERS, seed)
-        with Stage(6, 8, operator, routers=ROUTERS, net=net) as stage:
+        network = FaultyNetwork(ROUTERS, seed)
+        with LabCluster(6, 8, operator, routers=ROUTERS, network=network) as cluster:
             gevent.sleep(8.0)  # by then a group has a leader and shares
-            outcomes, greenlets = start_load(stage, seconds, seed)
+            outcomes, greenlets = start_load(cluster, seconds, seed)
             gevent.joinall(greenlets, timeout=seconds + 10)
-            durations[name] += [ask.took for ask in outcomes if ask.end == "answered"]
-        net.close()
+            durations[name] += [request.duration_s for request in outcomes if request.outcome == "answered"]
+        network.close()
     report.figures |= {f"look_ups_{n}_p99_ms": 1e3 * percentile(t, 99) for n, t in durations.items()}
     report.claim(
         "look-ups' p99 with it on over off",
@@ -351,9 +351,9 @@
         1.05,
     )
     report.charts.append(
-        ("look-ups", "seconds", "share answered", {n: spread(t) for n, t in durations.items()})
+        ("look-ups", "seconds", "share answered", {n: distribution(t) for n, t in durations.items()})
     )
-    net = FaultNet(ROUTERS, seed)
+    network = FaultyNetwork(ROUTERS, seed)
     rng = random.Random(seed)
     death_times, stop_times, disagreements, all_routers = (
         list[float](),
@@ -361,45 +361,47 @@
         0,
         list(range(ROUTERS)),
     )
-    with Stage(6, 8, OPERATOR, routers=ROUTERS, net=net) as stage:
-        watch = ViewMonitor(stage)
+    with LabCluster(6, 8, OPERATOR, routers=ROUTERS, network=network) as cluster:
+        watch = ViewMonitor(cluster)
         disagreements += not watch.until(all_routers)
         for kind in ("kill", "pause", "cut", "stop"):
             for _ in range(rounds):
                 number = rng.randrange(ROUTERS)
                 others, at = [n for n in all_routers if n != number], time.monotonic()
-                router = stage.routers[number]
+                router = cluster.routers[number]
                 if kind == "kill":
-                    router.end(signal.SIGKILL)
+                    router.stop(signal.SIGKILL)
                     disagreements += not watch.until(others, gone=number)
                     death_times += watch.known(number, at, ("gone",))
                     router.start()
                 elif kind == "stop":
-                    router.tell(signal.SIGTERM)
+                    router.send_signal(signal.SIGTERM)
                     gevent.sleep(1.0)
                     stop_times += watch.known(number, at, ("left", "gone"))
-                    router.end()
+                    router.stop()
                     router.start()
                 elif kind == "pause":
-                    router.tell(signal.SIGSTOP)
+                    router.send_signal(signal.SIGSTOP)
                     gevent.sleep(rng.choice([0.5, 3.0]))
-                    router.tell(signal.SIGCONT)
+                    router.send_signal(signal.SIGCONT)
                 else:
                     size = rng.randrange(1, ROUTERS)
                     part = rng.sample(all_routers, size)
-                    net.part(part, [n for n in all_routers if n not in part])
+                    network.partition(part, [n for n in all_routers if n not in part])
                     gevent.sleep(4.0)
-                    net.part()
+                    network.partition()
                 disagreements += not watch.until(all_routers)
-        net.loss, net.jitter = 0.05, 0.01
+        network.loss, network.jitter = 0.05, 0.01
         starts = {n: int(row[1]) for n, row in enumerate(watch.views[0]["rows"])}
-        before = [len(router.log()) for router in stage.routers]
+        before = [len(router.read_log()) for router in cluster.routers]
         gevent.sleep(4.0 if rounds < 5 else 60.0)
-        removed = sum(r.log()[b:].count("member dead") for r, b in zip(stage.routers, before, strict=True))
-        net.loss = net.jitter = 0.0
+        removed = sum(
+            r.read_log()[b:].count("member dead") for r, b in zip(cluster.routers, before, strict=True)
+        )
+        network.loss = network.jitter = 0.0
         gevent.killall(watch.greenlets)
-        failures = sum(router.log().count('"event": "failed"') for router in stage.routers)
-    net.close()
+        failures = sum(router.read_log().count('"event": "failed"') for router in cluster.routers)
+    network.close()
     report.figures |= {
         "processes_death_p50_s": percentile(death_times, 50),
         "processes_death_p99_s": percentile(death_times, 99),
--- a/marbleworks/lab/report.py
+++ b/marbleworks/lab/report.py
@@ -43,18 +43,20 @@
     logarithmic: bool = False
     extra: dict[str, Any] = field(default_factory=dict)
 
-    def claim(self, name: str, value: float, bound: float, least: bool = False) -> None:
+    def claim(self, name: str, value: float, bound: float, is_minimum: bool = False) -> None:
         """Adds a claim.
 
         Args:
             name: Name of the claim.
             value: Measured value.
             bound: Bound of the value.
-            least: Whether the bound is a minimum instead of a maximum.
+            is_minimum: Whether the bound is a minimum instead of a maximum.
         """
-        holds = value >= bound if least else value <= bound
+        holds = value >= bound if is_minimum else value <= bound
         rounded = round(value, 4)
-        self.claims.append({"name": name, "value": rounded, "bound": bound, "least": least, "holds": holds})
+        self.claims.append(
+            {"name": name, "value": rounded, "bound": bound, "least": is_minimum, "holds": holds}
+        )
 
     @property
     def holds(self) -> bool:
@@ -111,7 +113,7 @@
         return text_lines
 
 
-def spread(values: list[float]) -> tuple[list[float], list[float]]:
+def distribution(values: list[float]) -> tuple[list[float], list[float]]:
     """Returns a distribution for a chart: the sorted values, and the fraction that is no larger."""
     ordered = sorted(values)
     return ordered, [(i + 1) / len(ordered) for i in range(len(ordered))]
--- a/marbleworks/lab/sizes.py
+++ b/marbleworks/lab/sizes.py
@@ -40,8 +40,8 @@
 )
 from marbleworks.fair_queue.flow_classifier import FlowClassifier
 from marbleworks.lab.meter import PACE, medians, processor_seconds, state_bytes, yardsticks_of
-from marbleworks.lab.stage import RouterProcess, free_port, held_port, settings
-from marbleworks.lab.standins import HOST, RpcClient, configuration
+from marbleworks.lab.stage import RouterProcess, free_port, lab_settings, reserve_port
+from marbleworks.lab.standins import HOST, RpcClient, router_configuration
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
 from marbleworks.net.discovery import EngineDiscovery, OpenQuery
@@ -62,7 +62,9 @@
 
 def deployment(tenants: int = TENANT_COUNT, routers: int = ROUTER_COUNT) -> dict[str, Any]:
     """Returns the settings of a deployment of many zones and kinds, whose loads hold their table groups."""
-    settings_dict = settings(8, tenants=[f"tenant-{n}" for n in range(tenants)], routers=routers, me=1)
+    settings_dict = lab_settings(
+        8, tenants=[f"tenant-{n}" for n in range(tenants)], routers=routers, router_index=1
+    )
     settings_dict |= {"zones": [f"zone-{n}" for n in range(ZONE_COUNT)], "az": "zone-0"}
     settings_dict["kinds"] = [f"kind-{n}" for n in range(len(CORES_BY_KIND))]
     settings_dict["specifics"] |= {
@@ -589,7 +591,7 @@
         connection = RpcClient(router.address)
         connections.append(connection)
         connection.send(0, 1, "health", [{}])
-        if connection.hear(5.0)[3][0] is not True:
+        if connection.receive(5.0)[3][0] is not True:
             raise RuntimeError("the router is not healthy")
     gevent.sleep(0.3)
 
@@ -602,12 +604,12 @@
     that wakes four times a second for its own timers finds cold caches when the machine is busy.
     """
     state_values, cpu_values, connections = list[float](), list[float](), list[RpcClient]()
-    listen = held_port()
+    listen = reserve_port()
     port = listen.getsockname()[1]
     with tempfile.TemporaryDirectory(prefix="marbleworks-lab-") as folder:
         sockets = 3 * (UNMEASURED_CONNECTIONS + counts[-1] + 64)  # a third of the sockets is for clients
-        config = configuration(
-            port, free_port(), (HOST, free_port()), {"e-1": (HOST, free_port())}, settings(8), sockets
+        config = router_configuration(
+            port, free_port(), (HOST, free_port()), {"e-1": (HOST, free_port())}, lab_settings(8), sockets
         )
         router = RouterProcess(Path(folder) / "router", config, port)
         try:
@@ -615,14 +617,14 @@
             process = router.process
             assert process is not None
             _connect(router, connections, UNMEASURED_CONNECTIONS)
-            before = router.memory()
+            before = router.resident_mib()
             for count in counts:
                 _connect(router, connections, UNMEASURED_CONNECTIONS + count)
-                state_values.append((router.memory() - before) * 2**20)
+                state_values.append((router.resident_mib() - before) * 2**20)
                 cpu_values.append(min(_sample_cpu(process.pid) for _ in range(samples_per_count)))
         finally:
             for connection in connections:
                 connection.sock.close()
-            router.end()
+            router.stop()
             listen.close()
     return {"client_state": state_values, "client_cpu": cpu_values}
--- a/marbleworks/lab/slopes.py
+++ b/marbleworks/lab/slopes.py
@@ -54,25 +54,25 @@
     spread: float
     seed: int = 0
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Returns the value of the curve at a size."""
         return self.base + self.factor * math.pow(x, self.exponent)
 
-    def between(self, x: float) -> tuple[float, float]:
+    def range_at(self, x: float) -> tuple[float, float]:
         """Returns the low and high end of the value at a size, by the interval of the exponent.
 
         The curves with the low and the high exponent meet the fitted curve at the geometric mean of the
         measured sizes.
         """
         geometric_mean = math.exp(sum(math.log(v) for v in self.xs) / len(self.xs))
-        power_part = max(self.at(geometric_mean) - self.base, 0.0)
+        power_part = max(self.value_at(geometric_mean) - self.base, 0.0)
         interval = sorted(
             self.base + power_part * (x / geometric_mean) ** exponent_end
             for exponent_end in (self.low, self.high)
         )
         return interval[0], interval[1]
 
-    def times(self, x: float) -> float:
+    def extrapolation_ratio(self, x: float) -> float:
         """Returns the ratio of a size to the largest measured size."""
         return x / self.xs[-1]
 
--- a/marbleworks/lab/spool.py
+++ b/marbleworks/lab/spool.py
@@ -1,6 +1,6 @@
 """Experiment on the spool: market reports of 200 KB to 4 MB, readers at 10 KB/s, and look-ups beside them.
 
-Each part has a stage of its own: look-ups with and without a busy spool, the same reports without a spool,
+Each part has a cluster of its own: look-ups with and without a busy spool, the same reports without a spool,
 five hundred open results, a full spool, and a router that is killed repeatedly.
 """
 
@@ -13,11 +13,11 @@
 from gevent import Timeout, socket
 from numpy.random import Generator
 
-from marbleworks.lab.fleet import FORGOTTEN, result_of
+from marbleworks.lab.fleet import ABANDONED_RUN_TIMEOUT_S, result_of
 from marbleworks.lab.kills import rounds
-from marbleworks.lab.load import Ask, Caller, CallerPool, arrivals
-from marbleworks.lab.report import Report, percentile, spread
-from marbleworks.lab.stage import TENANTS, Stage
+from marbleworks.lab.load import LoadClient, LoadClientPool, RequestOutcome, schedule_arrivals
+from marbleworks.lab.report import Report, distribution, percentile
+from marbleworks.lab.stage import TENANTS, LabCluster
 from marbleworks.lab.standins import RpcClient
 
 SPOOL_ON = '(background (bytes 50 MB/s)) (spool (folder "FOLDER") (room 2 GB) (share 100 %) (page 24 KB))'
@@ -36,18 +36,21 @@
     return int(np.exp(rng.uniform(np.log(200e3), np.log(4e6))))
 
 
-def send_look_up(callers: CallerPool, rng: Generator, outcomes: list[Ask]) -> None:
+def send_look_up(clients: LoadClientPool, rng: Generator, outcomes: list[RequestOutcome]) -> None:
     """Sends a look-up and records its outcome."""
-    outcomes.append(callers.ask("date-lookup", int(rng.uniform(20, 120)), 600))
+    outcomes.append(clients.send_request("date-lookup", int(rng.uniform(20, 120)), 600))
 
 
 def read_slowly(
-    ask: Ask, address: tuple[str, int], seconds: float, pages: list[tuple[Ask, int, bytes]]
+    request: RequestOutcome,
+    address: tuple[str, int],
+    seconds: float,
+    pages: list[tuple[RequestOutcome, int, bytes]],
 ) -> None:
     """Reads a result page by page at `READER_BYTES_PER_S`.
 
     Args:
-        ask: The answered request.
+        request: The answered request.
         address: Address of the router.
         seconds: Time after which reading stops.
         pages: Receives the request, number and content of each page.
@@ -56,8 +59,8 @@
     try:
         client = RpcClient(address)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        for number in range(1, int(ask.told["pages"]) + 1):
-            fields = {"spool": ask.told["spool"], "page": str(number), "tenant": ask.tenant}
+        for number in range(1, int(request.fields["pages"]) + 1):
+            fields = {"spool": request.fields["spool"], "page": str(number), "tenant": request.tenant}
             client.send(0, number, "page", [fields])
             reply = None
             while reply is None:
@@ -71,73 +74,76 @@
                 reply = next(iter(client.unpacker), None)
                 gevent.sleep(len(data) / READER_BYTES_PER_S)
             if reply[2] is None:
-                pages.append((ask, number, reply[3][0]))
+                pages.append((request, number, reply[3][0]))
     except (OSError, Timeout):
         return
 
 
-def count_wrong_pages(pages: list[tuple[Ask, int, bytes]], max_bytes: int = 24_000) -> int:
+def count_wrong_pages(pages: list[tuple[RequestOutcome, int, bytes]], max_bytes: int = 24_000) -> int:
     """Returns the number of pages that differ from what the engine produced.
 
     Pages of a result have to follow one another, and must not be larger than `max_bytes`.
     """
     wrong_pages, offsets = 0, dict[str, int]()
-    for ask, number, body in pages:
-        result = result_of(ask.ref, ask.size)
-        start = offsets.get(f"{ask.ref}/{number}", 0 if number == 1 else -1)
+    for request, number, body in pages:
+        result = result_of(request.ref, request.size)
+        start = offsets.get(f"{request.ref}/{number}", 0 if number == 1 else -1)
         if start < 0 or result[start : start + len(body)] != body or len(body) > max_bytes:
             wrong_pages += 1
-        offsets[f"{ask.ref}/{number + 1}"] = start + len(body)
+        offsets[f"{request.ref}/{number + 1}"] = start + len(body)
     return wrong_pages
 
 
 def measure_look_ups(report: Report, seconds: float, seed: int) -> None:
     """Measures look-ups alone, then beside reports that are spooled and read slowly."""
-    with Stage(engines=4, cores=16, operator=SPOOL_ON) as stage:
-        look_ups: dict[str, list[Ask]] = {}
-        reports: list[Ask] = []
-        pages: list[tuple[Ask, int, bytes]] = []
-        callers = CallerPool(stage.router.address, seed)
+    with LabCluster(engines=4, cores=16, operator=SPOOL_ON) as cluster:
+        look_ups: dict[str, list[RequestOutcome]] = {}
+        reports: list[RequestOutcome] = []
+        pages: list[tuple[RequestOutcome, int, bytes]] = []
+        clients = LoadClientPool(cluster.router.address, seed)
         for name in ("warm-up", "alone", "beside"):
             arrival_rng, work_rng = np.random.default_rng(seed), np.random.default_rng(seed + 1)
             outcomes = look_ups[name] = []
             length_s = 1.5 if name == "warm-up" else seconds
 
-            def start_look_up(work_rng: Generator = work_rng, outcomes: list[Ask] = outcomes) -> None:
-                send_look_up(callers, work_rng, outcomes)
+            def start_look_up(
+                work_rng: Generator = work_rng, outcomes: list[RequestOutcome] = outcomes
+            ) -> None:
+                send_look_up(clients, work_rng, outcomes)
 
             def send_report(arrival_rng: Generator = arrival_rng) -> None:
-                ask = callers.ask(
+                request = clients.send_request(
                     "market-report",
                     int(arrival_rng.uniform(100, 600)),
                     draw_report_size(arrival_rng),
                     spool="1",
                 )
-                reports.append(ask)
-                if ask.end == "answered":
-                    read_slowly(ask, stage.router.address, seconds, pages)
+                reports.append(request)
+                if request.outcome == "answered":
+                    read_slowly(request, cluster.router.address, seconds, pages)
 
-            greenlets = arrivals(arrival_rng, LOOK_UP_RATE, length_s, start_look_up)
+            greenlets = schedule_arrivals(arrival_rng, LOOK_UP_RATE, length_s, start_look_up)
             if name == "beside":
-                greenlets += arrivals(arrival_rng, REPORT_RATE, length_s, send_report)
+                greenlets += schedule_arrivals(arrival_rng, REPORT_RATE, length_s, send_report)
             gevent.joinall(greenlets, timeout=length_s + 30)
-        stats = stage.tell_fleet(stats=True)
+        stats = cluster.command_fleet(stats=True)
         release_delays = [delay for engine in stats for delay in engine["freed_after"]]
-        caller = Caller(stage.router.address, "oslo", seed + 9)
+        client = LoadClient(cluster.router.address, "oslo", seed + 9)
         unreadable = wrong_results = 0
-        for ask in [ask for ask in reports if ask.end == "answered"][:40]:
-            caller.tenant = ask.tenant
+        for request in [request for request in reports if request.outcome == "answered"][:40]:
+            client.tenant = request.tenant
             bodies = [
-                caller.page(ask.told["spool"], number) for number in range(1, int(ask.told["pages"]) + 1)
+                client.page(request.fields["spool"], number)
+                for number in range(1, int(request.fields["pages"]) + 1)
             ]
             unreadable += any(isinstance(body, str) for body in bodies)
             wrong_results += b"".join(data for data in bodies if isinstance(data, bytes)) != result_of(
-                ask.ref, ask.size
+                request.ref, request.size
             )
-        log = stage.router.log()
-    alone = [ask.took for ask in look_ups["alone"] if ask.end == "answered"]
-    beside = [ask.took for ask in look_ups["beside"] if ask.end == "answered"]
-    answered = [ask for ask in reports if ask.end == "answered"]
+        log = cluster.router.read_log()
+    alone = [request.duration_s for request in look_ups["alone"] if request.outcome == "answered"]
+    beside = [request.duration_s for request in look_ups["beside"] if request.outcome == "answered"]
+    answered = [request for request in reports if request.outcome == "answered"]
     for name, values in (("live_alone", alone), ("live_beside", beside), ("engine_freed", release_delays)):
         report.figures[f"{name}_p50_ms"] = 1e3 * percentile(values, 50)
         report.figures[f"{name}_p99_ms"] = 1e3 * percentile(values, 99)
@@ -146,7 +152,7 @@
         "reports_answered": len(answered),
         "pages_read_slowly": len(pages),
         "engine_freed_max_ms": 1e3 * max(release_delays, default=0.0),
-        "spooled_mb_a_second": sum(ask.size for ask in answered) / seconds / 1e6,
+        "spooled_mb_a_second": sum(request.size for request in answered) / seconds / 1e6,
         "router_failures": float(log.count('"event": "failed"')),
     }
     report.claim(
@@ -155,18 +161,21 @@
     ratio = percentile(beside, 99) / percentile(alone, 99)
     report.claim("live look-ups' p99 beside a busy spool over alone", ratio, 1.1)
     report.claim("wrong bytes served", wrong_results + count_wrong_pages(pages), 0)
-    report.claim("reports answered over asked", len(answered) / max(len(reports), 1), 0.99, least=True)
+    report.claim("reports answered over asked", len(answered) / max(len(reports), 1), 0.99, is_minimum=True)
     report.claim("answered results that could not be read to the end", unreadable, 0)
     report.rows.append(_row("with the spool", stats, len(answered), len(reports), answered))
-    series = {"alone": spread(alone), "beside a busy spool": spread(beside)}
+    series = {"alone": distribution(alone), "beside a busy spool": distribution(beside)}
     report.charts.append(("live look-ups", "seconds", "share answered", series))
 
 
 def _row(
-    name: str, stats: list[dict[str, float]], answered: int, requested: int, outcomes: list[Ask]
+    name: str, stats: list[dict[str, float]], answered: int, requested: int, outcomes: list[RequestOutcome]
 ) -> dict[str, object]:
     """Returns a row of the results table."""
-    held_s, durations = sum(engine["held_large"] for engine in stats), [ask.took for ask in outcomes]
+    held_s, durations = (
+        sum(engine["held_large"] for engine in stats),
+        [request.duration_s for request in outcomes],
+    )
     return {
         "day": name,
         "reports asked": requested,
@@ -192,39 +201,39 @@
         seed: Seed of the load.
     """
     for name in ("without it, whole", "without it, in parts"):
-        with Stage(engines=4, cores=16) as stage:
-            rng, callers = np.random.default_rng(seed), CallerPool(stage.router.address, seed)
-            completed: list[Ask] = []
+        with LabCluster(engines=4, cores=16) as cluster:
+            rng, clients = np.random.default_rng(seed), LoadClientPool(cluster.router.address, seed)
+            completed: list[RequestOutcome] = []
             requested = 0
 
             def send_report(
                 rng: Generator = rng,
-                callers: CallerPool = callers,
-                completed: list[Ask] = completed,
+                clients: LoadClientPool = clients,
+                completed: list[RequestOutcome] = completed,
                 name: str = name,
             ) -> None:
                 nonlocal requested
                 requested += 1
                 work, size = int(rng.uniform(100, 600)), draw_report_size(rng)
                 if name.endswith("whole"):
-                    ask = callers.ask("market-report", work, size)
-                    completed += [ask] if ask.end == "answered" else []
+                    request = clients.send_request("market-report", work, size)
+                    completed += [request] if request.outcome == "answered" else []
                     return
                 began, parts = time.monotonic(), -(-size // MAX_UNSPOOLED_BYTES)
                 for part in range(1, parts + 1):
-                    ask = callers.ask(
+                    request = clients.send_request(
                         "market-report", max(work * part // parts, 1), MAX_UNSPOOLED_BYTES - 6_000
                     )
-                    if ask.end != "answered":
+                    if request.outcome != "answered":
                         return
-                ask.took = time.monotonic() - began
-                completed.append(ask)
+                request.duration_s = time.monotonic() - began
+                completed.append(request)
 
-            greenlets = arrivals(rng, REPORT_RATE, seconds, send_report)
+            greenlets = schedule_arrivals(rng, REPORT_RATE, seconds, send_report)
             gevent.joinall(greenlets, timeout=seconds + drain_s)
             gevent.killall(greenlets)
-            gevent.sleep(FORGOTTEN + 0.3)  # engines have released abandoned runs by then
-            stats = stage.tell_fleet(stats=True)
+            gevent.sleep(ABANDONED_RUN_TIMEOUT_S + 0.3)  # engines have released abandoned runs by then
+            stats = cluster.command_fleet(stats=True)
         report.rows.append(_row(name, stats, len(completed), requested, completed))
         key = "baseline_" + ("whole" if name.endswith("whole") else "parts")
         report.figures[key + "_engine_seconds"] = sum(engine["held_large"] for engine in stats)
@@ -233,28 +242,28 @@
 
 def measure_memory(report: Report, count: int, seed: int) -> None:
     """Measures the router's memory with many open results, of each of which one page was read."""
-    with Stage(engines=4, cores=16, operator=SPOOL_ON) as stage:
-        callers, answered = CallerPool(stage.router.address, seed), list[Ask]()
+    with LabCluster(engines=4, cores=16, operator=SPOOL_ON) as cluster:
+        clients, answered = LoadClientPool(cluster.router.address, seed), list[RequestOutcome]()
         for _ in range(20):
-            callers.ask("date-lookup", 5, 600)
-        rest_mb, peak_mb, samples = stage.router.memory(), 0.0, list[tuple[float, float]]()
-        readers: list[Caller] = []
+            clients.send_request("date-lookup", 5, 600)
+        rest_mb, peak_mb, samples = cluster.router.resident_mib(), 0.0, list[tuple[float, float]]()
+        readers: list[LoadClient] = []
 
         def open_results(count_share: int) -> None:
             for _ in range(count_share):
-                ask = callers.ask("market-report", 5, 200_000, spool="1")
-                if ask.end == "answered":
-                    answered.append(ask)
-                    reader = Caller(stage.router.address, ask.tenant, seed)
-                    reader.page(ask.told["spool"], 2)
+                request = clients.send_request("market-report", 5, 200_000, spool="1")
+                if request.outcome == "answered":
+                    answered.append(request)
+                    reader = LoadClient(cluster.router.address, request.tenant, seed)
+                    reader.page(request.fields["spool"], 2)
                     readers.append(reader)
 
         greenlets = [gevent.spawn(open_results, count // 10) for _ in range(10)]
         while not all(greenlet.ready() for greenlet in greenlets):
-            peak_mb = max(peak_mb, stage.router.memory())
-            samples.append((float(len(answered)), stage.router.memory() - rest_mb))
+            peak_mb = max(peak_mb, cluster.router.resident_mib())
+            samples.append((float(len(answered)), cluster.router.resident_mib() - rest_mb))
             gevent.sleep(0.1)
-        end_mb = stage.router.memory()
+        end_mb = cluster.router.resident_mib()
     report.figures |= {
         "memory_rest_mb": rest_mb,
         "memory_peak_mb": peak_mb,
@@ -264,7 +273,7 @@
     report.claim(
         f"router's memory above rest with {count} open spools, MB", max(peak_mb, end_mb) - rest_mb, 40
     )
-    report.claim("open spools", len(answered), count, least=True)
+    report.claim("open spools", len(answered), count, is_minimum=True)
     series = {"above rest": ([x for x, _ in samples], [y for _, y in samples])}
     report.charts.append(("memory of the router", "open spools", "MB", series))
 
@@ -274,31 +283,37 @@
 
     A client that is shed with a Retry-After returns at the announced time.
     """
-    with Stage(engines=4, cores=16, operator=SMALL_SPOOL) as stage:
-        callers, rng = CallerPool(stage.router.address, seed), np.random.default_rng(seed)
-        before, during = list[Ask](), list[Ask]()
+    with LabCluster(engines=4, cores=16, operator=SMALL_SPOOL) as cluster:
+        clients, rng = LoadClientPool(cluster.router.address, seed), np.random.default_rng(seed)
+        before, during = list[RequestOutcome](), list[RequestOutcome]()
         # Whether the announced delay is a retry promise, whether the retry was answered, and the delay in s.
         retries: list[tuple[bool, bool, float]] = []
-        gevent.joinall(arrivals(rng, LOOK_UP_RATE, seconds / 2, lambda: send_look_up(callers, rng, before)))
-        outcomes: list[Ask] = []
+        gevent.joinall(
+            schedule_arrivals(rng, LOOK_UP_RATE, seconds / 2, lambda: send_look_up(clients, rng, before))
+        )
+        outcomes: list[RequestOutcome] = []
 
         def send_report() -> None:
             size, work = int(rng.uniform(200e3, 400e3)), int(rng.uniform(20, 60))
-            caller = Caller(stage.router.address, TENANTS[len(outcomes) % len(TENANTS)], seed)
-            ask = caller.ask("market-report", work, size, spool="1")
-            outcomes.append(ask)
-            if ask.end == "shed" and ask.after is not None:
-                gevent.sleep(ask.after)
-                retry = caller.ask("market-report", work, size, spool="1")
-                retries.append((ask.after < 5.0, retry.end == "answered", ask.after))
-
-        greenlets = arrivals(rng, FULL_REPORT_RATE, seconds, send_report)
-        greenlets += arrivals(rng, LOOK_UP_RATE, seconds, lambda: send_look_up(callers, rng, during))
+            client = LoadClient(cluster.router.address, TENANTS[len(outcomes) % len(TENANTS)], seed)
+            request = client.send_request("market-report", work, size, spool="1")
+            outcomes.append(request)
+            if request.outcome == "shed" and request.retry_after_s is not None:
+                gevent.sleep(request.retry_after_s)
+                retry = client.send_request("market-report", work, size, spool="1")
+                retries.append(
+                    (request.retry_after_s < 5.0, retry.outcome == "answered", request.retry_after_s)
+                )
+
+        greenlets = schedule_arrivals(rng, FULL_REPORT_RATE, seconds, send_report)
+        greenlets += schedule_arrivals(rng, LOOK_UP_RATE, seconds, lambda: send_look_up(clients, rng, during))
         gevent.joinall(greenlets, timeout=seconds + 20)
-        log = stage.router.log()
-    in_time_fractions = [sum(ask.in_time for ask in group) / max(len(group), 1) for group in (before, during)]
+        log = cluster.router.read_log()
+    in_time_fractions = [
+        sum(request.in_time for request in group) / max(len(group), 1) for group in (before, during)
+    ]
     promised_answered = [let_in for is_promised, let_in, _ in retries if is_promised]
-    shed_count = sum(ask.end == "shed" for ask in outcomes)
+    shed_count = sum(request.outcome == "shed" for request in outcomes)
     report.figures |= {
         "full_reports": len(outcomes),
         "full_shed": shed_count,
@@ -307,7 +322,7 @@
         "full_let_in": sum(promised_answered) / max(len(promised_answered), 1),
         "full_service_before": in_time_fractions[0],
         "full_service_during": in_time_fractions[1],
-        "full_failed": sum(ask.end in ("failed", "lost") for ask in outcomes),
+        "full_failed": sum(request.outcome in ("failed", "lost") for request in outcomes),
         "full_disk_errors": log.count("spool write failed"),
     }
     report.claim(
@@ -317,9 +332,9 @@
         "let in of those that came back when told",
         sum(promised_answered) / max(len(promised_answered), 1),
         0.95,
-        least=True,
+        is_minimum=True,
     )
-    report.claim("clients that were told a time", len(promised_answered), 10, least=True)
+    report.claim("clients that were told a time", len(promised_answered), 10, is_minimum=True)
     report.claim("reports failed or lost with the spool full", report.figures["full_failed"], 0)
 
 
--- a/marbleworks/lab/stage.py
+++ b/marbleworks/lab/stage.py
@@ -1,4 +1,4 @@
-"""Test stage of an experiment: a fleet of engines and routers as processes, on ports of their own.
+"""Test cluster of an experiment: a fleet of engines and routers as processes, on ports of their own.
 
 The module owns the processes that it started and a folder for their files, and ends only those.
 """
@@ -20,8 +20,8 @@
 import gevent
 from gevent import socket, subprocess
 
-from marbleworks.lab.faultnet import FaultNet, Lines
-from marbleworks.lab.standins import HOST, RpcClient, configuration
+from marbleworks.lab.faultnet import ConnectionRelays, FaultyNetwork
+from marbleworks.lab.standins import HOST, RpcClient, router_configuration
 
 START_TIMEOUT_S = 20.0  # for a process to answer
 PROFILES = {  # by name: benefit, latency target and client timeout in seconds, effect of a repetition
@@ -32,17 +32,21 @@
 TENANTS = ("bergen", "oslo", "tromso", "voss")
 
 
-def settings(
-    cores: int, heed: float = 5.0, tenants: Sequence[str] = TENANTS, routers: int = 1, me: int = 0
+def lab_settings(
+    cores: int,
+    max_retry_after_s: float = 5.0,
+    tenants: Sequence[str] = TENANTS,
+    routers: int = 1,
+    router_index: int = 0,
 ) -> dict[str, Any]:
     """Returns the settings of a deployment with one zone.
 
     Args:
         cores: Cores of an engine.
-        heed: Longest Retry-After in seconds that clients honour.
+        max_retry_after_s: Longest Retry-After in seconds that clients honour.
         tenants: Names of the tenants.
         routers: Number of routers.
-        me: Number of the router that gets the settings.
+        router_index: Number of the router that gets the settings.
     """
     classes = [
         {
@@ -60,7 +64,7 @@
         "kinds": ["std"],
         "az": "hall-a",
         "instances": routers,
-        "me": me,
+        "me": router_index,
         "classes": classes,
         "orgs": [{"name": name, "quota_per_s": 500.0} for name in tenants],
         "feedback": {"columns": ["inflight"]},
@@ -71,7 +75,7 @@
             "peers": routers > 1,
             "probing": False,
             "retry_after": True,
-            "max_retry_after_ms": 1e3 * heed,
+            "max_retry_after_ms": 1e3 * max_retry_after_s,
             "connect_timeout_ms": 250.0,
             "idle_close_ms": 30000.0,
         },
@@ -96,7 +100,7 @@
     }
 
 
-def held_port() -> Any:
+def reserve_port() -> Any:
     """Returns a bound socket that reserves a port for a listener.
 
     The listener can bind the same port because both set SO_REUSEADDR and this socket never listens. No other
@@ -157,18 +161,20 @@
             try:
                 client = RpcClient(self.address)
                 client.send(0, 1, "health", [{}])
-                if client.hear(1.0)[3][0]:
+                if client.receive(1.0)[3][0]:
                     return
             except (OSError, TypeError, gevent.Timeout):
                 if time.monotonic() > deadline or self.process.poll() is not None:
-                    raise RuntimeError(f"router did not start; end of its log: {self.log()[-500:]}") from None
+                    raise RuntimeError(
+                        f"router did not start; end of its log: {self.read_log()[-500:]}"
+                    ) from None
                 gevent.sleep(0.02)
 
-    def log(self) -> str:
+    def read_log(self) -> str:
         """Returns the text of its log."""
         return (self.folder / "router.log").read_text("utf-8", "replace")
 
-    def memory(self) -> float:
+    def resident_mib(self) -> float:
         """Returns its resident memory in MiB."""
         assert self.process is not None
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
@@ -176,12 +182,12 @@
                 return int(line.split()[1]) / 1024.0
         return 0.0
 
-    def tell(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Sends a signal, given by its number."""
         assert self.process is not None
         self.process.send_signal(number)
 
-    def end(self, number: int = signal.SIGTERM, wait: float = 8.0) -> int | None:
+    def stop(self, number: int = signal.SIGTERM, wait: float = 8.0) -> int | None:
         """Sends a signal and waits for the end of the process.
 
         Returns:
@@ -202,7 +208,7 @@
         return process.returncode
 
 
-class Stage:
+class LabCluster:
     """A fleet of engines with a router or a group of routers, as a context manager.
 
     Attributes:
@@ -211,9 +217,9 @@
         spool: Folder of the spool.
         routers: The router processes.
         router: The first of them.
-        ports: Sockets that reserve the routers' ports.
-        lines: Relays for connections, by router number, if there are any.
-        profiles: Statements in flight by profile, at all engines together, as of the last `tell_fleet`.
+        port_reservations: Sockets that reserve the routers' ports.
+        connection_relays: Relays for connections, by router number, if there are any.
+        profiles: Statements in flight by profile, at all engines together, as of the last `command_fleet`.
     """
 
     def __init__(
@@ -221,12 +227,12 @@
         engines: int = 4,
         cores: int = 8,
         operator: str = "",
-        heed: float = 5.0,
+        max_retry_after_s: float = 5.0,
         sockets: int = 4096,
         tenants: Sequence[str] = TENANTS,
         routers: int = 1,
-        net: FaultNet | None = None,
-        lines: bool = False,
+        network: FaultyNetwork | None = None,
+        connection_relays: bool = False,
     ) -> None:
         """Starts the engines and writes the routers' files.
 
@@ -234,13 +240,13 @@
             engines: Number of engines.
             cores: Cores of an engine.
             operator: Text of the operator's file; FOLDER stands for the folder of the spool.
-            heed: Longest Retry-After in seconds that clients honour.
+            max_retry_after_s: Longest Retry-After in seconds that clients honour.
             sockets: Most sockets that a router may have open.
             tenants: Names of the tenants.
             routers: Number of routers.
-            net: Network for datagrams between the routers; by default the relays of the fleet.
-            lines: Whether the connections of each router's clients and engines pass relays; clients then
-                connect to the front of `lines`.
+            network: Network for datagrams between the routers; by default the relays of the fleet.
+            connection_relays: Whether the connections of each router's clients and engines pass relays;
+                clients then connect to `client_address` of the relays.
         """
         self.folder = Path(tempfile.mkdtemp(prefix="marbleworks-lab-"))
         self.fleet: Any = subprocess.Popen(
@@ -253,29 +259,42 @@
         engine_addresses: dict[str, Any] = dict(fleet_addresses["engines"])
         self.spool = self.folder / "spool"
         self.routers: list[RouterProcess] = []
-        self.ports = [held_port() for _ in range(routers)]
+        self.port_reservations = [reserve_port() for _ in range(routers)]
         peer_ports = [free_port(socket.SOCK_DGRAM) for _ in range(routers)]
-        self.tell_fleet(peers=peer_ports)
-        if net is not None:
-            net.listen(peer_ports)
+        self.command_fleet(peers=peer_ports)
+        if network is not None:
+            network.set_ports(peer_ports)
         peer_addresses = [(host, port) for _, (host, port) in fleet_addresses["relays"]]
-        self.lines: list[Lines] = []
-        for me, (broadcast_address, _) in enumerate(fleet_addresses["relays"]):
-            listen, directory = self.ports[me].getsockname()[1], tuple(fleet_addresses["directory"])
-            router_settings = settings(cores, heed, tenants, routers, me)
-            group = (peer_addresses, broadcast_address) if net is None else net.of(me)
+        self.connection_relays: list[ConnectionRelays] = []
+        for router_index, (broadcast_address, _) in enumerate(fleet_addresses["relays"]):
+            listen, directory = (
+                self.port_reservations[router_index].getsockname()[1],
+                tuple(fleet_addresses["directory"]),
+            )
+            router_settings = lab_settings(cores, max_retry_after_s, tenants, routers, router_index)
+            group = (
+                (peer_addresses, broadcast_address)
+                if network is None
+                else network.addresses_for(router_index)
+            )
             visible_engines = engine_addresses
-            if lines:
-                self.lines.append(Lines((HOST, listen), directory, engine_addresses))
-                directory, visible_engines = self.lines[me].directory, dict(self.lines[me].engines)
-            config = configuration(
-                listen, peer_ports[me], directory, visible_engines, router_settings, sockets, group
+            if connection_relays:
+                self.connection_relays.append(ConnectionRelays((HOST, listen), directory, engine_addresses))
+                directory, visible_engines = (
+                    self.connection_relays[router_index].directory,
+                    dict(self.connection_relays[router_index].engines),
+                )
+            config = router_configuration(
+                listen, peer_ports[router_index], directory, visible_engines, router_settings, sockets, group
+            )
+            router_folder, text = (
+                self.folder / f"router-{router_index}",
+                operator.replace("FOLDER", str(self.spool)),
             )
-            router_folder, text = self.folder / f"router-{me}", operator.replace("FOLDER", str(self.spool))
             self.routers.append(RouterProcess(router_folder, config, listen, text))
         self.router = self.routers[0]
 
-    def __enter__(self) -> Stage:
+    def __enter__(self) -> LabCluster:
         try:
             for router in self.routers:
                 router.start()
@@ -291,30 +310,30 @@
 
     def _end(self) -> None:
         for router in self.routers:
-            router.end()
+            router.stop()
         self.fleet.stdin.close()
         try:
             self.fleet.wait(timeout=3)
         except subprocess.TimeoutExpired:
             self.fleet.kill()
-        for line in self.lines:
-            line.close()
-        for sock in self.ports:
+        for relays in self.connection_relays:
+            relays.close()
+        for sock in self.port_reservations:
             sock.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def twin(self, number: int, net: FaultNet) -> RouterProcess:
+    def duplicate_router(self, number: int, network: FaultyNetwork) -> RouterProcess:
         """Returns a second process of the same router on ports of its own, to be ended by the caller."""
-        self.ports.append(held_port())
-        listen, peer_port = self.ports[-1].getsockname()[1], free_port(socket.SOCK_DGRAM)
-        net.twins[number] = peer_port
+        self.port_reservations.append(reserve_port())
+        listen, peer_port = self.port_reservations[-1].getsockname()[1], free_port(socket.SOCK_DGRAM)
+        network.duplicate_ports[number] = peer_port
         router_config = json.loads(self.routers[number].config.read_text())
         router_config |= {"listen": f"{HOST}:{listen}", "peer_listen": f"{HOST}:{peer_port}"}
         operator = self.routers[number].operator
         text = operator.read_text() if operator.exists() else ""
         return RouterProcess(self.folder / f"twin-{number}", json.dumps(router_config), listen, text)
 
-    def tell_fleet(self, **command: Any) -> list[dict[str, Any]]:
+    def command_fleet(self, **command: Any) -> list[dict[str, Any]]:
         """Sends a command to the fleet and returns the counters of each engine."""
         self.fleet.stdin.write(json.dumps(command).encode() + b"\n")
         self.fleet.stdin.flush()
@@ -324,28 +343,28 @@
         return engines
 
 
-def about(stage: Stage, number: int, what: str = "budgets") -> dict[str, Any]:
+def health_report(cluster: LabCluster, number: int, what: str = "budgets") -> dict[str, Any]:
     """Returns what a router's `health` shows of a subsystem; empty if the router does not answer."""
     try:
-        client = RpcClient(stage.routers[number].address)
+        client = RpcClient(cluster.routers[number].address)
         client.send(0, 1, "health", [{"about": what}])
-        report: dict[str, Any] = client.hear(1.0)[3][1]
+        report: dict[str, Any] = client.receive(1.0)[3][1]
         client.sock.close()
         return report
     except (OSError, TypeError, gevent.Timeout):
         return {}
 
 
-def divided(stage: Stage, name: str) -> bool:
+def is_allocated(cluster: LabCluster, name: str) -> bool:
     """Returns whether a leader's ledger shows the whole of a budget as known and allocated."""
-    for n in range(len(stage.routers)):
-        for row in about(stage, n).get("books", []):
+    for n in range(len(cluster.routers)):
+        for row in health_report(cluster, n).get("books", []):
             if row[0] == name:
                 return bool(row[2] == row[1])
     return False
 
 
-def until(condition: Callable[[], bool], wait: float = START_TIMEOUT_S) -> bool:
+def wait_until(condition: Callable[[], bool], wait: float = START_TIMEOUT_S) -> bool:
     """Polls until a condition is true. Returns whether that was the case within `wait` seconds."""
     end = time.monotonic() + wait
     while not condition():
--- a/marbleworks/lab/standins.py
+++ b/marbleworks/lab/standins.py
@@ -19,7 +19,7 @@
 HOST = "127.0.0.1"
 
 
-def answer(status: int, body: bytes = b"", **fields: object) -> bytes:
+def http_response(status: int, body: bytes = b"", **fields: object) -> bytes:
     """Returns an HTTP response; underscores in the names of header fields become hyphens."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items())
     return f"HTTP/1.1 {status} Said\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
@@ -51,9 +51,9 @@
         while True:
             sock, _ = self.sock.accept()
             self.connections += 1
-            spawn(self._talk, sock)
+            spawn(self._serve_connection, sock)
 
-    def _talk(self, sock: Any) -> None:
+    def _serve_connection(self, sock: Any) -> None:
         with sock, sock.makefile("rb") as lines:
             while first := lines.readline():
                 fields = {}
@@ -69,7 +69,7 @@
                 if response is not None:
                     sock.sendall(response)
 
-    def asked(self, verb: str) -> list[str]:
+    def calls_of(self, verb: str) -> list[str]:
         """Returns verb and path of the calls with a verb."""
         return [call for call, _, _ in self.calls if call.startswith(verb)]
 
@@ -80,20 +80,20 @@
     Attributes:
         sock: The connection.
         unpacker: Decoder of received data.
-        last: Number of the last message sent by `ask`.
+        last_message_number: Number of the last message sent by `send_request`.
     """
 
     def __init__(self, address: tuple[str, int], source: str = "") -> None:
         self.sock = socket.create_connection(
             address, timeout=5, source_address=(source, 0) if source else None
         )
-        self.unpacker, self.last = msgpack.Unpacker(), 0
+        self.unpacker, self.last_message_number = msgpack.Unpacker(), 0
 
     def send(self, *message: Any) -> None:
         """Sends a message."""
         self.sock.sendall(msgpack.packb(list(message)))
 
-    def ask(self, method: str, text: str = "select 1", ref: str = "", **fields: str) -> int:
+    def send_request(self, method: str, text: str = "select 1", ref: str = "", **fields: str) -> int:
         """Sends a request.
 
         Args:
@@ -105,18 +105,18 @@
         Returns:
             The message number.
         """
-        self.last += 1
+        self.last_message_number += 1
         header = {
-            "id": ref or f"{self.last:016x}",
+            "id": ref or f"{self.last_message_number:016x}",
             "wait": "3000",
             "tenant": "acme",
             "cost": "50",
             "need_mb": "9",
         }
-        self.send(0, self.last, method, [header | fields, text.encode()])
-        return self.last
+        self.send(0, self.last_message_number, method, [header | fields, text.encode()])
+        return self.last_message_number
 
-    def hear(self, wait: float = 5.0) -> Any:
+    def receive(self, wait: float = 5.0) -> Any:
         """Returns the next message, or None if the router has closed the connection.
 
         Raises:
@@ -159,7 +159,7 @@
     return response.to_wire()
 
 
-def configuration(
+def router_configuration(
     listen: int,
     peer: int,
     nameserver: tuple[str, int],
--- a/marbleworks/lab/target.py
+++ b/marbleworks/lab/target.py
@@ -23,7 +23,7 @@
 # Seconds within which a change of primary, a configuration and a start have to be complete.
 PRIMARY_WITHIN, CONFIGURATION_WITHIN, START_WITHIN = 13.0, 10.0, 10.0
 # Machines that fail and that are restarted on an ordinary day; fraction of the fleet restarted at a time.
-FAILED, RESTARTED, TENTH = 35, 1_200, 0.1
+FAILED, RESTARTED, RESTART_FRACTION = 35, 1_200, 0.1
 DAY = 86_400.0
 
 # Limits on the cost of control.
@@ -45,7 +45,7 @@
 )
 # Slopes that have no run yet. Remove a slope here when it gets a run, so that a later loss of the run is
 # noticed.
-AWAITED = frozenset(
+SLOPES_WITHOUT_RUN = frozenset(
     """hollow_cpu hollow_bytes hollow_datagrams hollow_divider_bytes hollow_divider_cpu hollow_state
     hollow_death_seconds hollow_list_cpu hollow_config_seconds hollow_config_cpu
     cell_cpu cell_bytes cell_state cell_leader_cpu cell_leader_bytes cell_leader_state
@@ -60,7 +60,7 @@
 class Curve(Protocol):
     """A cost as a function of a size."""
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Returns the cost at a size."""
         ...
 
@@ -68,11 +68,11 @@
 class Measured(Curve, Protocol):
     """A measured cost with its confidence interval, as `slopes.Slope` is."""
 
-    def between(self, x: float) -> tuple[float, float]:
+    def range_at(self, x: float) -> tuple[float, float]:
         """Returns the interval of the cost at a size."""
         ...
 
-    def times(self, x: float) -> float:
+    def extrapolation_ratio(self, x: float) -> float:
         """Returns how many times a size is beyond the largest measured size."""
         ...
 
@@ -121,20 +121,20 @@
 
 # Engine list: requests per second of each router, most bytes of a response, and seconds in which a change
 # propagates.
-ASKS, ANSWER, TOLD = 2.0, 8_000.0, 1.5
+LIST_REQUESTS_PER_S, MAX_LIST_BYTES, LIST_PROPAGATION_S = 2.0, 8_000.0, 1.5
 HOMES = 1_024.0  # most table groups whose homes a router keeps
 # Budgets: reports per second, and the fewest entries that fill a datagram if units are below 65,536.
-REPORTS, FEWEST = 5.0, 5
+REPORTS_PER_S, MIN_DATAGRAM_ENTRIES = 5.0, 5
 # Budgets, in seconds: defaults of lease and settle time, and the time after which an engine has ended an
 # abandoned attempt.
-LEASE, SETTLE, QUIET = 3.0, 4.0, 2.3
+LEASE, SETTLE, ABANDONED_ATTEMPT_TIMEOUT_S = 3.0, 4.0, 2.3
 # Seconds for which a started process has no vote, and the bound on clock drift, which lengthens them.
 TERM, DRIFT = 2.4, 0.02
 
 # Assumptions, until the operators provide figures: tenants; budgets of the fleet that are no engine's;
 # seconds for which an engine is cold; seconds that a restart takes; machines in a rack; bytes of a log line;
 # fraction of requests whose table group is new to the router.
-TENANTS, SHARED_BUDGETS, COLD_S, RESTART, RACK, LOG_LINE_BYTES, NEW_TABLE_GROUP_FRACTION = (
+TENANTS, SHARED_BUDGETS, COLD_S, RESTART_S, RACK_MACHINES, LOG_LINE_BYTES, NEW_TABLE_GROUP_FRACTION = (
     1_000.0,
     10.0,
     600.0,
@@ -158,7 +158,7 @@
         answer: Bytes of a response of the engine list.
         reads: Whole engine lists that a router reads per second.
         membership: Fraction of `cpu`, `state` and `bytes` for membership.
-        listing: Fraction of `cpu` and `state` for the engine list.
+        engine_list: Fraction of `cpu` and `state` for the engine list.
         engines: Engines for each router.
     """
 
@@ -167,10 +167,10 @@
     state: float = MEMORY
     core: float = 0.1
     commands: float = STATEMENTS / ROUTERS
-    answer: float = ANSWER
+    answer: float = MAX_LIST_BYTES
     reads: float = (FAILED + RESTARTED) / DAY
     membership: float = 0.5
-    listing: float = 0.25
+    engine_list: float = 0.25
     engines: float = ENGINES / ROUTERS
 
     def scaled(self, by: float) -> Allowance:
@@ -201,7 +201,7 @@
 
     def curve_of(name: str) -> Callable[[float], float]:
         # Looked up now, so that a slope without a run fails here and not at the first size.
-        return slopes[name].at
+        return slopes[name].value_at
 
     leader_cpu, leader_bytes, member_state = (
         curve_of("divider_cpu"),
@@ -223,9 +223,9 @@
         "list, processor time": lambda count: (
             allowance.reads
             * (list_read(listed(count)) + list_update(listed(count)))
-            / (allowance.listing * allowance.cpu)
+            / (allowance.engine_list * allowance.cpu)
         ),
-        "list, memory": lambda count: engine_state(listed(count)) / (allowance.listing * allowance.state),
+        "list, memory": lambda count: engine_state(listed(count)) / (allowance.engine_list * allowance.state),
         "a command's processor time": lambda count: allowance.commands
         * decision(listed(count))
         / allowance.core,
@@ -303,22 +303,23 @@
         value: The value.
         low: Lower end of its interval, by the intervals of the slopes.
         high: Upper end of its interval.
-        far: How many times beyond the largest measured size it was computed; the worst of the slopes.
-        under: How many times below the smallest measured size it was computed; the worst of the slopes.
-        unrun: Slopes that have no run. If there are any, the value is meaningless.
+        times_beyond: How many times beyond the largest measured size it was computed; the worst of the
+            slopes.
+        times_below: How many times below the smallest measured size it was computed; the worst of the slopes.
+        slopes_without_run: Slopes that have no run. If there are any, the value is meaningless.
         text: The formula as text.
     """
 
     value: float
     low: float
     high: float
-    far: float
-    under: float
-    unrun: frozenset[str]
+    times_beyond: float
+    times_below: float
+    slopes_without_run: frozenset[str]
     text: str
 
 
-def worked(formula: Formula, slopes: Mapping[str, Measured], inputs: Mapping[str, float]) -> Figure:
+def evaluate(formula: Formula, slopes: Mapping[str, Measured], inputs: Mapping[str, float]) -> Figure:
     """Computes a formula.
 
     Raises:
@@ -344,9 +345,9 @@
                     unrun.add(name)
                     continue
                 curve = slopes[name]
-                cost, (cost_low, cost_high) = curve.at(size), curve.between(size)
+                cost, (cost_low, cost_high) = curve.value_at(size), curve.range_at(size)
                 cost_low, cost_high = min(cost_low, cost), max(cost_high, cost)
-                far, under = max(far, curve.times(size)), max(under, curve.xs[0] / size)
+                far, under = max(far, curve.extrapolation_ratio(size)), max(under, curve.xs[0] / size)
                 if multiplies:
                     middle, lowest, highest = middle * cost, lowest * cost_low, highest * cost_high
                 else:
@@ -381,7 +382,7 @@
 
     def datagrams_for(entries: tuple[float, float]) -> tuple[float, float]:
         """Returns the number of datagrams that carry so many budget entries."""
-        flat, cell = (float(math.ceil(count / FEWEST)) for count in entries)
+        flat, cell = (float(math.ceil(count / MIN_DATAGRAM_ENTRIES)) for count in entries)
         return flat, cell
 
     restarted = (FAILED + RESTARTED) * ENGINES / (ROUTERS + ENGINES)
@@ -431,8 +432,8 @@
         ),
         Input("tenants", "in the settings", assumed, both(TENANTS)),
         Input("groups", "table groups whose homes a router keeps, at most", code, both(HOMES)),
-        Input("asks", "of the list a second, each router", code, both(ASKS)),
-        Input("reports", "of budgets a second, each router", code, both(REPORTS)),
+        Input("asks", "of the list a second, each router", code, both(LIST_REQUESTS_PER_S)),
+        Input("reports", "of budgets a second, each router", code, both(REPORTS_PER_S)),
         Input("two", "a question and its answer", code, both(2.0)),
         Input("one", "a single budget", code, both(1.0)),
         Input("budgets", "one for each engine listed, and those shared", assumed, budgets),
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -373,11 +373,11 @@
     world = World(
         [Budget("w", 5, window_s, window_s or 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S)] * 3, [0.99, 1.01, 1.0]
     )
-    world.moves_right(0)
+    world.set_leader(0)
     for draw in draws:
-        moves = list(world.moves((0.05, 0.3, 0.9)[draw % 3]))
+        moves = list(world.possible_acts((0.05, 0.3, 0.9)[draw % 3]))
         # Raises InvariantViolation if more units are in use than the total.
-        world.does(*moves[draw // 3 % len(moves)])
+        world.perform(*moves[draw // 3 % len(moves)])
 
 
 def run_random_walks() -> None:
--- a/tests/budgets/test_budgets_processes.py
+++ b/tests/budgets/test_budgets_processes.py
@@ -12,9 +12,9 @@
 import gevent
 import pytest
 
-from marbleworks.lab.faultnet import FaultNet
-from marbleworks.lab.load import Caller
-from marbleworks.lab.stage import Stage, about, until
+from marbleworks.lab.faultnet import FaultyNetwork
+from marbleworks.lab.load import LoadClient
+from marbleworks.lab.stage import LabCluster, health_report, wait_until
 
 ROUTERS, TOTAL, TIMEOUT_S = 4, 12, 40.0
 PEERS = "(peers (period 100 ms) (suspicion 600 ms) (term 1500 ms) (lease 1 s))"
@@ -28,10 +28,10 @@
     """Routers under load, and the counts of requests in flight at the engines."""
 
     def __init__(self) -> None:
-        self.net = FaultNet(ROUTERS, 3)
+        self.network = FaultyNetwork(ROUTERS, 3)
         text = PEERS + BUDGETS.format(1, TOTAL)
-        self.stage = Stage(3, 16, text, routers=ROUTERS, net=self.net)
-        for router in self.stage.routers:
+        self.cluster = LabCluster(3, 16, text, routers=ROUTERS, network=self.network)
+        for router in self.cluster.routers:
             router.start()
         self.limit, self.violations, self.in_flight, self.max_in_flight = TOTAL, list[int](), 0, 0
         self.outcomes: dict[str, int] = {}
@@ -41,16 +41,16 @@
         self.greenlets.append(gevent.spawn(self._watch_engines))
 
     def _send_requests(self, number: int) -> None:
-        caller = Caller(self.stage.routers[number].address, "oslo", number)
+        client = LoadClient(self.cluster.routers[number].address, "oslo", number)
         while True:
-            ask = caller.ask("date-lookup", 50, 600)
-            self.outcomes[ask.end] = self.outcomes.get(ask.end, 0) + 1
-            gevent.sleep(0.02 if ask.end == "answered" else 0.05)
+            request = client.send_request("date-lookup", 50, 600)
+            self.outcomes[request.outcome] = self.outcomes.get(request.outcome, 0) + 1
+            gevent.sleep(0.02 if request.outcome == "answered" else 0.05)
 
     def _watch_engines(self) -> None:
         while True:
-            self.stage.tell_fleet(stats=True)
-            gauge = self.stage.profiles.get("date-lookup", {"out": 0, "most": 0})
+            self.cluster.command_fleet(stats=True)
+            gauge = self.cluster.profiles.get("date-lookup", {"out": 0, "most": 0})
             self.in_flight, self.max_in_flight = gauge["out"], gauge["most"]
             if self.max_in_flight > self.limit:
                 self.violations.append(self.max_in_flight)
@@ -59,7 +59,7 @@
     def ledger_row(self) -> list[str]:
         """The granter's row of the budget: total, held, used, free, unreachable, units by router."""
         for n in range(ROUTERS):
-            for row in about(self.stage, n).get("books", []):
+            for row in health_report(self.cluster, n).get("books", []):
                 if row[0] == "named looks":
                     return list(row[1:])
         return []
@@ -73,7 +73,9 @@
 
         def condition() -> bool:
             for n in set(among) - seen:
-                rows = [row for row in about(self.stage, n).get("rows", []) if row[0] == "named looks"]
+                rows = [
+                    row for row in health_report(self.cluster, n).get("rows", []) if row[0] == "named looks"
+                ]
                 seen.update([n] if rows and int(rows[0][3]) > 0 else [])
             return (
                 seen >= set(among)
@@ -85,8 +87,8 @@
 
     def close(self) -> None:
         gevent.killall(self.greenlets)
-        self.stage._end()
-        self.net.close()
+        self.cluster._end()
+        self.network.close()
 
 
 @pytest.fixture(scope="module")
@@ -97,7 +99,7 @@
 
 
 def wait_for(condition: Callable[[], bool]) -> None:
-    assert until(condition, TIMEOUT_S)
+    assert wait_until(condition, TIMEOUT_S)
 
 
 def test_routers_started_together_divide_the_total_and_use_it(fleet: Fleet) -> None:
@@ -107,11 +109,11 @@
 
 
 def test_after_the_granter_is_killed_another_grants_no_more_than_the_total(fleet: Fleet) -> None:
-    before = about(fleet.stage, 1)["divider"]
-    router = fleet.stage.routers[int(before)]
-    router.end(signal.SIGKILL)
+    before = health_report(fleet.cluster, 1)["divider"]
+    router = fleet.cluster.routers[int(before)]
+    router.stop(signal.SIGKILL)
     rest = [n for n in range(ROUTERS) if n != int(before)]
-    wait_for(lambda: about(fleet.stage, rest[0]).get("divider") not in (before, "-1"))
+    wait_for(lambda: health_report(fleet.cluster, rest[0]).get("divider") not in (before, "-1"))
     wait_for(fleet.divided_among(rest))
     router.start()
     wait_for(fleet.divided_among(range(ROUTERS)))
@@ -119,32 +121,32 @@
 
 
 def test_units_of_a_killed_router_are_granted_to_others(fleet: Fleet) -> None:
-    held = {n: int(about(fleet.stage, n)["rows"][0][3]) for n in range(1, ROUTERS)}
+    held = {n: int(health_report(fleet.cluster, n)["rows"][0][3]) for n in range(1, ROUTERS)}
     number = max(held, key=lambda n: held[n])
-    fleet.stage.routers[number].end(signal.SIGKILL)
+    fleet.cluster.routers[number].stop(signal.SIGKILL)
     rest = [n for n in range(ROUTERS) if n != number]
     wait_for(lambda: fleet.ledger_row()[4:5] == ["0"] and fleet.divided_among(rest)())
-    fleet.stage.routers[number].start()
+    fleet.cluster.routers[number].start()
     wait_for(fleet.divided_among(range(ROUTERS)))
     assert fleet.violations == []
 
 
 def test_router_suspended_for_longer_than_its_lease_stays_within_the_total(fleet: Fleet) -> None:
-    router = fleet.stage.routers[2]
-    router.tell(signal.SIGSTOP)  # while it sends requests: eight callers wait at any time
+    router = fleet.cluster.routers[2]
+    router.send_signal(signal.SIGSTOP)  # while it sends requests: eight callers wait at any time
     gevent.sleep(3.5)  # the duration of the fault, longer than the lease
-    router.tell(signal.SIGCONT)
+    router.send_signal(signal.SIGCONT)
     wait_for(fleet.divided_among(range(ROUTERS)))
     assert fleet.violations == []
 
 
 @pytest.mark.parametrize("parts", [((0,), (1, 2, 3)), ((0, 1), (2, 3))])
 def test_partition_with_demand_on_both_sides_stays_within_the_total(parts: Any, fleet: Fleet) -> None:
-    fleet.net.part(*parts)
+    fleet.network.partition(*parts)
     try:
         check_partitioned(fleet, parts)
     finally:
-        fleet.net.part()  # heals the network also for the tests that follow
+        fleet.network.partition()  # heals the network also for the tests that follow
     wait_for(fleet.divided_among(range(ROUTERS)))
     assert fleet.violations == []
 
@@ -153,7 +155,7 @@
     """Checks that a majority goes on to divide the total, and that without one existing leases are used."""
     majority = [part for part in parts if 2 * len(part) > ROUTERS]
     if majority:
-        wait_for(lambda: any(about(fleet.stage, n).get("divides") == "yes" for n in majority[0]))
+        wait_for(lambda: any(health_report(fleet.cluster, n).get("divides") == "yes" for n in majority[0]))
         wait_for(fleet.divided_among(majority[0]))
         return
     answered_before: list[int] = []
@@ -162,7 +164,7 @@
         # Counted before the routers are queried: the leases then last for less than a second, and on a busy
         # machine the routers may answer only after they have expired.
         answered_before.append(fleet.outcomes.get("answered", 0))
-        return all(about(fleet.stage, n).get("divider") == "-1" for n in range(ROUTERS))
+        return all(health_report(fleet.cluster, n).get("divider") == "-1" for n in range(ROUTERS))
 
     wait_for(nobody_grants)
     # Requests are still answered on the leases that remain.
@@ -170,18 +172,18 @@
 
 
 def test_rolling_restart_under_full_load_stays_within_the_total(fleet: Fleet) -> None:
-    for number, router in enumerate(fleet.stage.routers):
-        assert router.end() == 0
+    for number, router in enumerate(fleet.cluster.routers):
+        assert router.stop() == 0
         router.start()
-        wait_for(lambda number=number: about(fleet.stage, number).get("divider", "-1") != "-1")  # type: ignore[misc]
+        wait_for(lambda number=number: health_report(fleet.cluster, number).get("divider", "-1") != "-1")  # type: ignore[misc]
     wait_for(fleet.divided_among(range(ROUTERS)))
     assert fleet.violations == [] and fleet.outcomes.get("error", 0) == 0
 
 
 def test_total_halved_by_a_reload_applies_once_earlier_requests_have_ended(fleet: Fleet) -> None:
-    for router in fleet.stage.routers:
+    for router in fleet.cluster.routers:
         router.operator.write_text(PEERS + BUDGETS.format(2, TOTAL // 2))
-        router.tell(signal.SIGHUP)
+        router.send_signal(signal.SIGHUP)
         # A smaller total applies once one router reports it.
         wait_for(lambda: fleet.ledger_row()[:1] == [str(TOTAL // 2)])
     wait_for(fleet.divided_among(range(ROUTERS), TOTAL // 2))
@@ -190,15 +192,15 @@
     fleet.limit = TOTAL // 2
     wait_for(lambda: fleet.max_in_flight >= TOTAL // 2 - 1)
     assert fleet.violations == []
-    for router in fleet.stage.routers:
+    for router in fleet.cluster.routers:
         router.operator.write_text(PEERS + BUDGETS.format(3, TOTAL))
-    fleet.stage.routers[0].tell(signal.SIGHUP)
-    wait_for(lambda: "budgets disagree" in "".join(router.log() for router in fleet.stage.routers))
+    fleet.cluster.routers[0].send_signal(signal.SIGHUP)
+    wait_for(lambda: "budgets disagree" in "".join(router.read_log() for router in fleet.cluster.routers))
     assert fleet.violations == []  # only one router knows the larger total
     fleet.limit = TOTAL
-    for router in fleet.stage.routers[1:]:
-        router.tell(signal.SIGHUP)
+    for router in fleet.cluster.routers[1:]:
+        router.send_signal(signal.SIGHUP)
     wait_for(fleet.divided_among(range(ROUTERS)))
     assert fleet.violations == [] and all(
-        '"event": "failed"' not in router.log() for router in fleet.stage.routers
+        '"event": "failed"' not in router.read_log() for router in fleet.cluster.routers
     )
--- a/tests/cells/test_budget_leases.py
+++ b/tests/cells/test_budget_leases.py
@@ -32,7 +32,7 @@
 )
 from marbleworks.lab import levels
 from marbleworks.lab.explore import InvariantViolation
-from marbleworks.lab.levels import World, begun, exhaust, stroll, warm
+from marbleworks.lab.levels import LeaseModel, exhaust, run_rounds, start_model, stroll
 from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 
 WALK_COUNT, ACTS_PER_WALK = 400, 300
@@ -79,7 +79,9 @@
 
 
 def paused_leader_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(World, "may", lambda self, cell, number: number in self.cells[cell].desks)
+    monkeypatch.setattr(
+        LeaseModel, "is_leader", lambda self, cell, number: number in self.cells[cell].leader_states
+    )
 
 
 def moved_router_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -114,7 +116,7 @@
 
 
 def guarantees_are_divided_by_places(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(levels, "SHARES", levels.PLACES)
+    monkeypatch.setattr(levels, "SHARE_COUNT", levels.SLOTS_PER_CELL)
 
 
 def guarantees_are_not_counted_above(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -166,60 +168,62 @@
 # Single cases.
 
 
-def start_fleet(units: int = 9, guaranteed_ratio: float = 0.0, settle_s: float = 0.3) -> World:
-    return begun(Budget("w", units, 0.0, settle_s + ABANDONED_ATTEMPT_TIMEOUT_S), guaranteed_ratio)
+def start_fleet(units: int = 9, guaranteed_ratio: float = 0.0, settle_s: float = 0.3) -> LeaseModel:
+    return start_model(Budget("w", units, 0.0, settle_s + ABANDONED_ATTEMPT_TIMEOUT_S), guaranteed_ratio)
 
 
-def cell_budget(world: World, cell: int) -> Any:
-    leader = world.cells[cell].desks[world.cells[cell].leader]
-    return next(iter(leader.lessee.budgets.values()))
+def cell_budget(world: LeaseModel, cell: int) -> Any:
+    leader = world.cells[cell].leader_states[world.cells[cell].leader]
+    return next(iter(leader.lease_holder.budgets.values()))
 
 
-def account(world: World, cell: int) -> Any:
-    assert world.lessor is not None
-    return next(iter(world.lessor.ledger.allocations.values())).accounts[cell]
+def account(world: LeaseModel, cell: int) -> Any:
+    assert world.lease_granter is not None
+    return next(iter(world.lease_granter.ledger.allocations.values())).accounts[cell]
 
 
-def max_units(world: World, cell: int) -> int:
+def max_units(world: LeaseModel, cell: int) -> int:
     """Returns the units that the routers of a cell may have in use."""
-    return sum(world.pocket(n).max_units(world.clock(n)) for n, (c, _) in world.home.items() if c == cell)
+    return sum(
+        world.budget(n).max_units(world.clock(n)) for n, (c, _) in world.cell_and_place.items() if c == cell
+    )
 
 
 def test_units_follow_demand_from_one_cell_to_the_other() -> None:
     world = start_fleet(40, 0.2)
-    warm(world, 100, (0, 2, 4))
+    run_rounds(world, 100, (0, 2, 4))
     assert world.used() >= 32 and max_units(world, 0) >= 30
     for n in (0, 2, 4):
-        while world.routers[n].out:
+        while world.routers[n].units_in_use:
             world.end(n, False)
-    warm(world, 60, (1, 3, 5))
+    run_rounds(world, 60, (1, 3, 5))
     assert max_units(world, 1) > max_units(world, 0) and world.used() >= 20
 
 
-def deliver_report_of_an_older_leader(world: World) -> None:
+def deliver_report_of_an_older_leader(world: LeaseModel) -> None:
     """Delivers a former leader's report while its cell's routers may hold more than the cell is leased.
 
     Then the routers of the other cell use all units that they may.
     """
-    warm(world, 70, ())
-    world.leader_tells(0, 0)
-    old_report = world.flying.pop()
-    warm(world, 30, (0, 2, 4))
-    warm(world, 10, (0, 1, 2, 3, 4, 5))
-    world.leads(0, 2)
-    warm(world, 12, (0, 1, 2, 3, 4, 5))
+    run_rounds(world, 70, ())
+    world.send_leader_messages(0, 0)
+    old_report = world.in_flight.pop()
+    run_rounds(world, 30, (0, 2, 4))
+    run_rounds(world, 10, (0, 1, 2, 3, 4, 5))
+    world.elect_leader(0, 2)
+    run_rounds(world, 12, (0, 1, 2, 3, 4, 5))
     assert account(world, 0).max_units > cell_budget(world, 0).leased_units
-    world.flying.append(old_report)
-    world.comes(0, False)
-    world.leader_tells(1, 1)
-    while world.flying:
-        world.comes(0, False)
+    world.in_flight.append(old_report)
+    world.deliver(0, False)
+    world.send_leader_messages(1, 1)
+    while world.in_flight:
+        world.deliver(0, False)
     for n in (1, 3, 5, 1, 3, 5):
-        world.passes(0.05)
-        world.tells(n)
-        while world.flying:
-            world.comes(0, False)
-        world.fills(n)
+        world.advance(0.05)
+        world.send_reports(n)
+        while world.in_flight:
+            world.deliver(0, False)
+        world.use_all_units(n)
     world.check()
 
 
@@ -230,15 +234,15 @@
         deliver_report_of_an_older_leader(start_fleet())
 
 
-def move_router_to_a_cut_off_cell(world: World) -> None:
+def move_router_to_a_cut_off_cell(world: LeaseModel) -> None:
     """Moves a router with requests beyond its guaranteed units to a cell that is cut off.
 
     Its old cell needs the units.
     """
-    warm(world, 90, (4,))
-    world.cuts(1)
-    world.moves_to(4, 1, 3)
-    warm(world, 80, (0, 2))
+    run_rounds(world, 90, (4,))
+    world.toggle_cut(1)
+    world.move_router(4, 1, 3)
+    run_rounds(world, 80, (0, 2))
 
 
 @pytest.mark.parametrize("guard", [moved_router_keeps_its_lease, moved_router_reports_at_once])
@@ -253,87 +257,89 @@
 
 def test_a_new_leader_keeps_the_cells_account_and_its_routers_leases() -> None:
     world = start_fleet(40)
-    warm(world, 90, (0, 2, 4))
+    run_rounds(world, 90, (0, 2, 4))
     account_units, router_units = account(world, 0).max_units, max_units(world, 0)
-    world.leads(0, 2)
-    world.tells(4)
+    world.elect_leader(0, 2)
+    world.send_reports(4)
     assert new_leaders_budget(world) is None  # it grants nothing before the level above has answered
-    warm(world, 12, (0, 2, 4))
+    run_rounds(world, 12, (0, 2, 4))
     assert (
-        world.cells[0].desks[2].lessee.predecessor_units != {}
+        world.cells[0].leader_states[2].lease_holder.predecessor_units != {}
         and account(world, 0).max_units >= account_units - 1
     )
     assert max_units(world, 0) >= router_units - 1
 
 
-def new_leaders_budget(world: World) -> Any:
-    return next(iter(world.cells[0].desks[2].lessee.budgets.values()), None)
+def new_leaders_budget(world: LeaseModel) -> Any:
+    return next(iter(world.cells[0].leader_states[2].lease_holder.budgets.values()), None)
 
 
 def test_a_late_hello_of_an_older_leader_costs_the_newer_one_a_hello_and_no_more() -> None:
     world = start_fleet(40)
-    warm(world, 90, (0, 2, 4))
-    old_holder = world.cells[0].desks[0].lessee
-    world.leads(0, 2)
-    warm(world, 12, (0,))
-    before, epoch = account(world, 0).max_units, world.cells[0].desks[2].lessee.epoch
-    assert world.lessor is not None
-    world.lessor.handle_hello(Hello(0, *old_holder.leader, 99))
+    run_rounds(world, 90, (0, 2, 4))
+    old_holder = world.cells[0].leader_states[0].lease_holder
+    world.elect_leader(0, 2)
+    run_rounds(world, 12, (0,))
+    before, epoch = account(world, 0).max_units, world.cells[0].leader_states[2].lease_holder.epoch
+    assert world.lease_granter is not None
+    world.lease_granter.handle_hello(Hello(0, *old_holder.leader, 99))
     assert account(world, 0).max_units == before
-    warm(world, 25, (0,))
-    assert world.cells[0].desks[2].lessee.epoch == epoch + 2 and max_units(world, 0) >= before - 1
+    run_rounds(world, 25, (0,))
+    assert (
+        world.cells[0].leader_states[2].lease_holder.epoch == epoch + 2 and max_units(world, 0) >= before - 1
+    )
 
 
 def test_a_cell_that_is_cut_off_keeps_its_lease_until_it_expires_and_then_its_guaranteed_units() -> None:
     world = start_fleet(40, 0.4)
-    warm(world, 100, (0, 2, 4))
+    run_rounds(world, 100, (0, 2, 4))
     units_before = max_units(world, 0)
-    world.cuts(0)
-    warm(world, 12, (0, 2, 4))
+    world.toggle_cut(0)
+    run_rounds(world, 12, (0, 2, 4))
     assert max_units(world, 0) >= units_before - 3
-    warm(world, 14, (0, 2, 4))  # the cell's lease expires, and its routers' after that
+    run_rounds(world, 14, (0, 2, 4))  # the cell's lease expires, and its routers' after that
     assert max_units(world, 0) == 3 * 2 and not cell_budget(world, 0).valid_lease_units(world.clock(0))
-    warm(world, 60, (1, 3, 5))  # its units are free, and the other cell uses them
+    run_rounds(world, 60, (1, 3, 5))  # its units are free, and the other cell uses them
     assert max_units(world, 1) > 25
-    world.cuts(0)
+    world.toggle_cut(0)
     for n in (1, 3, 5):
-        while world.routers[n].out:
+        while world.routers[n].units_in_use:
             world.end(n, False)
-    warm(world, 40, (0, 2, 4))
+    run_rounds(world, 40, (0, 2, 4))
     assert max_units(world, 0) > 10
 
 
 def test_a_router_that_moves_reports_a_budget_once_all_that_it_had_in_its_old_cell_has_ended() -> None:
     world = start_fleet(40, 0.2)
-    warm(world, 90, (4,))
-    local = world.pocket(4)
-    assert world.routers[4].out > local.guaranteed_units == 1
-    world.moves_to(4, 1, 3)
+    run_rounds(world, 90, (4,))
+    local = world.budget(4)
+    assert world.routers[4].units_in_use > local.guaranteed_units == 1
+    world.move_router(4, 1, 3)
     assert local.max_units(world.clock(4)) == 1
-    reports = world.routers[4].purse.make_reports(0, 1, 1, world.clock(4))
+    reports = world.routers[4].local_budgets.make_reports(0, 1, 1, world.clock(4))
     assert [report.usages for report in reports] == [()]
-    warm(world, 60, ())  # its requests are cancelled, and end at the engines
+    run_rounds(world, 60, ())  # its requests are cancelled, and end at the engines
     assert world.used() <= 1
-    warm(world, 10, (4,))
+    run_rounds(world, 10, (4,))
     assert local.max_units(world.clock(4)) > 1
 
 
 def test_guaranteed_units_grow_in_no_cell_before_all_cells_know_the_larger_total() -> None:
     world = start_fleet(16, 0.5)
-    warm(world, 80, ())
-    assert {world.pocket(n).guaranteed_units for n in range(6)} == {1}
-    world.rewritten(-1, 32)
+    run_rounds(world, 80, ())
+    assert {world.budget(n).guaranteed_units for n in range(6)} == {1}
+    world.change_units(-1, 32)
     for n in (0, 2, 4):
-        world.rewritten(n, 32)
-    warm(world, 20, ())
-    assert {world.pocket(n).guaranteed_units for n in range(6)} == {1}
+        world.change_units(n, 32)
+    run_rounds(world, 20, ())
+    assert {world.budget(n).guaranteed_units for n in range(6)} == {1}
     for n in (1, 3, 5):
-        world.rewritten(n, 32)
-    warm(world, 20, ())
-    assert {world.pocket(n).guaranteed_units for n in range(6)} == {2}
-    world.rewritten(1, 16)
-    warm(world, 20, ())
-    assert {world.pocket(n).guaranteed_units for n in range(6)} == {1}
+        world.change_units(n, 32)
+    run_rounds(world, 20, ())
+    assert {world.budget(n).guaranteed_units for n in range(6)} == {2}
+    world.change_units(1, 16)
+    run_rounds(world, 20, ())
+    assert {world.budget(n).guaranteed_units for n in range(6)} == {1}
 
 
 # The encoding.
@@ -364,9 +370,9 @@
 
 def test_forged_cells_epochs_and_answers_change_nothing() -> None:
     world = start_fleet(40)
-    warm(world, 90, (0, 2, 4))
-    assert world.lessor is not None
-    units_before, now = account(world, 0).max_units, world.above(0)
+    run_rounds(world, 90, (0, 2, 4))
+    assert world.lease_granter is not None
+    units_before, now = account(world, 0).max_units, world.machine_clock(0)
     huge_usage = BudgetUsage(
         cell_budget(world, 0).budget.budget_id,
         1,
@@ -380,10 +386,10 @@
     )
     for cell, epoch in ((0, 9), (0, 0), (7, 1), (-1, 1)):
         report = BudgetReport(epoch, 1, 1, 99, 1, 1, False, 5, (huge_usage,))
-        assert world.lessor.handle_report(cell, report, now) is None
-    assert world.lessor.handle_hello(Hello(CELL_OUT_OF_RANGE, 0, 1, 1, 1)) is None
+        assert world.lease_granter.handle_report(cell, report, now) is None
+    assert world.lease_granter.handle_hello(Hello(CELL_OUT_OF_RANGE, 0, 1, 1, 1)) is None
     assert account(world, 0).max_units == units_before
-    holder, units = world.cells[0].desks[0].lessee, cell_budget(world, 0).leased_units
+    holder, units = world.cells[0].leader_states[0].lease_holder, cell_budget(world, 0).leased_units
     grants = (BudgetGrant(huge_usage.budget_id, 1 << 30, 1000, 40),)
     for sender, answer in (
         (1, BudgetAnswer(1, 1, 1, grants)),
@@ -397,7 +403,7 @@
     )
 
 
-CELL_OUT_OF_RANGE = levels.CELLS
+CELL_OUT_OF_RANGE = levels.CELL_COUNT
 
 
 def test_the_level_above_may_lease_its_budgets_itself() -> None:
