--- a/tests/cells/test_home_leases.py
+++ b/tests/cells/test_home_leases.py
@@ -22,7 +22,7 @@
     StartPermit,
 )
 from marbleworks.lab.explore import InvariantViolation
-from marbleworks.lab.home_moves import LEASE, SETTLE, Homes, World, exhaust, paces, settled, stroll
+from marbleworks.lab.home_moves import LEASE, SETTLE, Homes, World, clock_rates, exhaust, settle, stroll
 
 CELL_0_NODES = (1, 3)  # leader and router of cell 0; 2 and 4 are those of cell 1
 
@@ -32,8 +32,8 @@
 
 
 def settled_world() -> World:
-    world = World(paces(1))
-    settled(world)
+    world = World(clock_rates(1))
+    settle(world)
     assert holding_cells(world, 0) == holding_cells(world, 1) == {0}
     return world
 
@@ -45,10 +45,10 @@
     """
     began = world.now
     while holding_cells(world) != {cell}:
-        settled(world, 1, 0.004, silent_nodes)
+        settle(world, 1, 0.004, silent_nodes)
         for node, router in enumerate(world.routers, 3):
             if router.cell != cell and router.holds(0, world.clock(node)):
-                world.does(f"{node} begins", lambda w, node=node: w.begins(node, 0))
+                world.perform(f"{node} begins", lambda w, node=node: w.begin_load(node, 0))
         assert world.now < began + limit_s, "the home never moves"
     return world.now - began
 
@@ -59,7 +59,7 @@
 def home_moves_at_once() -> None:
     """The old cell reports that it is done."""
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     assert time_until_held(world, 1, 0.1) < 0.1
     assert holding_cells(world, 1) == {0}
 
@@ -67,23 +67,23 @@
 def old_cell_is_cut_off() -> None:
     """The old cell is cut off, and begins loads until the last moment."""
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     time_until_held(world, 1, 1.2 * (2 * LEASE + SETTLE), CELL_0_NODES)
 
 
 def answers_are_late() -> None:
     """Answers to the old cell's router arrive late, after the cell was cut off."""
     world = settled_world()
-    world.passes(0.1)
+    world.advance(0.1)
     for node in CELL_0_NODES:
-        world.asks(node)
-        world.comes(len(world.flying) - 1, False)
-    late, world.flying = world.flying, []
-    world.planned((1, 0))
-    settled(world, 2, 0.4, CELL_0_NODES)
-    world.flying = late
-    while world.flying:
-        world.does("late", lambda w: w.comes(0, False))
+        world.send_lease_request(node)
+        world.deliver(len(world.in_flight) - 1, False)
+    late, world.in_flight = world.in_flight, []
+    world.make_plan((1, 0))
+    settle(world, 2, 0.4, CELL_0_NODES)
+    world.in_flight = late
+    while world.in_flight:
+        world.perform("late", lambda w: w.deliver(0, False))
     time_until_held(world, 1, 4.0, CELL_0_NODES)
 
 
@@ -95,117 +95,117 @@
         asking_nodes: Nodes of cell 0 that go on asking. Its router begins loads as long as it may.
     """
     for node in (0, 2, 4):
-        world.learns(node)
+        world.learn_plan(node)
     began = world.now
     while holding_cells(world) != {1}:
-        world.does("time", lambda w: w.passes(0.02))
+        world.perform("time", lambda w: w.advance(0.02))
         for node in (*asking_nodes, 2, 4):
-            world.asks(node)
-            while world.flying:
-                world.does("answered", lambda w: w.comes(0, False))
+            world.send_lease_request(node)
+            while world.in_flight:
+                world.perform("answered", lambda w: w.deliver(0, False))
         if world.routers[0].holds(0, world.clock(3)):
-            world.does("3 begins", lambda w: w.begins(3, 0))
+            world.perform("3 begins", lambda w: w.begin_load(3, 0))
         assert world.now < began + 1.2 * (2 * LEASE + SETTLE), "the home never moves"
 
 
 def cell_that_never_learns_the_plan_goes_on_asking() -> None:
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     cell_0_misses_the_plan(world, CELL_0_NODES)
 
 
 def leader_is_cut_off_from_the_region_alone() -> None:
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     cell_0_misses_the_plan(world, (3,))
 
 
 def load_is_in_flight() -> None:
     world = settled_world()
-    world.begins(3, 0)
-    world.planned((1, 0))
-    settled(world, 20, 0.01)
+    world.begin_load(3, 0)
+    world.make_plan((1, 0))
+    settle(world, 20, 0.01)
     assert world.running and not holding_cells(world)
-    world.does("ends", lambda w: w.ends(0, False))
+    world.perform("ends", lambda w: w.end_load(0, False))
     time_until_held(world, 1, 0.1)
 
 
 def load_ends_with_its_engine_unknown() -> None:
     world = settled_world()
-    world.begins(3, 0)
-    world.planned((1, 0))
-    world.does("ends in doubt", lambda w: w.ends(0, True))
+    world.begin_load(3, 0)
+    world.make_plan((1, 0))
+    world.perform("ends in doubt", lambda w: w.end_load(0, True))
     time_until_held(world, 1, 1.0)
 
 
 def router_is_killed_with_a_load_in_flight() -> None:
     world = settled_world()
-    world.begins(3, 0)
-    world.anew(3)
-    world.planned((1, 0))
+    world.begin_load(3, 0)
+    world.restart(3)
+    world.make_plan((1, 0))
     time_until_held(world, 1, 4.0)
 
 
 def answer_to_an_earlier_process_arrives() -> None:
     world = settled_world()
-    world.asks(3)
-    world.comes(0, False)
-    late, world.flying = world.flying, []
-    world.anew(3)
-    world.planned((1, 0))
+    world.send_lease_request(3)
+    world.deliver(0, False)
+    late, world.in_flight = world.in_flight, []
+    world.restart(3)
+    world.make_plan((1, 0))
     time_until_held(world, 1, 4.0, CELL_0_NODES)
     while world.routers[0].last_token < late[0][2].token:
-        world.asks(3)
-    world.flying = late
-    world.does("late", lambda w: w.comes(0, False))
+        world.send_lease_request(3)
+    world.in_flight = late
+    world.perform("late", lambda w: w.deliver(0, False))
 
 
 def region_has_a_new_granter() -> None:
     """The new granter knows nothing of a cell that holds a lease and is cut off."""
     world = settled_world()
-    world.planned((1, 0))
-    world.learns(0)
-    world.anew(0)
+    world.make_plan((1, 0))
+    world.learn_plan(0)
+    world.restart(0)
     time_until_held(world, 1, 4.0, CELL_0_NODES)
 
 
 def cell_has_a_new_leader() -> None:
     """The new leader knows nothing of a router with a load in flight, and must not report it as done."""
     world = settled_world()
-    world.begins(3, 0)
-    world.planned((1, 0))
-    world.learns(1)
-    world.anew(1)
+    world.begin_load(3, 0)
+    world.make_plan((1, 0))
+    world.learn_plan(1)
+    world.restart(1)
     time_until_held(world, 1, 4.0, (3,))
 
 
 def cell_misses_the_plan_before_the_home_returns() -> None:
     """The old cell's lease expired. It did not learn of the plan that took the home, nor of loads since."""
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     time_until_held(world, 1, 4.0, CELL_0_NODES)
-    world.planned((0, 0))
-    settled(world, 3, 0.02, (2, 4))
+    world.make_plan((0, 0))
+    settle(world, 3, 0.02, (2, 4))
     assert holding_cells(world) == {1}, "cell 1 has not learned the plan, and goes on for now"
     time_until_held(world, 0, 4.0)
 
 
 def home_returns_before_it_was_used() -> None:
     world = settled_world()
-    world.planned((1, 0))
-    settled(world, 1, 0.004)
-    world.planned((0, 0))
+    world.make_plan((1, 0))
+    settle(world, 1, 0.004)
+    world.make_plan((0, 0))
     assert time_until_held(world, 0, 4.0) < 0.1
 
 
 def home_returns_while_it_is_used() -> None:
     """The old cell gives the home up by one plan and has it again by the next; the other has begun loads."""
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     time_until_held(world, 1, 4.0)
-    world.begins(4, 0)
-    world.planned((0, 0))
-    settled(world, 10, 0.02, (2, 4))
+    world.begin_load(4, 0)
+    world.make_plan((0, 0))
+    settle(world, 10, 0.02, (2, 4))
     time_until_held(world, 0, 4.0)
 
 
@@ -215,17 +215,17 @@
     The router is done by the later plan alone, which its leader does not know.
     """
     world = settled_world()
-    world.planned((1, 0))
+    world.make_plan((1, 0))
     for node in (0, 2, 4):
-        world.learns(node)
-    world.planned((0, 0))
-    world.learns(3)
+        world.learn_plan(node)
+    world.make_plan((0, 0))
+    world.learn_plan(3)
     for _ in range(20):
         for node in (3, 1, 2, 4):
-            world.asks(node)
-            while world.flying:
-                world.does("answered", lambda w: w.comes(0, False))
-        world.does("time", lambda w: w.passes(0.05))
+            world.send_lease_request(node)
+            while world.in_flight:
+                world.perform("answered", lambda w: w.deliver(0, False))
+        world.perform("time", lambda w: w.advance(0.05))
     time_until_held(world, 0, 4.0)
 
 
@@ -477,8 +477,8 @@
 def test_a_router_whose_home_moves_refuses_at_once() -> None:
     world = settled_world()
     router = world.routers[0]
-    world.planned((1, 0))
-    world.learns(3)
+    world.make_plan((1, 0))
+    world.learn_plan(3)
     assert router.begin_load(0, SETTLE, world.clock(3)) == OtherCell(1)
     assert isinstance(router.begin_load(1, SETTLE, world.clock(3)), StartPermit)
 
@@ -486,18 +486,18 @@
 def test_a_cell_cut_off_from_its_region_keeps_its_homes_for_a_lease_and_regains_them_at_once() -> None:
     world = settled_world()
     for _ in range(30):
-        settled(world, 1, 0.1, (0, 1, 2))
+        settle(world, 1, 0.1, (0, 1, 2))
     assert holding_cells(world) == set()
     began = world.now
-    settled(world, 2, 0.02)
+    settle(world, 2, 0.02)
     assert holding_cells(world) == {0} and world.now - began < 0.1
 
 
 def test_a_new_leader_renews_leases_without_a_gap() -> None:
     world = settled_world()
-    world.anew(1)
+    world.restart(1)
     for _ in range(100):
-        settled(world, 1, 0.05)
+        settle(world, 1, 0.05)
         assert holding_cells(world, 0) == holding_cells(world, 1) == {0}
 
 
--- a/tests/fair_queue/test_admission.py
+++ b/tests/fair_queue/test_admission.py
@@ -35,7 +35,7 @@
     RetryPromises,
 )
 from marbleworks.fair_queue.start_time_fair_queue import StartTimeFairQueue, Ticket
-from marbleworks.lab.door import Yard, arrival
+from marbleworks.lab.door import AdmissionModel, make_request
 
 BOUNDS = AdmissionBounds(
     max_waiting=200, max_waiting_bytes=1e6, max_promises=1000, shares_usage=False, traces=True
@@ -728,38 +728,40 @@
 
 
 def test_an_expired_ticket_is_not_admitted_when_its_turn_comes() -> None:
-    yard = Yard(1.0, replace(BOUNDS, max_waiting=50))
+    model = AdmissionModel(1.0, replace(BOUNDS, max_waiting=50))
     for n in range(6):
-        yard.gates[0].come(replace(arrival(n), work=0.4, max_wait_s=30.0, time_left_s=0.3))
-    assert len(yard.running) == 1 and yard.door.queue.count == 5
-    yard.now = 0.45
-    yard.door.on_answer("0", 0.4, 0.4, yard.now)  # before any tick
-    assert yard.away == 5 and not yard.door.waiting
+        model.controllers[0].submit(replace(make_request(n), work=0.4, max_wait_s=30.0, time_left_s=0.3))
+    assert len(model.running) == 1 and model.controller.queue.count == 5
+    model.now = 0.45
+    model.controller.on_answer("0", 0.4, 0.4, model.now)  # before any tick
+    assert model.shed_count == 5 and not model.controller.waiting
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_tenant_at_two_of_three_routers_gets_as_much_as_one_at_all_three(seed: int) -> None:
     """Also when the concurrency limits of the routers have drifted apart."""
-    yard, rng, work_done = (
-        Yard(12.0, AdmissionBounds(4000, 16e6, 1000, True, False), 3),
+    model, rng, work_done = (
+        AdmissionModel(12.0, AdmissionBounds(4000, 16e6, 1000, True, False), 3),
         random.Random(seed),
         [0.0, 0.0],
     )
-    yard.gates[2].door.concurrency_limit.limit *= 2.5
+    model.controllers[2].controller.concurrency_limit.limit *= 2.5
     for step in range(4_000):
         for router, names in enumerate((["a", "b"], ["a", "b"], ["a"])):
             for name in names:
                 if rng.random() < 0.3:
                     work = rng.uniform(0.02, 0.12)
                     new = replace(
-                        arrival(len(yard.ended) + len(yard.running) + 10_000 * step), tenant_name=name
+                        make_request(len(model.ended) + len(model.running) + 10_000 * step), tenant_name=name
                     )
                     ref = f"{name}{step}.{router}"
-                    yard.gates[router].come(replace(new, ref=ref, work=work, max_wait_s=0.3, time_left_s=0.3))
-        before = dict(yard.running)
-        yard.work(0.0025)
-        if yard.now > 2.0:
-            for ref in before.keys() - yard.running.keys():
+                    model.controllers[router].submit(
+                        replace(new, ref=ref, work=work, max_wait_s=0.3, time_left_s=0.3)
+                    )
+        before = dict(model.running)
+        model.advance(0.0025)
+        if model.now > 2.0:
+            for ref in before.keys() - model.running.keys():
                 work_done[ref[0] == "b"] += before[ref][1][1]
     assert work_done[1] / sum(work_done) == pytest.approx(0.5, rel=0.15)
 
@@ -769,8 +771,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.yard = Yard(3.0, AdmissionBounds(30, 1e5, 40, True, False), 3)
-        self.yard.passes = lambda sender, receiver: (sender, receiver) not in self.cut_links
+        self.model = AdmissionModel(3.0, AdmissionBounds(30, 1e5, 40, True, False), 3)
+        self.model.is_delivered = lambda sender, receiver: (sender, receiver) not in self.cut_links
         self.cut_links: set[tuple[int, int]] = set()
         self.router_by_ref: dict[str, int] = {}  # router of each request, unless it was killed
         self.count, self.generations = 0, [1, 1, 1]
@@ -784,21 +786,23 @@
     def submit(self, router: int, tenant: str, work: float, burst: int) -> None:
         for _ in range(burst):
             self.count += 1
-            new = replace(arrival(self.count), tenant_name=tenant, work=work, max_wait_s=1.0, time_left_s=1.0)
+            new = replace(
+                make_request(self.count), tenant_name=tenant, work=work, max_wait_s=1.0, time_left_s=1.0
+            )
             self.router_by_ref[new.ref] = router
-            self.yard.gates[router].come(new)
+            self.model.controllers[router].submit(new)
 
     @rule(seconds=st.sampled_from([0.01, 0.05, 0.2, 1.0]))
     def advance(self, seconds: float) -> None:
-        self.yard.work(seconds)
+        self.model.advance(seconds)
 
     @rule(router=st.integers(0, 2))
     def restart(self, router: int) -> None:
-        self.yard.restart(router)
+        self.model.restart(router)
         self.generations[router] += 1
         self.router_by_ref = {ref: number for ref, number in self.router_by_ref.items() if number != router}
-        for gate in self.yard.gates:
-            gate.door.peer_usage.update_generations(dict(enumerate(self.generations)))
+        for modelled in self.model.controllers:
+            modelled.controller.peer_usage.update_generations(dict(enumerate(self.generations)))
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2), is_connected=st.booleans())
     def set_link(self, sender: int, receiver: int, is_connected: bool) -> None:
@@ -806,9 +810,9 @@
 
     @invariant()
     def each_request_waits_runs_or_has_ended(self) -> None:
-        yard = self.yard
-        for gate in yard.gates:
-            controller = gate.door
+        model = self.model
+        for modelled in model.controllers:
+            controller = modelled.controller
             assert controller.concurrency_limit.in_flight == sum(
                 admitted.threads for admitted in controller.admitted.values()
             )
@@ -821,14 +825,14 @@
                 <= MAX_LIMIT_PER_CORE * controller.concurrency_limit.cores + 1e-9
             )
         for ref, router in self.router_by_ref.items():
-            controller = yard.gates[router].door
-            places = (ref in controller.waiting) + (ref in controller.admitted) + yard.ended.get(ref, 0)
+            controller = model.controllers[router].controller
+            places = (ref in controller.waiting) + (ref in controller.admitted) + model.ended.get(ref, 0)
             assert places == 1, ref
 
     def teardown(self) -> None:
         for _ in range(60):
-            self.yard.work(0.5)
-        assert all(self.yard.ended.get(ref) == 1 for ref in self.router_by_ref)
+            self.model.advance(0.5)
+        assert all(self.model.ended.get(ref) == 1 for ref in self.router_by_ref)
 
 
 TestControllerGroup = ControllerGroup.TestCase
--- a/tests/fair_queue/test_service.py
+++ b/tests/fair_queue/test_service.py
@@ -15,7 +15,7 @@
 from marbleworks.fair_queue.peer_usage import PeerUsage, name_hash
 from marbleworks.fair_queue.service import FairQueueService
 from marbleworks.fair_queue.trace_report import explain_decisions
-from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer
+from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, http_response
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.actor import clock
 from marbleworks.net.client_listener import ClientListener
@@ -53,7 +53,7 @@
         def reply(call: str, fields: dict[str, str], body: bytes) -> bytes:
             if call.startswith("POST"):
                 gevent.sleep(seconds)
-            return answer(200, b"a\tb\tc\n", X_Sheets=1, X_Toil=1000 * seconds, X_Room=8)
+            return http_response(200, b"a\tb\tc\n", X_Sheets=1, X_Toil=1000 * seconds, X_Room=8)
 
         self.engine = SqlEngine(reply)
         self.dispatcher = Dispatcher(
@@ -93,7 +93,9 @@
 
 
 def send_request(client: RpcClient, n: int, profile: str = "look", **fields: str) -> int:
-    return client.ask(profile, f"select {n} from t", ref=f"{id(client) & 0xFFFFFFFF:08x}{n:08x}", **fields)
+    return client.send_request(
+        profile, f"select {n} from t", ref=f"{id(client) & 0xFFFFFFFF:08x}{n:08x}", **fields
+    )
 
 
 def test_a_request_without_contention_is_admitted_at_once_and_leaves_no_state() -> None:
@@ -101,7 +103,7 @@
     client = router.client()
     for n in range(20):
         send_request(client, n)
-        assert client.hear()[3]
+        assert client.receive()[3]
     wait_until(router.is_idle)
     assert router.admission.controller.peak_waiting_bytes == 0  # nothing ever waited
 
@@ -117,10 +119,10 @@
     for n in range(8):
         started_at = time.monotonic()
         send_request(quiet, n, tenant="acme", cost="100")
-        assert quiet.hear()[3]
+        assert quiet.receive()[3]
         longest = max(longest, time.monotonic() - started_at)
     assert longest < 0.6
-    answers = [client.hear() for client in flooding for _ in range(30)]
+    answers = [client.receive() for client in flooding for _ in range(30)]
     shed = [err for _, _, err, _ in answers if err is not None]
     assert shed and all(err[0] == "Rejected" and 0 < int(err[1]["after"]) <= 2000 for err in shed)
     assert sum(err is None for _, _, err, _ in answers) + len(shed) == 180
@@ -139,12 +141,12 @@
         n += 1
         gevent.sleep(0.05)
         send_request(client, n, tenant="big", cost="100", wait="400")  # too short to wait for its turn
-        err = client.hear()[2]
+        err = client.receive()[2]
         assert err is not None and err[0] == "Rejected", "admitted before any retry was promised"
         retry_after_s = int(err[1]["after"]) / 1000
     gevent.sleep(retry_after_s)
-    client.ask("look", f"select {n} from t", ref="f" * 16, tenant="big", cost="100", wait="3000")
-    assert client.hear()[3] and router.admission.controller.promises.kept_count == 1
+    client.send_request("look", f"select {n} from t", ref="f" * 16, tenant="big", cost="100", wait="3000")
+    assert client.receive()[3] and router.admission.controller.promises.kept_count == 1
     wait_until(router.is_idle, 8.0)
 
 
@@ -154,17 +156,17 @@
     for n in range(8):
         send_request(busy, n, tenant="big", cost="100", wait="4000")
     call_ids = [send_request(client, n, cost="100", wait="4000") for n in range(3)]
-    short_id = client.ask("look", "select 9 from t", ref="e" * 16, cost="1", wait="250")
+    short_id = client.send_request("look", "select 9 from t", ref="e" * 16, cost="1", wait="250")
     for n in range(3):
         send_request(leaving, n, cost="100", wait="4000")
     wait_until(lambda: len(router.admission.controller.waiting) >= 8)
     started_at = clock()
     client.send(2, "cancel", [call_ids[1]])
     leaving.sock.close()
-    answer_message = client.hear()
+    answer_message = client.receive()
     assert answer_message[1] == short_id and answer_message[2][0] == "Rejected" and clock() - started_at < 0.4
     wait_until(lambda: len(router.admission.held_requests) <= 7, 0.5)
-    assert {client.hear()[1] for _ in range(2)} == {call_ids[0], call_ids[2]}
+    assert {client.receive()[1] for _ in range(2)} == {call_ids[0], call_ids[2]}
     wait_until(router.is_idle, 8.0)
 
 
@@ -177,7 +179,7 @@
     gevent.sleep(0.1)
     router.dispatcher.post(router.dispatcher.stop, clock() + 0.5)
     started_at = time.monotonic()
-    answers = [client.hear() for client in clients for _ in range(6)]
+    answers = [client.receive() for client in clients for _ in range(6)]
     assert len(answers) == 18 and time.monotonic() - started_at < 0.8
     wait_until(lambda: not router.admission.held_requests)
 
@@ -193,9 +195,9 @@
 
     monkeypatch.setattr(router.admission.controller, "submit", failing_submit)
     send_request(client, 1, cost="2000")
-    assert client.hear()[2] == ["Failed", {"why": "failed"}]
+    assert client.receive()[2] == ["Failed", {"why": "failed"}]
     send_request(client, 2)
-    assert client.hear()[3]
+    assert client.receive()[3]
 
 
 def test_a_draining_engine_gets_no_request_when_a_promise_is_due() -> None:
@@ -207,9 +209,9 @@
     draining = [(EngineEntry(0, "s-0", 0, 0, 0, EngineStatus.DRAINING, 0.0), router.engine.address)]
     router.dispatcher.post(router.dispatcher.update_engines, draining, True)
     gevent.sleep(0.05)
-    sent_count = len(router.engine.asked("POST"))
-    answers = [client.hear() for _ in range(30)]
-    assert len(answers) == 30 and len(router.engine.asked("POST")) == sent_count
+    sent_count = len(router.engine.calls_of("POST"))
+    answers = [client.receive() for _ in range(30)]
+    assert len(answers) == 30 and len(router.engine.calls_of("POST")) == sent_count
     wait_until(router.is_idle)
 
 
@@ -228,7 +230,7 @@
     flow_key = controller.flow_by_tenant["big"]
     assert controller.queue.flows[flow_key].finish_tag > before[flow_key]
     for _ in range(24):
-        client.hear()
+        client.receive()
     wait_until(router.is_idle, 8.0)
 
 
@@ -242,7 +244,7 @@
     )[1]
     client = router.client()
     send_request(client, 1, cost="20", wait="4000")
-    assert client.hear()[2] is None
+    assert client.receive()[2] is None
     profile = SMALL_DEPLOYMENT.request_classes[0]
     max_useful_wait_s = NEAR_TARGET_RATIO * (profile.latency_target_s + profile.latency_target_growth * 0.02)
     assert requests[0].max_wait_s <= max_useful_wait_s and requests[0].time_left_s <= max_useful_wait_s < 4.0
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -25,11 +25,11 @@
     CapacityModel,
     PageError,
     Results,
-    problems,
-    written,
+    find_problems,
+    render_page,
 )
 from marbleworks.lab.slopes import Slope, Slopes
-from marbleworks.lab.target import Allowance, Use, Variant, cell_size, worked
+from marbleworks.lab.target import Allowance, Use, Variant, cell_size, evaluate
 from marbleworks.membership.leader_election import MAX_CLOCK_DRIFT
 from marbleworks.membership.options import MEMBERSHIP_SECTION
 from marbleworks.net.discovery import QUERY_INTERVAL_S
@@ -106,7 +106,7 @@
 
 @pytest.fixture(scope="module")
 def made_up_page() -> str:
-    return written(TEMPLATE, made_up())
+    return render_page(TEMPLATE, made_up())
 
 
 def lines_of(text: str, name: str) -> list[list[str]]:
@@ -118,17 +118,17 @@
 
 
 def test_the_page_is_what_the_command_would_write_from_the_committed_results() -> None:
-    results, text = page.read(ROOT / page.RESULTS), (ROOT / page.PAGE).read_text()
-    assert problems(text, results) == []
-    assert written(text, results) == text
+    results, text = page.read_results(ROOT / page.RESULTS), (ROOT / page.PAGE).read_text()
+    assert find_problems(text, results) == []
+    assert render_page(text, results) == text
 
 
 # Each kind of problem is found.
 
 
 def test_a_page_of_made_up_slopes_has_nothing_wrong(made_up_page: str) -> None:
-    assert problems(made_up_page, made_up()) == []
-    assert written(made_up_page, made_up()) == made_up_page
+    assert find_problems(made_up_page, made_up()) == []
+    assert render_page(made_up_page, made_up()) == made_up_page
 
 
 def test_a_figure_changed_by_hand_is_found(made_up_page: str) -> None:
@@ -141,12 +141,14 @@
         )
         assert broken != made_up_page, name
         assert any(
-            f"table {name}: differs from the results" in line for line in problems(broken, made_up())
+            f"table {name}: differs from the results" in line for line in find_problems(broken, made_up())
         ), name
         without = made_up_page.replace(
             f"<!-- table {name} -->\n{head}\n{rule}\n{row}\n", f"<!-- table {name} -->\n{head}\n{rule}\n"
         )
-        assert any(f"table {name}: lacks the line" in line for line in problems(without, made_up())), name
+        assert any(
+            f"table {name}: lacks the line" in line for line in find_problems(without, made_up())
+        ), name
 
 
 def test_rows_in_another_order_are_found(made_up_page: str) -> None:
@@ -155,12 +157,12 @@
     )
     head, rule, first, second, *rest = body.splitlines()
     broken = made_up_page.replace(body, "\n".join([head, rule, second, first, *rest]) + "\n")
-    assert problems(broken, made_up()) == ["table missing-flat: its rows are in another order"]
+    assert find_problems(broken, made_up()) == ["table missing-flat: its rows are in another order"]
 
 
 def test_changed_results_are_found(made_up_page: str) -> None:
     dearer = made_up(member_bytes=(250.0, 2.0, 0.5))
-    assert any("role-router" in line for line in problems(made_up_page, dearer))
+    assert any("role-router" in line for line in find_problems(made_up_page, dearer))
 
 
 def test_a_wrong_mark_of_a_ratio_is_found_by_the_page_alone(made_up_page: str) -> None:
@@ -197,25 +199,27 @@
         slopes = made_up()
         del slopes.by_name[name]
         try:
-            text = written(TEMPLATE, slopes)
+            text = render_page(TEMPLATE, slopes)
         except PageError as err:
             assert name in str(err)  # the size of a cell depends on it
             continue
         assert f"| `{name}` | {NO_RUN} |" in text
-        assert problems(text, slopes) == [f"{name}: has no run and is not marked so"]
+        assert find_problems(text, slopes) == [f"{name}: has no run and is not marked so"]
 
 
 def test_a_lost_figure_and_a_slope_with_a_large_error_are_marked(made_up_page: str) -> None:
     lost = Results(made_up().slopes, {})
-    text = written(TEMPLATE, lost)
-    assert problems(text, lost) == ["homes_bytes_an_engine_and_table_group: has no run and is not marked so"]
+    text = render_page(TEMPLATE, lost)
+    assert find_problems(text, lost) == [
+        "homes_bytes_an_engine_and_table_group: has no run and is not marked so"
+    ]
     (row,) = [r for r in lines_of(text, "role-router") if r[:2] == ["primaries", "flat"]]
     assert row[6] == NO_RUN
     slopes = made_up().by_name
     slopes["member_cpu"] = replace(slopes["member_cpu"], error=0.151)
     (row,) = [
         r
-        for r in lines_of(written(TEMPLATE, Results(Slopes(slopes), made_up().figures)), "slopes")
+        for r in lines_of(render_page(TEMPLATE, Results(Slopes(slopes), made_up().figures)), "slopes")
         if "member_cpu" in r[0]
     ]
     assert row[-1] == f"15.1% {ERROR_MARK}" and ERROR_MARK not in "".join(
@@ -225,14 +229,14 @@
 
 def test_a_row_without_a_run_is_marked_in_the_page(made_up_page: str) -> None:
     model = CapacityModel(made_up())
-    unrun = [resolved for resolved in model.rows if resolved.unrun or resolved.row.awaited]
+    unrun = [resolved for resolved in model.rows if resolved.slopes_without_run or resolved.row.awaited]
     assert {resolved.row.duty for resolved in unrun} >= {Duty.SPOOL, Duty.LOGS}
     for resolved in unrun:
         rows = lines_of(made_up_page, f"role-{resolved.row.role.name.lower()}")
         (row,) = [r for r in rows if r[:2] == [resolved.row.duty.value, resolved.row.variant.value]]
         assert NO_RUN in row[rows[0].index("ratio")] and NO_RUN in row[-1]
         line = f"| {' | '.join(row)} |"
-        assert problems(made_up_page.replace(line, line.replace(NO_RUN, "measured")), made_up()) != []
+        assert find_problems(made_up_page.replace(line, line.replace(NO_RUN, "measured")), made_up()) != []
 
 
 def test_a_row_without_a_slope_that_is_not_marked_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -246,10 +250,10 @@
 
 
 def test_a_stale_mark_and_an_unknown_slope_are_found(made_up_page: str) -> None:
-    assert "hollow_cpu: has a run; remove it from AWAITED" in problems(
+    assert "hollow_cpu: has a run; remove it from AWAITED" in find_problems(
         made_up_page, made_up(hollow_cpu=(0.0, 1.0, 1.0))
     )
-    assert "member_cup: unknown slope" in problems(made_up_page, made_up(member_cup=(0.0, 1.0, 1.0)))
+    assert "member_cup: unknown slope" in find_problems(made_up_page, made_up(member_cup=(0.0, 1.0, 1.0)))
 
 
 def test_a_row_that_uses_an_unknown_slope_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -284,8 +288,11 @@
 
 def test_a_figure_in_the_prose_that_no_table_holds_is_found(made_up_page: str) -> None:
     broken = made_up_page.replace("## Bursts\n", "## Bursts\n\nIt takes 7,331 bytes.\n")
-    assert problems(broken, made_up()) == ["prose: 7,331 is in no table: It takes 7,331 bytes."]
-    assert problems(made_up_page.replace("## Bursts\n", "## Bursts\n\nOf 4,600 routers.\n"), made_up()) == []
+    assert find_problems(broken, made_up()) == ["prose: 7,331 is in no table: It takes 7,331 bytes."]
+    assert (
+        find_problems(made_up_page.replace("## Bursts\n", "## Bursts\n\nOf 4,600 routers.\n"), made_up())
+        == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -300,9 +307,9 @@
     made_up_page: str, old: str, new: str, message: str
 ) -> None:
     with pytest.raises(PageError, match=message):
-        written(made_up_page.replace(old, new), made_up())
+        render_page(made_up_page.replace(old, new), made_up())
     with pytest.raises(PageError, match=message):
-        problems(made_up_page.replace(old, new), made_up())
+        find_problems(made_up_page.replace(old, new), made_up())
 
 
 # The command.
@@ -315,7 +322,7 @@
     arguments = ["lab", "page", "--results", str(results), "--page", str(text)]
     run = CliRunner()
     assert run.invoke(app, arguments).exit_code == 0
-    assert text.read_text() == written(TEMPLATE, made_up())
+    assert text.read_text() == render_page(TEMPLATE, made_up())
     assert run.invoke(app, [*arguments, "--check"]).exit_code == 0
     broken = text.read_text().replace("| 4,600 |", "| 4,601 |", 1)
     text.write_text(broken)
@@ -363,7 +370,7 @@
 def test_the_figures_of_the_code_equal_its_constants() -> None:
     defaults = {s.name: s.default for s in BUDGETS_SECTION.settings}
     assert (defaults["lease"], defaults["settle"]) == (target.LEASE, target.SETTLE)
-    assert (target.ASKS, target.ANSWER, target.TOLD) == (
+    assert (target.LIST_REQUESTS_PER_S, target.MAX_LIST_BYTES, target.LIST_PROPAGATION_S) == (
         1 / QUERY_INTERVAL_S,
         MAX_DNS_RESPONSE_BYTES,
         LISTING_PROPAGATION_S,
@@ -371,7 +378,10 @@
     assert target.HOMES == MAX_HOME_SETS
     peers = {s.name: s.default for s in MEMBERSHIP_SECTION.settings}
     assert (peers["term"], MAX_CLOCK_DRIFT) == (target.TERM, target.DRIFT)
-    assert (target.REPORTS, target.QUIET) == (1 / REPORT_INTERVAL_S, ABANDONED_ATTEMPT_TIMEOUT_S)
+    assert (target.REPORTS_PER_S, target.ABANDONED_ATTEMPT_TIMEOUT_S) == (
+        1 / REPORT_INTERVAL_S,
+        ABANDONED_ATTEMPT_TIMEOUT_S,
+    )
     max_field = 2**16 - 1
     widest = BudgetUsage(
         2**32 - 1,
@@ -384,23 +394,23 @@
         max_field,
         max_field,
     )
-    assert len(next(split_usages([widest] * MAX_REPORT_ENTRIES))) == target.FEWEST
+    assert len(next(split_usages([widest] * MAX_REPORT_ENTRIES))) == target.MIN_DATAGRAM_ENTRIES
 
 
 def test_a_formula_multiplies_divides_and_adds() -> None:
     slopes = made_up().by_name
     use = Use(("two",), (("engine_state", "engines"),), ("cells",), (("door_state", "engines"),))
-    figure = worked((use, use), slopes, {"two": 2.0, "engines": 640.0, "cells": 4.0})
+    figure = evaluate((use, use), slopes, {"two": 2.0, "engines": 640.0, "cells": 4.0})
     assert figure.value == pytest.approx(2 * 2.0 * 3200 * 640 / 4 / (400 * 640))
-    assert figure.far == 2.0 and figure.under == 10 / 640 and figure.text.count("2") == 0
-    lost = worked((use,), {}, {"two": 2.0, "engines": 640.0, "cells": 4.0})
-    assert lost.unrun == {"engine_state", "door_state"}
+    assert figure.times_beyond == 2.0 and figure.times_below == 10 / 640 and figure.text.count("2") == 0
+    lost = evaluate((use,), {}, {"two": 2.0, "engines": 640.0, "cells": 4.0})
+    assert lost.slopes_without_run == {"engine_state", "door_state"}
     with pytest.raises(KeyError):
-        worked((use,), slopes, {"two": 2.0})
+        evaluate((use,), slopes, {"two": 2.0})
 
 
 def test_a_burst_costs_more_than_none_and_a_larger_one_more_than_a_smaller() -> None:
-    rows = lines_of(written(TEMPLATE, made_up()), "peaks")
+    rows = lines_of(render_page(TEMPLATE, made_up()), "peaks")
     model = CapacityModel(made_up())
     peaks = {row[0]: row for row in rows if row[1] == "cells"}
     assert set(peaks) == {burst.name for burst in duties.BURSTS}
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -12,8 +12,8 @@
 import pytest
 from gevent import socket
 
-from marbleworks.lab.faultnet import FaultNet
-from marbleworks.lab.group import Group
+from marbleworks.lab.faultnet import FaultyNetwork
+from marbleworks.lab.group import SimulatedGroup
 from marbleworks.lab.hollow import (
     GroupResults,
     GroupUsage,
@@ -28,8 +28,8 @@
     measure_simulated_death,
 )
 from marbleworks.lab.hollow_process import KINDS, CountingSocket
-from marbleworks.lab.stage import free_port, settings, until
-from marbleworks.lab.standins import HOST, configuration
+from marbleworks.lab.stage import free_port, lab_settings, wait_until
+from marbleworks.lab.standins import HOST, router_configuration
 from marbleworks.membership.failure_detector import MemberChange
 from marbleworks.membership.messages import MemberState
 
@@ -41,7 +41,7 @@
 def group() -> Iterator[HollowGroup]:
     with HollowGroup(COUNT, 2, operator=FAST, seconds=120) as hollow_group:
         hollow_group.start()
-        assert until(hollow_group.is_divided, TIMEOUT_S)
+        assert wait_until(hollow_group.is_divided, TIMEOUT_S)
         yield hollow_group
 
 
@@ -55,7 +55,7 @@
         counts.append(group.measure_usage(0.5))
         return counts[-1].changes == 0
 
-    assert until(is_idle, TIMEOUT_S)
+    assert wait_until(is_idle, TIMEOUT_S)
     counted = counts[-1]
     assert set(counted.sent) == {"peers", "budgets"} and counted.cpu > 0.0
     assert counted.first["budgets"][0] > counted.sent["budgets"][0]  # the leader answers all the others
@@ -64,13 +64,13 @@
 def test_routers_that_are_cut_apart_are_two_groups_until_the_cut_ends(group: HollowGroup) -> None:
     def cut(_: float) -> None:
         group.part([0, 1, 2], [3, 4])
-        assert until(lambda: group.agreed([0, 1, 2]) and group.agreed([3, 4]), TIMEOUT_S)
+        assert wait_until(lambda: group.agreed([0, 1, 2]) and group.agreed([3, 4]), TIMEOUT_S)
 
     # The changes show that the group was not idle.
     assert group.measure_usage(0.0, wait=cut).changes >= 2 * 3 + 3 * 2
     assert all(router["cut"] for said in group.counts() for router in said["routers"].values())
     group.part()
-    assert until(group.is_divided, TIMEOUT_S)
+    assert wait_until(group.is_divided, TIMEOUT_S)
 
 
 def test_a_configuration_is_in_force_once_every_router_asks_the_new_list(group: HollowGroup) -> None:
@@ -94,13 +94,13 @@
     Path(path).write_text(json.dumps(config | {"peer_listen": f"{HOST}:{free_port(socket.SOCK_DGRAM)}"}))
     with pytest.raises(RuntimeError, match="there already"):
         group.processes[1].ask("start", [[path, operator]])
-    assert until(group.agreed, TIMEOUT_S) and group.views()[3][0] == COUNT
+    assert wait_until(group.agreed, TIMEOUT_S) and group.views()[3][0] == COUNT
 
 
 def test_a_death_is_known_to_all_and_frees_the_address(group: HollowGroup) -> None:
     group.kill(3)
     rest = [0, 1, 2, 4]
-    assert until(lambda: group.agreed(rest) and len(group.detection_seconds(3)) == len(rest), TIMEOUT_S)
+    assert wait_until(lambda: group.agreed(rest) and len(group.detection_seconds(3)) == len(rest), TIMEOUT_S)
     assert min(group.detection_seconds(3)) > 0.0
     host, port = group.addresses()[3]
     with socket.socket(type=socket.SOCK_DGRAM) as new_socket:
@@ -109,34 +109,41 @@
 
 
 def test_what_a_router_counts_is_what_the_network_between_them_carried(tmp_path: Path) -> None:
-    net, seen = FaultNet(3, 1), defaultdict[tuple[int, str], list[int]](lambda: [0, 0])
+    network, seen = FaultyNetwork(3, 1), defaultdict[tuple[int, str], list[int]](lambda: [0, 0])
 
     def count_datagram(sender: int, to: int, data: bytes) -> None:
         counted = seen[sender, KINDS[data[0]]]
         counted[0] += 1
         counted[1] += len(data)
 
-    net.spy = count_datagram
+    network.on_send = count_datagram
     ports = [free_port(socket.SOCK_DGRAM) for _ in range(3)]
-    net.listen(ports)
+    network.set_ports(ports)
     (tmp_path / "operator.lisp").write_text(FAST)
     files = []
     for me, port in enumerate(ports):
-        text = configuration(
-            1, port, (HOST, 9), make_engines(1), settings(8, routers=3, me=me), group=net.of(me)
+        text = router_configuration(
+            1,
+            port,
+            (HOST, 9),
+            make_engines(1),
+            lab_settings(8, routers=3, router_index=me),
+            group=network.addresses_for(me),
         )
         (tmp_path / f"{me}.json").write_text(text)
         files.append([str(tmp_path / f"{me}.json"), str(tmp_path / "operator.lisp")])
     process = Process(tmp_path, "three", 120)
     process.ask("start", files)
-    assert until(lambda: all(seen[n, kind][0] > 5 for n in range(3) for kind in KINDS.values()), TIMEOUT_S)
+    assert wait_until(
+        lambda: all(seen[n, kind][0] > 5 for n in range(3) for kind in KINDS.values()), TIMEOUT_S
+    )
     counters = process.ask("kill", [0, 1, 2])["killed"]
     process.end()
     sent = {(int(n), kind): c for n, router in counters.items() for kind, c in router["sent"].items()}
-    assert until(lambda: sent == dict(seen), TIMEOUT_S), (sent, dict(seen))
+    assert wait_until(lambda: sent == dict(seen), TIMEOUT_S), (sent, dict(seen))
     received = sum(c[0] for router in counters.values() for c in router["heard"].values())
-    assert 0 < received <= net.passed
-    net.close()
+    assert 0 < received <= network.delivered
+    network.close()
 
 
 def test_a_list_too_large_for_an_answer_is_never_taken_over() -> None:
@@ -158,8 +165,8 @@
 def test_a_process_ends_with_its_input_or_after_its_seconds(tmp_path: Path) -> None:
     one, two = Process(tmp_path, "one", 120), Process(tmp_path, "two", 1)
     one.process.stdin.close()
-    assert until(lambda: one.process.poll() == 0, TIMEOUT_S)
-    assert until(lambda: two.process.poll() == -signal.SIGALRM, TIMEOUT_S)
+    assert wait_until(lambda: one.process.poll() == 0, TIMEOUT_S)
+    assert wait_until(lambda: two.process.poll() == -signal.SIGALRM, TIMEOUT_S)
 
 
 def test_a_process_ends_when_its_controller_is_killed(tmp_path: Path) -> None:
@@ -177,17 +184,17 @@
     assert len(pids) == 2 and not any(has_ended(pid) for pid in pids)
     controller.kill()
     controller.wait()
-    assert until(lambda: all(has_ended(pid) for pid in pids), TIMEOUT_S)
+    assert wait_until(lambda: all(has_ended(pid) for pid in pids), TIMEOUT_S)
 
 
 def test_a_simulated_death_is_known_to_all_live_routers_before_the_restart() -> None:
-    group = Group(6, 1)
+    group = SimulatedGroup(6, 1)
     group.run(6.0)
     foreign_change = MemberChange(4, 1, MemberState.DEAD, "another's")
-    group.at(group.now + 0.01, group.changed, 0, foreign_change)
+    group.schedule(group.now + 0.01, group.record_change, 0, foreign_change)
     known = measure_simulated_death(group, 2)
     assert len(known) == 5 and 0.1 < min(known) <= max(known) < 8.0
-    assert group.views_agree() and len(group.living()) == 6
+    assert group.views_agree() and len(group.live_routers()) == 6
 
 
 def make_results(count: int, factor: float) -> GroupResults:
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -33,7 +33,7 @@
     found = slope([base + 3.0 * x**exponent for x in SIZES])
     assert found.exponent == pytest.approx(exponent, abs=0.01) and found.error < 0.01
     assert found.base == pytest.approx(base, abs=0.5)
-    assert found.at(10_000) == pytest.approx(base + 3.0 * 10_000**exponent, rel=0.02)
+    assert found.value_at(10_000) == pytest.approx(base + 3.0 * 10_000**exponent, rel=0.02)
 
 
 @pytest.mark.parametrize("base", [0.0, 100.0])
@@ -50,7 +50,7 @@
     chance = random.Random(7)
     found = slope([4.0 * math.exp(chance.gauss(0, 0.05)) for _ in SIZES])
     assert found.low <= 0.0 <= found.high and abs(found.exponent) < 0.1
-    assert found.at(100_000) == pytest.approx(4.0, rel=0.6)
+    assert found.value_at(100_000) == pytest.approx(4.0, rel=0.6)
 
 
 def test_the_largest_size_is_no_part_of_its_own_prediction() -> None:
@@ -69,10 +69,10 @@
 def test_the_range_of_a_worked_out_value_widens_with_the_distance() -> None:
     chance = random.Random(3)
     found = slope([2.0 * x * math.exp(chance.gauss(0, 0.05)) for x in SIZES])
-    near, far = found.between(1000.0), found.between(100_000.0)
-    assert near[0] < found.at(1000.0) < near[1] and far[0] < found.at(100_000.0) < far[1]
+    near, far = found.range_at(1000.0), found.range_at(100_000.0)
+    assert near[0] < found.value_at(1000.0) < near[1] and far[0] < found.value_at(100_000.0) < far[1]
     assert far[1] / far[0] > 1.05 * near[1] / near[0]
-    assert found.times(6400.0) == 10.0
+    assert found.extrapolation_ratio(6400.0) == 10.0
 
 
 @pytest.mark.parametrize(
@@ -208,13 +208,13 @@
 
 
 def test_a_group_counts_each_byte_and_datagram_sent_and_received() -> None:
-    group, datagrams_seen, send = settled_group(), list[tuple[int, int, int]](), flat.Group.send
+    group, datagrams_seen, send = settled_group(), list[tuple[int, int, int]](), flat.SimulatedGroup.send
     sent_before, received_before = list(group.sent_bytes), list(group.received_bytes)
     datagrams_before = list(group.sent_datagrams)
-    arrivals_before = sum(what.__name__ == "_arrive" for _, _, what, _ in group.line)
+    arrivals_before = sum(what.__name__ == "_deliver" for _, _, what, _ in group.events)
     bytes_in_flight = {n: 0 for n in range(6)}
-    for _, _, what, args in group.line:
-        if what.__name__ == "_arrive":
+    for _, _, what, args in group.events:
+        if what.__name__ == "_deliver":
             bytes_in_flight[args[1]] += len(args[2])
 
     def record_and_send(sender: int, to: int, data: bytes) -> None:
@@ -224,7 +224,7 @@
 
     group.send = record_and_send  # type: ignore[method-assign]
     group.run_measured(3.0)
-    while any(what.__name__ == "_arrive" for _, _, what, _ in group.line):
+    while any(what.__name__ == "_deliver" for _, _, what, _ in group.events):
         group.run_measured(0.0005)
     assert len(datagrams_seen) > 100 and arrivals_before < len(datagrams_seen)
     for n in range(6):
@@ -265,7 +265,7 @@
     flat.settle_group(group)
     found = flat.measure_deaths(group, 2, seed=1)
     assert 1.0 < found["death_seconds"] < found["divide_seconds"] < 8.0  # the suspicion alone is 1.0 s
-    assert group.views_agree() and group.is_divided() and len(group.living()) == 7
+    assert group.views_agree() and group.is_divided() and len(group.live_routers()) == 7
 
 
 def test_in_a_settled_group_no_datagram_carries_gossip() -> None:
@@ -274,7 +274,7 @@
     In a full run, routers in a group of 96 once sent more than those in a group of 200, since gossip about
     the start was still sent while processor time and bytes of the idle group were counted.
     """
-    group, datagrams_seen, send = settled_group(40), list[bytes](), flat.Group.send
+    group, datagrams_seen, send = settled_group(40), list[bytes](), flat.SimulatedGroup.send
 
     def record_and_send(sender: int, to: int, data: bytes) -> None:
         datagrams_seen.append(data)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -20,10 +20,10 @@
     InvariantViolation,
     check_invariants,
     explore_all_orders,
+    random_group_walk,
     random_walk,
-    walk,
 )
-from marbleworks.lab.group import GROUP, Group, NetworkFaults
+from marbleworks.lab.group import GROUP, NetworkFaults, SimulatedGroup
 from marbleworks.membership import leader_election
 from marbleworks.membership.codec import (
     MAX_DATAGRAM_BYTES,
@@ -117,7 +117,7 @@
             decode(GROUP, 7, datagram(version, fields))
 
 
-def started_group(count: int = 7, seed: int = 1, **network_faults: Any) -> Group:
+def started_group(count: int = 7, seed: int = 1, **network_faults: Any) -> SimulatedGroup:
     """Returns a group whose members have found each other.
 
     Args:
@@ -125,14 +125,14 @@
         seed: seed of the simulated network.
         network_faults: faults of the network, as fields of `NetworkFaults`.
     """
-    started = Group(count, seed)
+    started = SimulatedGroup(count, seed)
     started.network_faults = NetworkFaults(**network_faults)
     started.run(9.0)
     assert started.views_agree()
     return started
 
 
-def detection_times(group: Group, since: float, number: int) -> dict[int, float]:
+def detection_times(group: SimulatedGroup, since: float, number: int) -> dict[int, float]:
     """Returns how long after `since` each router first considered a router dead or left.
 
     Args:
@@ -175,13 +175,13 @@
 def test_planned_stop_is_known_and_its_share_divided_at_once() -> None:
     group = started_group()
     at, router = group.now, group.routers[4]
-    router.say(router.node.leave(router.clock()))
-    router.settle()
+    router.send_all(router.node.leave(router.clock()))
+    router.schedule_next()
     # The router still answers the requests that it accepted, with its reserved share.
     group.run(0.3, lambda: check_invariants(group))
     assert set(detection_times(group, at, 4)) >= {0, 1, 2, 3, 5, 6}
     group.run(2.0, lambda: check_invariants(group))
-    assert group.used_quota() == pytest.approx(1.0) and router.part() == pytest.approx(0.25 / 7)
+    assert group.used_quota() == pytest.approx(1.0) and router.quota_share() == pytest.approx(0.25 / 7)
     group.kill(4)
     assert group.used_quota() == pytest.approx(0.75 + 0.25 * 6 / 7)
 
@@ -233,7 +233,7 @@
 ) -> None:
     group = started_group()
     partition_of = {number: index for index, members in enumerate(partitions) for number in members}
-    group.network_faults.cut = lambda sender, to: partition_of[sender] != partition_of[to]
+    group.network_faults.is_cut = lambda sender, to: partition_of[sender] != partition_of[to]
     group.run(15.0, lambda: check_invariants(group))
     assert group.leaders() == leaders
     for members in partitions:
@@ -242,7 +242,7 @@
             status = group.routers[number].partition_status()
             assert status.quorum is (QuorumStatus.MAJORITY if len(members) > 3 else QuorumStatus.MINORITY)
             assert (status.index >= 0) == (len(members) > 3)
-    group.network_faults.cut = lambda sender, to: False
+    group.network_faults.is_cut = lambda sender, to: False
     group.run(6.0, lambda: check_invariants(group))
     assert group.views_agree()
     group.run(8.0, lambda: check_invariants(group))
@@ -251,21 +251,21 @@
 
 def test_death_of_the_center_of_a_star_leaves_each_other_its_reserved_share() -> None:
     group = started_group()
-    group.network_faults.cut = lambda sender, to: 0 not in (sender, to)
+    group.network_faults.is_cut = lambda sender, to: 0 not in (sender, to)
     group.run(20.0, lambda: check_invariants(group))
     group.kill(0)
     group.run(15.0, lambda: check_invariants(group))
     assert all(
-        router.partition_status().quorum is QuorumStatus.ISOLATED for router in group.living()
+        router.partition_status().quorum is QuorumStatus.ISOLATED for router in group.live_routers()
     ) and group.used_quota() == pytest.approx(0.25 * 6 / 7)
-    group.network_faults.cut = lambda sender, to: False
+    group.network_faults.is_cut = lambda sender, to: False
     group.run(20.0, lambda: check_invariants(group))
     assert group.views_agree() and group.used_quota() == pytest.approx(0.75 + 0.25 * 6 / 7)
 
 
 def test_two_equal_partitions_have_no_leader() -> None:
     group = started_group(6)
-    group.network_faults.cut = lambda sender, to: (sender < 3) != (to < 3)
+    group.network_faults.is_cut = lambda sender, to: (sender < 3) != (to < 3)
     group.run(15.0, lambda: check_invariants(group))
     assert group.leaders() == [] and group.used_quota() == pytest.approx(0.25)
 
@@ -274,7 +274,7 @@
     """Router 2 receives nothing from router 1; indirect probes have to show that both are alive."""
     group = started_group()
     at = group.now
-    group.network_faults.cut = lambda sender, to: (sender, to) == (1, 2)
+    group.network_faults.is_cut = lambda sender, to: (sender, to) == (1, 2)
     group.run(30.0, lambda: check_invariants(group))
     assert (
         not [change for change in group.changes if change[0] > at and change[2].state is MemberState.DEAD]
@@ -286,17 +286,17 @@
     """A router whose datagrams are all lost cannot refute; its removal must not be repeated."""
     group = started_group()
     at = group.now
-    group.network_faults.cut = lambda sender, to: sender == 6
+    group.network_faults.is_cut = lambda sender, to: sender == 6
     group.run(30.0, lambda: check_invariants(group))
     assert all(
         router.failure_detector.view.alive_routers() == [0, 1, 2, 3, 4, 5] for router in group.routers[:6]
     )
-    assert not group.routers[6].partition_status().is_leader and group.routers[6].part() == pytest.approx(
-        0.25 / 7
-    )
+    assert not group.routers[6].partition_status().is_leader and group.routers[
+        6
+    ].quota_share() == pytest.approx(0.25 / 7)
     # Each of the six others sees the router at most suspected and then dead.
     assert sum(change[0] > at and change[2].router == 6 for change in group.changes if change[1] < 6) <= 12
-    group.network_faults.cut = lambda sender, to: False
+    group.network_faults.is_cut = lambda sender, to: False
     group.run(12.0)
     assert group.views_agree()
 
@@ -304,7 +304,7 @@
 def test_router_unreachable_from_a_single_other_stays() -> None:
     group = started_group()
     at = group.now
-    group.network_faults.cut = lambda sender, to: {sender, to} == {2, 5}
+    group.network_faults.is_cut = lambda sender, to: {sender, to} == {2, 5}
     group.run(30.0)
     assert not [change for change in group.changes if change[0] > at and change[2].state is MemberState.DEAD]
 
@@ -347,7 +347,7 @@
     older = group.routers[2]
     group.pause(2, 6.0)
     newer = group.routers[2] = type(older)(group, 2, 1.0)  # a second process with the same index
-    newer.ring()
+    newer.run_timers()
     group.run(5.0)
     assert newer.failure_detector.generation == 2 and not newer.failure_detector.is_superseded
     older.paused_until = 0.0
@@ -373,7 +373,7 @@
         group.start(3)
         group.run(6.0)
     assert group.views_agree() and group.routers[3].failure_detector.generation == 3
-    group.network_faults.cut = lambda sender, to: 3 in (sender, to)
+    group.network_faults.is_cut = lambda sender, to: 3 in (sender, to)
     group.kill(3)
     group.start(3)
     group.run(10.0, lambda: check_invariants(group))
@@ -381,7 +381,7 @@
         group.routers[3].failure_detector.generation == 1
         and group.routers[3].partition_status().quorum is QuorumStatus.ISOLATED
     )
-    group.network_faults.cut = lambda sender, to: False
+    group.network_faults.is_cut = lambda sender, to: False
     group.run(12.0, lambda: check_invariants(group))
     assert (
         group.views_agree()
@@ -408,10 +408,10 @@
             subject,
         )
         ping = Message(MessageType.PING, 1, sequence=9, view_digest=rng.getrandbits(32), updates=(update,))
-        group.routers[to].heard(6, encode(GROUP, ping))
-        group.at(group.now + 0.05, send_false_report)
+        group.routers[to].receive(6, encode(GROUP, ping))
+        group.schedule(group.now + 0.05, send_false_report)
 
-    group.at(group.now, send_false_report)
+    group.schedule(group.now, send_false_report)
     group.run(20.0, lambda: check_invariants(group))
     removed = [
         change
@@ -443,7 +443,7 @@
 def test_traffic_of_a_router_does_not_grow_with_the_group() -> None:
     bytes_per_s, large = {}, 50
     for count in (7, large):
-        group = Group(count, 1)
+        group = SimulatedGroup(count, 1)
         group.run(30.0)
         assert group.views_agree()
         before = sum(group.sent_bytes)
@@ -466,7 +466,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_long_random_walks_with_all_faults_keep_one_leader_and_the_quota(seed: int) -> None:
-    assert walk(seed, 8_000) >= 8_000
+    assert random_group_walk(seed, 8_000) >= 8_000
     assert all(random_walk(100 * seed + i, 400, 2 + i % 4) for i in range(20))
 
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,7 +1,7 @@
 """Tests of group membership with several router processes.
 
 Routers are killed, suspended, restarted, duplicated, partitioned from each other and sent false reports; the
-network between them is simulated by `FaultNet`. The texts in the assertions are those of `health`.
+network between them is simulated by `FaultyNetwork`. The texts in the assertions are those of `health`.
 """
 
 import random
@@ -13,9 +13,9 @@
 import gevent
 import pytest
 
-from marbleworks.lab.faultnet import FaultNet
-from marbleworks.lab.load import Caller
-from marbleworks.lab.stage import Stage
+from marbleworks.lab.faultnet import FaultyNetwork
+from marbleworks.lab.load import LoadClient
+from marbleworks.lab.stage import LabCluster
 from marbleworks.lab.standins import RpcClient
 from marbleworks.membership.codec import MemberState, MemberUpdate, Message, MessageType, encode, group_hash
 from marbleworks.membership.report import format_view
@@ -29,18 +29,20 @@
     """Five router processes that share one group and a simulated network."""
 
     def __init__(self) -> None:
-        self.net = FaultNet(ROUTER_COUNT, 7)
-        self.stage = Stage(2, 4, OPERATOR, routers=ROUTER_COUNT, net=self.net, lines=True)
-        self.stage.routers[2].module = "marbleworks.lab.stepped"
-        for router in self.stage.routers:
+        self.network = FaultyNetwork(ROUTER_COUNT, 7)
+        self.cluster = LabCluster(
+            2, 4, OPERATOR, routers=ROUTER_COUNT, network=self.network, connection_relays=True
+        )
+        self.cluster.routers[2].module = "marbleworks.lab.stepped"
+        for router in self.cluster.routers:
             router.start()
         self.wait_until(self.is_complete)
 
     def view(self, number: int) -> dict[str, Any]:
         """Returns the section `peers` of the `health` response of a router."""
-        client = RpcClient(self.stage.routers[number].address)
+        client = RpcClient(self.cluster.routers[number].address)
         client.send(0, 1, "health", [{"about": "peers"}])
-        view: dict[str, Any] = client.hear(10.0)[3][1]
+        view: dict[str, Any] = client.receive(10.0)[3][1]
         client.sock.close()
         return view
 
@@ -73,8 +75,8 @@
                 gevent.sleep(0.05)
 
     def close(self) -> None:
-        self.stage._end()
-        self.net.close()
+        self.cluster._end()
+        self.network.close()
 
 
 @pytest.fixture(scope="module")
@@ -92,30 +94,30 @@
 
 
 def test_killed_router_returns_with_a_new_generation(group: Group) -> None:
-    group.stage.routers[3].end(signal.SIGKILL)
+    group.cluster.routers[3].stop(signal.SIGKILL)
     others = [0, 1, 2, 4]
     group.wait_until(lambda: group.agree_on(others))
     group.wait_until(lambda: group.total_share(others) == pytest.approx(0.75 + 0.25 * 4 / 5, abs=1e-3))
-    group.stage.routers[3].start()
+    group.cluster.routers[3].start()
     group.wait_until(group.is_complete)
     # The second start of router 3 has generation 2.
     assert group.view(0)["rows"][3][1] == "2" and group.view(3)["rows"][3][1] == "2"
 
 
 def test_router_suspended_for_five_seconds_removes_nobody_when_it_resumes(group: Group) -> None:
-    before = len(group.stage.routers[1].log())
-    group.stage.routers[1].tell(signal.SIGSTOP)
+    before = len(group.cluster.routers[1].read_log())
+    group.cluster.routers[1].send_signal(signal.SIGSTOP)
     group.wait_until(lambda: group.agree_on([0, 2, 3, 4]))
     gevent.sleep(5.0)  # duration of the suspension
-    group.stage.routers[1].tell(signal.SIGCONT)
+    group.cluster.routers[1].send_signal(signal.SIGCONT)
     group.wait_until(lambda: group.agree_on(range(ROUTER_COUNT)))
-    assert "member dead" not in group.stage.routers[1].log()[before:]
+    assert "member dead" not in group.cluster.routers[1].read_log()[before:]
     assert group.view(1)["rows"][1][1] == "1"  # still the first process, which has refuted
 
 
 @pytest.mark.parametrize("partitions", [((0, 1), (2, 3, 4)), ((0, 1), (2, 3), (4,))])
 def test_partition_leaves_leadership_to_the_majority(partitions: Any, group: Group) -> None:
-    group.net.part(*partitions)
+    group.network.partition(*partitions)
     for members in partitions:
         group.wait_until(lambda members=members: group.agree_on(members))
     majority = [members for members in partitions if len(members) > ROUTER_COUNT / 2]
@@ -126,16 +128,16 @@
     )
     assert sum(group.view(number)["right"] == "divides" for number in range(ROUTER_COUNT)) == len(majority)
     assert group.total_share() <= 1.0 + 1e-3
-    group.net.part()
+    group.network.partition()
     group.wait_until(group.is_complete)
 
 
 def test_planned_stop_is_known_at_once(group: Group) -> None:
-    router = group.stage.routers[2]
-    router.tell(signal.SIGTERM)
+    router = group.cluster.routers[2]
+    router.send_signal(signal.SIGTERM)
     group.wait_until(lambda: all(group.view(number)["rows"][2][3] == "left" for number in (0, 1, 3, 4)))
-    router.end()
-    assert "planned stop" in group.stage.routers[0].log()
+    router.stop()
+    assert "planned stop" in group.cluster.routers[0].read_log()
     router.start()
     group.wait_until(group.is_complete)
 
@@ -145,30 +147,33 @@
     loss: float, jitter: float, group: Group
 ) -> None:
     rng, group_number = random.Random(5), group_hash("routers 5")
-    group.net.loss, group.net.jitter, group.net.doubled = loss, jitter, 0.2
-    log_starts = [len(router.log()) for router in group.stage.routers]
+    group.network.loss, group.network.jitter, group.network.duplication = loss, jitter, 0.2
+    log_starts = [len(router.read_log()) for router in group.cluster.routers]
     end = time.monotonic() + 4.0  # the faults last this long; nothing is waited for
     while time.monotonic() < end:
         to, subject = rng.randrange(4), rng.randrange(4)
         update = MemberUpdate(
             rng.choice([1, 2, 3, 1 << 30]), rng.choice([0, 9, 1 << 30]), MemberState.DEAD, subject
         )
-        group.net.send(
+        group.network.send(
             4, to, encode(group_number, Message(MessageType.PING, 1, view_digest=9, updates=(update,)))
         )
-        group.net.send(4, to, rng.randbytes(rng.randrange(1, 256)))
-        group.net.send(4, to, b"\xd1" + rng.randbytes(60))
+        group.network.send(4, to, rng.randbytes(rng.randrange(1, 256)))
+        group.network.send(4, to, b"\xd1" + rng.randbytes(60))
         gevent.sleep(0.02)
-    group.net.loss = group.net.jitter = group.net.doubled = 0.0
+    group.network.loss = group.network.jitter = group.network.duplication = 0.0
     group.wait_until(lambda: group.agree_on(range(ROUTER_COUNT)))
-    for router, log_start in zip(group.stage.routers[:4], log_starts, strict=False):
-        assert '"event": "failed"' not in router.log() and "member superseded" not in router.log()[log_start:]
+    for router, log_start in zip(group.cluster.routers[:4], log_starts, strict=False):
+        assert (
+            '"event": "failed"' not in router.read_log()
+            and "member superseded" not in router.read_log()[log_start:]
+        )
     assert int(group.view(0)["unreadable"]) > 0
 
 
 def test_rolling_restart_of_all_routers(group: Group) -> None:
-    for number, router in enumerate(group.stage.routers):
-        assert router.end() == 0
+    for number, router in enumerate(group.cluster.routers):
+        assert router.stop() == 0
         router.start()
         group.wait_until(
             lambda number=number: number in group.unsuspected_routers((number + 1) % ROUTER_COUNT)
@@ -177,7 +182,7 @@
 
 
 def test_second_process_with_the_same_index_supersedes_the_older_one(group: Group) -> None:
-    newer = group.stage.twin(3, group.net)
+    newer = group.cluster.duplicate_router(3, group.network)
     generation = int(group.view(3)["rows"][3][1])
     newer.start()
     try:
@@ -185,13 +190,13 @@
         group.wait_until(
             lambda: all(group.view(number)["rows"][3][1] == str(generation + 1) for number in (0, 1, 2, 4))
         )
-        assert group.stage.routers[3].log().count("member superseded") == 1
-        assert "member superseded" not in newer.log()
+        assert group.cluster.routers[3].read_log().count("member superseded") == 1
+        assert "member superseded" not in newer.read_log()
     finally:
-        del group.net.twins[3]
-        newer.end(signal.SIGKILL)
-    group.stage.routers[3].end(signal.SIGKILL)
-    group.stage.routers[3].start()
+        del group.network.duplicate_ports[3]
+        newer.stop(signal.SIGKILL)
+    group.cluster.routers[3].stop(signal.SIGKILL)
+    group.cluster.routers[3].start()
     group.wait_until(group.is_complete)
     assert group.view(3)["rows"][3][1] == str(generation + 2)
 
@@ -199,24 +204,24 @@
 @pytest.mark.parametrize("step", [3600.0, -7200.0])
 def test_a_clock_that_steps_changes_nothing(step: float, group: Group) -> None:
     """The wall clock of router 2 jumps by `step` seconds; membership has to use the monotonic clock."""
-    router = group.stage.routers[2]
-    router.end()
+    router = group.cluster.routers[2]
+    router.stop()
     with pytest.MonkeyPatch.context() as patch:
         patch.setenv("MARBLEWORKS_LAB_STEP", str(step))
         router.start()
     group.wait_until(group.is_complete)
     views, log_starts = (
         [group.live_routers(number) for number in ALL_ROUTERS],
-        [len(process.log()) for process in group.stage.routers],
+        [len(process.read_log()) for process in group.cluster.routers],
     )
-    router.tell(signal.SIGUSR1)
-    passed_before = group.net.passed
-    group.wait_until(lambda: group.net.passed > passed_before + 600)  # some rounds of probes and votes
+    router.send_signal(signal.SIGUSR1)
+    passed_before = group.network.delivered
+    group.wait_until(lambda: group.network.delivered > passed_before + 600)  # some rounds of probes and votes
     assert [group.live_routers(number) for number in ALL_ROUTERS] == views
     new_lines = [
         line
-        for process, log_start in zip(group.stage.routers, log_starts, strict=True)
-        for line in process.log()[log_start:].splitlines()
+        for process, log_start in zip(group.cluster.routers, log_starts, strict=True)
+        for line in process.read_log()[log_start:].splitlines()
     ]
     assert [
         line for line in new_lines if '"event": "member dead"' in line or '"event": "member alive"' in line
@@ -224,42 +229,42 @@
 
 
 def test_router_cut_off_from_its_engines_answers_requests_and_stays_a_member(group: Group) -> None:
-    lines, views = group.stage.lines[1], [group.live_routers(number) for number in ALL_ROUTERS]
-    lines.hold("engines", True, False)
+    lines, views = group.cluster.connection_relays[1], [group.live_routers(number) for number in ALL_ROUTERS]
+    lines.hold_back("engines", True, False)
     client_of_cut_off, client_of_other = (
-        Caller(lines.front, "oslo", 1),
-        Caller(group.stage.lines[0].front, "oslo", 2),
+        LoadClient(lines.client_address, "oslo", 1),
+        LoadClient(group.cluster.connection_relays[0].client_address, "oslo", 2),
     )
-    assert client_of_cut_off.ask("date-lookup", 20, 600).end in ("shed", "failed")
-    assert client_of_other.ask("date-lookup", 20, 600).end == "answered"
-    lines.hold("engines")
-    group.wait_until(lambda: client_of_cut_off.ask("date-lookup", 20, 600).end == "answered")
+    assert client_of_cut_off.send_request("date-lookup", 20, 600).outcome in ("shed", "failed")
+    assert client_of_other.send_request("date-lookup", 20, 600).outcome == "answered"
+    lines.hold_back("engines")
+    group.wait_until(lambda: client_of_cut_off.send_request("date-lookup", 20, 600).outcome == "answered")
     lines.reset("engines")
-    group.wait_until(lambda: client_of_cut_off.ask("date-lookup", 20, 600).end == "answered")
+    group.wait_until(lambda: client_of_cut_off.send_request("date-lookup", 20, 600).outcome == "answered")
     assert [group.live_routers(number) for number in ALL_ROUTERS] == views
 
 
 def test_death_of_the_center_of_a_star_isolates_the_others(group: Group) -> None:
     """All datagrams between routers other than router 0 are lost, until router 0 is killed."""
-    log_starts = [len(router.log()) for router in group.stage.routers]
-    group.net.cut = lambda sender, to: 0 not in (sender, to)
-    passed_before = group.net.passed
-    group.wait_until(lambda: group.net.passed > passed_before + 800)
+    log_starts = [len(router.read_log()) for router in group.cluster.routers]
+    group.network.is_cut = lambda sender, to: 0 not in (sender, to)
+    passed_before = group.network.delivered
+    group.wait_until(lambda: group.network.delivered > passed_before + 800)
     assert group.agree_on(range(ROUTER_COUNT)) and group.total_share() == pytest.approx(1.0, abs=1e-3)
     assert not any(
-        "member dead" in router.log()[log_start:]
-        for router, log_start in zip(group.stage.routers, log_starts, strict=True)
+        "member dead" in router.read_log()[log_start:]
+        for router, log_start in zip(group.cluster.routers, log_starts, strict=True)
     )
-    group.stage.routers[0].end(signal.SIGKILL)
+    group.cluster.routers[0].stop(signal.SIGKILL)
     group.wait_until(lambda: all(group.view(number)["cut"] == "alone" for number in (1, 2, 3, 4)))
     assert group.total_share([1, 2, 3, 4]) == pytest.approx(0.2, abs=1e-3)
-    group.net.part()
-    group.stage.routers[0].start()
+    group.network.partition()
+    group.cluster.routers[0].start()
     group.wait_until(group.is_complete)
 
 
 def test_sole_survivor_uses_only_its_reserved_share(group: Group) -> None:
     for number in (0, 2, 3, 4):
-        group.stage.routers[number].end(signal.SIGKILL)
+        group.cluster.routers[number].stop(signal.SIGKILL)
     group.wait_until(lambda: group.view(1)["cut"] == "alone" and group.view(1)["right"] == "keeps")
     assert float(group.view(1)["part"]) == pytest.approx(0.05, abs=1e-3)
--- a/tests/net/test_event_orders.py
+++ b/tests/net/test_event_orders.py
@@ -21,7 +21,14 @@
 from gevent.lock import BoundedSemaphore
 
 import marbleworks.net.connection_pool as connection_pool
-from marbleworks.lab.standins import HOST, RpcClient, SqlEngine, answer, configuration, dns_answer
+from marbleworks.lab.standins import (
+    HOST,
+    RpcClient,
+    SqlEngine,
+    dns_answer,
+    http_response,
+    router_configuration,
+)
 from marbleworks.model import AttemptOutcome
 from marbleworks.net.actor import clock
 from marbleworks.net.client_session import ClientSession
@@ -47,7 +54,7 @@
 
 def reply_good(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
     """Returns an engine's response to any call: a valid result, or the confirmation of a cancellation."""
-    return answer(204) if "DELETE" in call else GOOD
+    return http_response(204) if "DELETE" in call else GOOD
 
 
 class BlockedEngineSetup:
@@ -89,20 +96,20 @@
     setup, other_ref = BlockedEngineSetup(), "b" * 16
     setup.release_answers.set()
     resume, client = setup.pause_dispatcher(), setup.router.client()
-    client.ask("look", ref="a" * 16)
+    client.send_request("look", ref="a" * 16)
     until(lambda: any(c.calls for c in setup.router.listener.sessions))
     disconnect(client, departure)
     until(lambda: all(a.abandoned for c in setup.router.listener.sessions for a in c.calls.values()))
     resume.set()
     last_client = setup.router.client()
-    last_client.ask("load", ref=other_ref)
-    assert last_client.hear()[3] and setup.starts() == [other_ref] and not setup.dispatcher.open_requests
+    last_client.send_request("load", ref=other_ref)
+    assert last_client.receive()[3] and setup.starts() == [other_ref] and not setup.dispatcher.open_requests
 
 
 def disconnect(client: RpcClient, departure: str) -> None:
     """Ends the client's last call by "cancel", or its connection by "close" or "reset"."""
     if departure == "cancel":
-        client.send(2, "cancel", [client.last])
+        client.send(2, "cancel", [client.last_message_number])
         return
     if departure == "reset":
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -115,7 +122,7 @@
     setup = BlockedEngineSetup()
     setup.engine.pool.descriptor_quota.acquire()  # makes the attempt wait for a descriptor
     client = setup.router.client()
-    client.ask("look")
+    client.send_request("look")
     until(lambda: setup.engine.pool.waiters)
     resume = setup.pause_dispatcher()  # the dispatcher does not learn of the disconnect
     disconnect(client, departure)
@@ -135,32 +142,32 @@
     quota = setup.router.listener.descriptors
     gevent.sleep(0)  # the listener blocks in accept, which the first client completes
     first_client = setup.router.client()
-    first_client.ask("load", ref="a" * 16)
-    assert first_client.hear()[3]
+    first_client.send_request("load", ref="a" * 16)
+    assert first_client.receive()[3]
     taken = [quota.acquire(blocking=False) for _ in range(quota.counter)]
     setup.router.listener.sessions.clear()  # so no session is closed for a new connection
     closed_client, last_client = setup.router.client(), setup.router.client()
-    closed_client.ask("look", ref="b" * 16)
+    closed_client.send_request("look", ref="b" * 16)
     closed_client.sock.close()
-    last_client.ask("look", ref="c" * 16)
+    last_client.send_request("look", ref="c" * 16)
     for _ in taken:
         quota.release()
-    assert last_client.hear()[3] and setup.starts() == ["a" * 16, "c" * 16]
+    assert last_client.receive()[3] and setup.starts() == ["a" * 16, "c" * 16]
 
 
 def test_cancelling_a_call_with_a_used_id_does_not_cancel_the_open_request() -> None:
     """Guards against cancelling the open request that has the same id as the cancelled call."""
     setup = BlockedEngineSetup()
     client = setup.router.client()
-    client.ask("load", ref="a" * 16)
+    client.send_request("load", ref="a" * 16)
     until(setup.starts)
     resume = setup.pause_dispatcher()
-    second_call = client.ask("load", ref="a" * 16)
+    second_call = client.send_request("load", ref="a" * 16)
     client.send(2, "cancel", [second_call])
     until(lambda: any(a.abandoned for c in setup.router.listener.sessions for a in c.calls.values()))
     resume.set()
     setup.release_answers.set()
-    assert client.hear()[:2] == [1, 1]
+    assert client.receive()[:2] == [1, 1]
 
 
 def test_a_disconnect_is_noticed_while_reading_is_paused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -168,10 +175,10 @@
     setup, written = BlockedEngineSetup(), Event()
     monkeypatch.setattr(ClientSession, "_write", lambda self, message, until: written.wait())
     client = setup.router.client()
-    client.ask("look", wait="8000")
+    client.send_request("look", wait="8000")
     until(setup.starts)
     for _ in range(40):
-        client.ask("no-such-profile")
+        client.send_request("no-such-profile")
     until(lambda: any(c.mailbox.qsize() > 32 for c in setup.router.listener.sessions))
     client.sock.shutdown(socket.SHUT_WR)
     until(lambda: not setup.dispatcher.open_requests)
@@ -183,10 +190,10 @@
     setup = BlockedEngineSetup(clients=2)
     clients = [setup.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
-        client.ask("load", ref=f"{n:016x}")
+        client.send_request("load", ref=f"{n:016x}")
     until(lambda: setup.router.listener.descriptors.locked() and setup.starts())
     setup.release_answers.set()
-    assert all(client.hear()[3] for client in clients)
+    assert all(client.receive()[3] for client in clients)
 
 
 class ConnectRace:
@@ -249,23 +256,25 @@
     results, statements = {b"one": row("1"), b"two": row("2")}, dict[str, bytes]()
 
     class SocketRecordingEngine(SqlEngine):
-        def _talk(self, sock: Any) -> None:
+        def _serve_connection(self, sock: Any) -> None:
             self.last = sock
-            super()._talk(sock)
+            super()._serve_connection(sock)
 
     def reply(call: str, fields: dict[str, str], body: bytes) -> bytes:
         ref = fields.get("X-Hop-Id") or call[7:23]
-        response = answer(200, results[statements.setdefault(ref, body)], X_Sheets=1, X_Toil=len(statements))
+        response = http_response(
+            200, results[statements.setdefault(ref, body)], X_Sheets=1, X_Toil=len(statements)
+        )
         if body == b"two":  # the call has arrived, so the connection was already checked
-            sql_engine.last.sendall(answer(200, results[b"one"], X_Sheets=1, X_Toil=1))
+            sql_engine.last.sendall(http_response(200, results[b"one"], X_Sheets=1, X_Toil=1))
         return response
 
     sql_engine = SocketRecordingEngine(reply)
     client = Router(sql_engine.address).client()
     for text, result in results.items():
-        client.ask("load", text.decode())
-        assert client.hear()[3] == [result, {}]
-    assert len(sql_engine.asked("POST")) == 2 and sql_engine.connections == 2
+        client.send_request("load", text.decode())
+        assert client.receive()[3] == [result, {}]
+    assert len(sql_engine.calls_of("POST")) == 2 and sql_engine.connections == 2
 
 
 def name_server() -> socket.socket:
@@ -275,7 +284,7 @@
     return sock
 
 
-INITIAL_ENGINES = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
+INITIAL_ENGINES = json.loads(router_configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
 
 
 def test_a_slow_dns_response_is_applied_after_later_queries() -> None:
@@ -316,7 +325,10 @@
 def test_a_request_during_the_close_is_not_sent_and_does_not_destroy_an_answer() -> None:
     """Guards against a request that arrives during the close resetting the connection and its last answer."""
     page = b"".join(row(f"{n:05}" * 20) for n in range(19))
-    pages = [answer(200, page, X_Sheets=8), *(answer(200, page, X_Sheet=n) for n in range(1, 8))]
+    pages = [
+        http_response(200, page, X_Sheets=8),
+        *(http_response(200, page, X_Sheet=n) for n in range(1, 8)),
+    ]
     sql_engine = SqlEngine(lambda call, fields, body: pages[0] if "POST" in call else pages[int(call[-1])])
     router = Router(sql_engine.address)
     sock = socket.socket()
@@ -324,14 +336,14 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     sock.connect(router.listener.sock.getsockname())
     client = RpcClient.__new__(RpcClient)
-    client.sock, client.unpacker, client.last = sock, msgpack.Unpacker(), 0
-    client.ask("load")
+    client.sock, client.unpacker, client.last_message_number = sock, msgpack.Unpacker(), 0
+    client.send_request("load")
     until(lambda: any(c.has_written and c.is_idle() for c in router.listener.sessions))
     assert not router.listener.close_idle_sessions()
-    client.ask("load", ref="b" * 16)
+    client.send_request("load", ref="b" * 16)
     until(lambda: not router.listener.sessions)
-    assert client.hear()[3] == [page * 8, {}] and client.hear() is None
-    assert len(sql_engine.asked("POST")) == 1
+    assert client.receive()[3] == [page * 8, {}] and client.receive() is None
+    assert len(sql_engine.calls_of("POST")) == 1
 
 
 def test_connections_in_the_backlog_are_answered_when_the_listener_closes() -> None:
@@ -342,9 +354,9 @@
     listener.accept_greenlet.kill()
     clients = [setup.router.client() for _ in range(3)]
     for n, client in enumerate(clients):
-        client.ask("load", ref=f"{n:016x}")
+        client.send_request("load", ref=f"{n:016x}")
     listener.stop_accepting(clock() + 1.0)
-    assert all(client.hear()[3] for client in clients)
+    assert all(client.receive()[3] for client in clients)
     with pytest.raises(ConnectionRefusedError):
         RpcClient(address)
 
@@ -364,8 +376,8 @@
     """The configuration is a pipe, so that the router blocks before its actors are connected."""
     (_, listen), (_, peer), new_name_server = closed_port(), closed_port(), name_server()
     pipe, changed_config = tmp_path / "config.json", tmp_path / "after.json"
-    config_text = configuration(listen, peer, closed_port(), {}, SETTINGS)
-    changed_config.write_text(configuration(listen, peer, new_name_server.getsockname(), {}, SETTINGS))
+    config_text = router_configuration(listen, peer, closed_port(), {}, SETTINGS)
+    changed_config.write_text(router_configuration(listen, peer, new_name_server.getsockname(), {}, SETTINGS))
     os.mkfifo(pipe)
     router = start_command("serve", config=str(pipe))
     try:
@@ -388,7 +400,7 @@
     """The name server answers only after they have connected, and its response lists the only engine."""
     (_, listen), (_, peer), server = closed_port(), closed_port(), name_server()
     sql_engine, path, sockets = SqlEngine(reply_good), tmp_path / "config.json", 112
-    path.write_text(configuration(listen, peer, server.getsockname(), {}, SETTINGS, sockets=sockets))
+    path.write_text(router_configuration(listen, peer, server.getsockname(), {}, SETTINGS, sockets=sockets))
 
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
@@ -404,8 +416,8 @@
             question, sender = server.recvfrom(4096)
             server.sendto(dns_answer(question, 2, {"s-a": sql_engine.address}, started=0), sender)
         client = RpcClient((HOST, listen))
-        client.ask("load")
-        assert client.hear()[3] and sql_engine.asked("POST")
+        client.send_request("load")
+        assert client.receive()[3] and sql_engine.calls_of("POST")
         assert len(os.listdir(fd_folder)) < sockets and len(idle_clients) == 2 * sockets
         router.send_signal(signal.SIGTERM)
         assert router.wait(10) == 0 and '"stopped"' in router.stdout.read()
--- a/tests/net/test_router.py
+++ b/tests/net/test_router.py
@@ -16,7 +16,15 @@
 from gevent import socket, subprocess
 from gevent.lock import BoundedSemaphore
 
-from marbleworks.lab.standins import HOST, Reply, RpcClient, SqlEngine, answer, configuration, dns_answer
+from marbleworks.lab.standins import (
+    HOST,
+    Reply,
+    RpcClient,
+    SqlEngine,
+    dns_answer,
+    http_response,
+    router_configuration,
+)
 from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus
 from marbleworks.net.client_listener import ClientListener
 from marbleworks.net.datagrams import LOAD_UPDATE, DatagramKind, DatagramTransport
@@ -34,7 +42,7 @@
     return f"{text}\t{text}\t{text}\n".encode()
 
 
-GOOD = answer(200, b"a\tb\tc\n", X_Sheets=1, X_Toil=40, X_Room=8, X_Report="queue:0;x0:0.2")
+GOOD = http_response(200, b"a\tb\tc\n", X_Sheets=1, X_Toil=40, X_Room=8, X_Report="queue:0;x0:0.2")
 
 
 def until(condition: Callable[[], object], timeout_s: float = 3.0) -> None:
@@ -86,8 +94,8 @@
     engine = SqlEngine(lambda call, fields, body: GOOD)
     router = Router(engine.address)
     client = router.client()
-    client.ask("load")
-    assert client.hear()[3]
+    client.send_request("load")
+    assert client.receive()[3]
     return engine, router, client
 
 
@@ -100,15 +108,15 @@
 
 
 def test_a_query_is_forwarded_unchanged_and_its_pages_are_returned_in_order() -> None:
-    pages = {"POST": answer(202), "0": answer(200, row("a"), X_Sheets=3)}
-    pages |= {str(n): answer(200, row(text), X_Sheet=n) for n, text in ((1, "b"), (2, "c"))}
+    pages = {"POST": http_response(202), "0": http_response(200, row("a"), X_Sheets=3)}
+    pages |= {str(n): http_response(200, row(text), X_Sheet=n) for n, text in ((1, "b"), (2, "c"))}
     engine, client = engine_and_client(
         lambda call, fields, body: pages[call.split()[0 if "POST" in call else 1][-4:][-1:]]
         if "GET" in call
         else pages["POST"]
     )
-    client.ask("look", "select 'é' from sales_17.orders", ref="9b1f03aa5c7e2d41")
-    assert client.hear() == [1, 1, None, [row("a") + row("b") + row("c"), {}]]
+    client.send_request("look", "select 'é' from sales_17.orders", ref="9b1f03aa5c7e2d41")
+    assert client.receive() == [1, 1, None, [row("a") + row("b") + row("c"), {}]]
     call, fields, body = engine.calls[0]
     assert (call, fields["X-Hop-Id"], fields["X-Sort"]) == ("POST /o", "9b1f03aa5c7e2d41", "look")
     assert body.decode() == "select 'é' from sales_17.orders" and 0 < int(fields["X-Budget"]) <= 3000
@@ -119,12 +127,12 @@
 @pytest.mark.parametrize(
     ("response", "error", "attempt_count"),
     [
-        (answer(503, X_No_Effect=1), "Rejected", 3),  # never ran: retried, then shed
-        (answer(503), "Failed", 1),  # rejected, but without the proof that it never ran
-        (answer(500), "Failed", 1),
-        (answer(504, X_No_Effect=1), "Rejected", 1),
-        (answer(200, row("a")), "Failed", 1),  # no page count
-        (answer(200, row("a"), X_Sheets="1e3"), "Failed", 1),
+        (http_response(503, X_No_Effect=1), "Rejected", 3),  # never ran: retried, then shed
+        (http_response(503), "Failed", 1),  # rejected, but without the proof that it never ran
+        (http_response(500), "Failed", 1),
+        (http_response(504, X_No_Effect=1), "Rejected", 1),
+        (http_response(200, row("a")), "Failed", 1),  # no page count
+        (http_response(200, row("a"), X_Sheets="1e3"), "Failed", 1),
         (GOOD + b"\n" + row("a"), "Failed", 1),  # its length is wrong
         (b"", "Failed", 1),  # the connection is closed, also for each poll
         (b"HTTP/9.x what\r\n\r\n", "Failed", 1),
@@ -135,36 +143,36 @@
     response: bytes, error: str, attempt_count: int
 ) -> None:
     engine, client = engine_and_client(lambda call, fields, body: response)
-    client.ask("load")
-    assert client.hear()[2][0] == error
-    assert len(engine.asked("POST")) == attempt_count
+    client.send_request("load")
+    assert client.receive()[2][0] == error
+    assert len(engine.calls_of("POST")) == attempt_count
 
 
 DAMAGED_PAGES = [
-    answer(200, row("b"), X_Sheet=2),
-    answer(200, row("b") * 1001, X_Sheet=1),
-    answer(200, b"", X_Sheet=1),
-    answer(200, b"\xff" + row("b"), X_Sheet=1),
-    answer(200, b"b\x00" + row("b"), X_Sheet=1),
-    answer(200, row("b")[:-1], X_Sheet=1),
-    answer(200, b"b\tb\n", X_Sheet=1),
-    answer(203, row("b"), X_Sheet=1),
-    answer(200, row("b"), X_Sheet=1).replace(b"Length: 6", b"Length: 3000000000"),
-    answer(200, row("b"), X_Sheet=1).replace(b"Length: 6", b"Length: 9"),
-    answer(200, row("b") + row("c"), X_Sheet=1).replace(b"Length: 12", b"Length: 6"),
+    http_response(200, row("b"), X_Sheet=2),
+    http_response(200, row("b") * 1001, X_Sheet=1),
+    http_response(200, b"", X_Sheet=1),
+    http_response(200, b"\xff" + row("b"), X_Sheet=1),
+    http_response(200, b"b\x00" + row("b"), X_Sheet=1),
+    http_response(200, row("b")[:-1], X_Sheet=1),
+    http_response(200, b"b\tb\n", X_Sheet=1),
+    http_response(203, row("b"), X_Sheet=1),
+    http_response(200, row("b"), X_Sheet=1).replace(b"Length: 6", b"Length: 3000000000"),
+    http_response(200, row("b"), X_Sheet=1).replace(b"Length: 6", b"Length: 9"),
+    http_response(200, row("b") + row("c"), X_Sheet=1).replace(b"Length: 12", b"Length: 6"),
     b"HTTP/1.1 200 OK\r\nX-She",
     b"\x00\xffnoise\r\n\r\n",
     b"",
-    answer(202),
+    http_response(202),
 ]
 
 
-@pytest.mark.parametrize("page", [answer(500), *DAMAGED_PAGES], ids=lambda page: page[:60])
+@pytest.mark.parametrize("page", [http_response(500), *DAMAGED_PAGES], ids=lambda page: page[:60])
 def test_an_invalid_result_is_not_returned(page: bytes) -> None:
-    first = answer(200, row("a"), X_Sheets=2)
+    first = http_response(200, row("a"), X_Sheets=2)
     _, client = engine_and_client(lambda call, fields, body: page if call.endswith("/1") else first)
-    client.ask("load", wait="1200")
-    assert client.hear()[2][0] == "Failed"
+    client.send_request("load", wait="1200")
+    assert client.receive()[2][0] == "Failed"
 
 
 @pytest.mark.parametrize("damaged", [*DAMAGED_PAGES, None], ids=lambda page: (page or b"nothing")[:60])
@@ -173,7 +181,7 @@
     damaged: bytes | None, damaged_call: str
 ) -> None:
     """Guards against one invalid response failing a request whose result the engine can still return."""
-    good = {"/0": answer(200, row("a"), X_Sheets=2), "/1": answer(200, row("b"), X_Sheet=1)}
+    good = {"/0": http_response(200, row("a"), X_Sheets=2), "/1": http_response(200, row("b"), X_Sheet=1)}
     damaged_calls = set[str]()
 
     def reply(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
@@ -181,23 +189,23 @@
         if current_call == damaged_call and current_call not in damaged_calls:
             damaged_calls.add(current_call)
             return damaged
-        return good.get(current_call, answer(202))
+        return good.get(current_call, http_response(202))
 
     engine, client = engine_and_client(reply)
-    client.ask("load")
-    assert client.hear()[3] == [row("a") + row("b"), {}]
-    assert len(engine.asked("POST")) == 1
+    client.send_request("load")
+    assert client.receive()[3] == [row("a") + row("b"), {}]
+    assert len(engine.calls_of("POST")) == 1
 
 
 def test_a_page_that_does_not_arrive_is_fetched_again_at_once() -> None:
     """Guards against late answers: with lost responses, a wait of 0.5 s for each made short queries late."""
-    pages = [None, None, answer(200, row("b"), X_Sheet=1)]
+    pages = [None, None, http_response(200, row("b"), X_Sheet=1)]
     _, client = engine_and_client(
-        lambda call, fields, body: pages.pop(0) if "/1" in call else answer(200, row("a"), X_Sheets=2)
+        lambda call, fields, body: pages.pop(0) if "/1" in call else http_response(200, row("a"), X_Sheets=2)
     )
-    client.ask("look")
+    client.send_request("look")
     start_time = time.monotonic()
-    assert client.hear()[3] == [row("a") + row("b"), {}] and time.monotonic() - start_time < 0.3
+    assert client.receive()[3] == [row("a") + row("b"), {}] and time.monotonic() - start_time < 0.3
 
 
 @pytest.mark.parametrize(
@@ -217,60 +225,68 @@
     def reply(call: str, fields: dict[str, str], body: bytes) -> bytes:
         ref = fields.get("X-Hop-Id", call[7:23])
         is_first = statements.setdefault(ref, body) is body and "POST" in call
-        return before + answer(200, results[statements[ref]], X_Sheets=1) + (after if is_first else b"")
+        return (
+            before + http_response(200, results[statements[ref]], X_Sheets=1) + (after if is_first else b"")
+        )
 
     engine, client = engine_and_client(reply)
     for text, result in results.items():
-        client.ask("load", text.decode())
-        assert client.hear()[3] == [result, {}]
-    assert len(engine.asked("POST")) == 2
+        client.send_request("load", text.decode())
+        assert client.receive()[3] == [result, {}]
+    assert len(engine.calls_of("POST")) == 2
 
 
 def test_a_broken_connection_does_not_end_a_request() -> None:
     engine, client = engine_and_client(lambda call, fields, body: GOOD if call.startswith("GET") else b"")
-    client.ask("load")
-    assert client.hear()[3] == [b"a\tb\tc\n", {}]
-    assert len(engine.asked("POST")) == 1
+    client.send_request("load")
+    assert client.receive()[3] == [b"a\tb\tc\n", {}]
+    assert len(engine.calls_of("POST")) == 1
 
 
 def test_a_refused_connection_proves_that_nothing_ran() -> None:
     client = Router(closed_port()).client()
-    client.ask("load")
-    assert client.hear()[2] == ["Rejected", {"after": "2000"}]
+    client.send_request("load")
+    assert client.receive()[2] == ["Rejected", {"after": "2000"}]
 
 
 def test_a_pooled_connection_that_the_engine_closed_is_not_used_for_a_start() -> None:
     engine, router, client = router_after_one_answer()
     connection = router.dispatcher.engine_clients[0].pool.idle[0]
     connection.stream.sock.shutdown(socket.SHUT_RD)
-    client.ask("load")
-    assert client.hear()[3] and engine.connections == 2
+    client.send_request("load")
+    assert client.receive()[3] and engine.connections == 2
 
 
 def test_a_cancelled_request_is_cancelled_at_its_engine_and_not_answered() -> None:
-    engine, client = engine_and_client(lambda call, fields, body: answer(204) if "DELETE" in call else None)
-    call = client.ask("look")
-    until(lambda: engine.asked("POST"))
+    engine, client = engine_and_client(
+        lambda call, fields, body: http_response(204) if "DELETE" in call else None
+    )
+    call = client.send_request("look")
+    until(lambda: engine.calls_of("POST"))
     client.send(2, "cancel", [call])
-    until(lambda: engine.asked("DELETE"))
+    until(lambda: engine.calls_of("DELETE"))
     client.send(0, 99, "health", [{}])
-    assert client.hear() == [1, 99, None, [True, {}]]
+    assert client.receive() == [1, 99, None, [True, {}]]
 
 
 def test_a_request_to_a_silent_engine_is_answered_in_time_and_cancelled() -> None:
-    engine, client = engine_and_client(lambda call, fields, body: answer(204) if "DELETE" in call else None)
+    engine, client = engine_and_client(
+        lambda call, fields, body: http_response(204) if "DELETE" in call else None
+    )
     start_time = time.monotonic()
-    client.ask("load", wait="400")
-    assert client.hear()[2][0] == "Failed" and time.monotonic() - start_time < 0.4
-    until(lambda: engine.asked("DELETE"))
+    client.send_request("load", wait="400")
+    assert client.receive()[2][0] == "Failed" and time.monotonic() - start_time < 0.4
+    until(lambda: engine.calls_of("DELETE"))
 
 
 def test_a_disconnect_cancels_the_requests_of_the_client() -> None:
-    engine, client = engine_and_client(lambda call, fields, body: answer(204) if "DELETE" in call else None)
-    client.ask("look")
-    until(lambda: engine.asked("POST"))
+    engine, client = engine_and_client(
+        lambda call, fields, body: http_response(204) if "DELETE" in call else None
+    )
+    client.send_request("look")
+    until(lambda: engine.calls_of("POST"))
     client.sock.close()
-    until(lambda: engine.asked("DELETE"))
+    until(lambda: engine.calls_of("DELETE"))
 
 
 INVALID_FIELDS: list[dict[str, Any]] = [
@@ -297,12 +313,12 @@
 @pytest.mark.parametrize("fields", INVALID_FIELDS)
 def test_invalid_fields_get_an_error(fields: dict[str, str]) -> None:
     engine, client = engine_and_client(lambda call, fields, body: GOOD)
-    client.ask("look", **fields)
-    assert client.hear()[2][0] == "Invalid"
-    client.ask("no-such-profile")
-    assert client.hear()[2][0] == "Invalid"
+    client.send_request("look", **fields)
+    assert client.receive()[2][0] == "Invalid"
+    client.send_request("no-such-profile")
+    assert client.receive()[2][0] == "Invalid"
     client.send(0, 50, "look", [{"id": "0" * 16, "wait": "100"}, "text, not bin"])
-    assert client.hear()[2][0] == "Invalid" and not engine.calls
+    assert client.receive()[2][0] == "Invalid" and not engine.calls
 
 
 @pytest.mark.parametrize(
@@ -327,12 +343,12 @@
     invalid_client = router.client()
     try:
         invalid_client.sock.sendall(invalid_bytes)
-        assert invalid_client.hear() is None
+        assert invalid_client.receive() is None
     except ConnectionError:
         pass
     valid_client = router.client()
-    valid_client.ask("look")
-    assert valid_client.hear()[3]
+    valid_client.send_request("look")
+    assert valid_client.receive()[3]
 
 
 def test_answers_may_be_out_of_order_and_messages_may_arrive_in_pieces() -> None:
@@ -344,13 +360,13 @@
         return GOOD
 
     _, client = engine_and_client(reply)
-    client.ask("look", "slow")
+    client.send_request("look", "slow")
     query_fields = {"id": "f" * 16, "wait": "3000", "tenant": "acme", "cost": "5", "need_mb": "1"}
     for byte in msgpack.packb([0, 7, "look", [query_fields, b"fast"]]):
         client.sock.sendall(bytes([byte]))
-    assert client.hear()[1] == 7
+    assert client.receive()[1] == 7
     release_slow.set()
-    assert client.hear()[1] == 1
+    assert client.receive()[1] == 1
 
 
 def test_closed_objects_are_freed_without_a_garbage_collection() -> None:
@@ -365,8 +381,8 @@
         ]
         router.dispatcher.post(router.dispatcher.update_engines, [], True)
         until(lambda: not router.dispatcher.engine_clients and not router.dispatcher.scheduler.engines)
-        client.ask("look", wait="300")
-        assert client.hear()[2][0] == "Rejected"
+        client.send_request("look", wait="300")
+        assert client.receive()[2][0] == "Rejected"
         client.sock.close()
         del engine_client
         until(lambda: not any(obj() for obj in references))
@@ -378,19 +394,19 @@
     router = Router(SqlEngine(lambda call, fields, body: GOOD).address)
     used_clients = [router.client() for _ in range(15)]
     for client in used_clients:
-        client.ask("look", ref=f"{id(client):016x}")
-        assert client.hear()[3]
+        client.send_request("look", ref=f"{id(client):016x}")
+        assert client.receive()[3]
     silent_clients = [router.client() for _ in range(30)]
     last_client = router.client()
-    last_client.ask("look", ref="f" * 16)
-    assert last_client.hear()[3]
+    last_client.send_request("look", ref="f" * 16)
+    assert last_client.receive()[3]
     partial_client = router.client()
     partial_client.sock.sendall(b"\x94\x00")
     start_time = time.monotonic()
-    assert all(client.hear(3.0) is None for client in [*silent_clients, partial_client])
+    assert all(client.receive(3.0) is None for client in [*silent_clients, partial_client])
     assert time.monotonic() - start_time < 3.0
-    last_client.ask("look", ref="e" * 16)
-    assert last_client.hear()[3]
+    last_client.send_request("look", ref="e" * 16)
+    assert last_client.receive()[3]
 
 
 def test_bytes_that_arrived_before_a_late_timeout_are_read() -> None:
@@ -413,41 +429,45 @@
     _, router, client = router_after_one_answer()
     with monkeypatch.context() as patch:
         patch.setattr(router.dispatcher.scheduler, "submit", lambda *args: 1 / 0)
-        client.ask("look")
-        assert client.hear()[2][0] == "Failed" and not router.dispatcher.open_requests
-    client.ask("look")
-    assert client.hear()[3]
+        client.send_request("look")
+        assert client.receive()[2][0] == "Failed" and not router.dispatcher.open_requests
+    client.send_request("look")
+    assert client.receive()[3]
 
 
 def test_calls_over_the_limit_and_calls_cancelled_at_full_speed() -> None:
-    engine, client = engine_and_client(lambda call, fields, body: answer(204) if "DELETE" in call else None)
+    engine, client = engine_and_client(
+        lambda call, fields, body: http_response(204) if "DELETE" in call else None
+    )
     for _ in range(40):
-        client.ask("look", wait="900")
-    assert [client.hear()[2][0] for _ in range(8)] == ["Invalid"] * 8
+        client.send_request("look", wait="900")
+    assert [client.receive()[2][0] for _ in range(8)] == ["Invalid"] * 8
     for call in range(1, 33):
         client.send(2, "cancel", [call])
     for _ in range(300):
-        client.send(2, "cancel", [client.ask("look", wait="900")])
+        client.send(2, "cancel", [client.send_request("look", wait="900")])
     client.send(0, 9999, "health", [{}])
-    assert client.hear() == [1, 9999, None, [True, {}]]
+    assert client.receive() == [1, 9999, None, [True, {}]]
 
 
 def test_a_connection_is_closed_if_all_its_calls_were_cancelled_but_not_if_one_is_open() -> None:
-    engine = SqlEngine(lambda call, fields, body: answer(204) if "DELETE" in call else answer(202))
+    engine = SqlEngine(
+        lambda call, fields, body: http_response(204) if "DELETE" in call else http_response(202)
+    )
     router = Router(engine.address)
     waiting_client, cancelling_client = router.client(), router.client()
-    waiting_client.ask("look", ref="a" * 16, wait="2600")
-    cancelling_client.send(2, "cancel", [cancelling_client.ask("look", ref="b" * 16)])
-    assert cancelling_client.hear(2.5) is None
-    assert waiting_client.hear()[2][0] == "Rejected"
+    waiting_client.send_request("look", ref="a" * 16, wait="2600")
+    cancelling_client.send(2, "cancel", [cancelling_client.send_request("look", ref="b" * 16)])
+    assert cancelling_client.receive(2.5) is None
+    assert waiting_client.receive()[2][0] == "Rejected"
 
 
 def test_one_descriptor_serves_many_requests_to_two_engines() -> None:
     engines = [SqlEngine(lambda call, fields, body: GOOD) for _ in range(2)]
     client = Router(*(engine.address for engine in engines), descriptors=1).client()
     for _ in range(12):
-        client.ask("look")
-    received = [client.hear() for _ in range(12)]
+        client.send_request("look")
+    received = [client.receive() for _ in range(12)]
     assert all(result for _, _, _, result in received), received
     assert all(engine.calls for engine in engines)
 
@@ -518,7 +538,7 @@
 
 def test_a_draining_engine_is_polled_on_an_existing_connection() -> None:
     sql_engine, dispatcher = (
-        SqlEngine(lambda call, fields, body: gevent.sleep(0.02) or answer(202)),
+        SqlEngine(lambda call, fields, body: gevent.sleep(0.02) or http_response(202)),
         OutcomeRecorder(),
     )
     engine_client = EngineClient(dispatcher, "s-0", sql_engine.address, DEPLOYMENT, BoundedSemaphore(5))  # type: ignore[arg-type]
@@ -528,7 +548,7 @@
     until(lambda: sql_engine.calls)
     engine_client.post(engine_client.update_listing, False, 0.0)
     until(lambda: dispatcher.outcomes)
-    assert len(sql_engine.asked("GET")) > 5 and sql_engine.connections <= 2  # a second one cancels it
+    assert len(sql_engine.calls_of("GET")) > 5 and sql_engine.connections <= 2  # a second one cancels it
 
 
 def test_attempts_at_the_old_process_of_an_engine_are_lost() -> None:
@@ -544,7 +564,9 @@
 def test_the_engine_list_follows_only_valid_responses_of_the_name_server() -> None:
     name_server, dispatcher = socket.socket(type=socket.SOCK_DGRAM), EngineListRecorder()
     name_server.bind((HOST, 0))
-    initial_engines = json.loads(configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))["known"]
+    initial_engines = json.loads(router_configuration(1, 2, (HOST, 3), {"s-a": (HOST, 1000)}, SETTINGS))[
+        "known"
+    ]
     discovery = EngineDiscovery(dispatcher, DEPLOYMENT, initial_engines, name_server.getsockname())  # type: ignore[arg-type]
     [(entry, address)], is_complete = dispatcher.published_lists[0]
     assert (entry.name, entry.status, address, is_complete) == ("s-a", EngineStatus.UP, (HOST, 1000), True)
@@ -658,7 +680,7 @@
         return (
             GOOD
             if time.monotonic() > first_called_at.setdefault(ref, time.monotonic()) + 1.0
-            else answer(202)
+            else http_response(202)
         )
 
     engine = SqlEngine(reply)
@@ -669,13 +691,13 @@
         socket.socket(type=socket.SOCK_DGRAM),
     )
     new_name_server.bind((HOST, 0))
-    config_text = configuration(listen, peer, unused_address, {"s-a": engine.address}, SETTINGS)
+    config_text = router_configuration(listen, peer, unused_address, {"s-a": engine.address}, SETTINGS)
     path.write_text(config_text)
     router = start_command("serve", config=str(path))
     try:
         until(lambda: socket.socket().connect_ex((HOST, listen)) == 0, 10)
         early_client = RpcClient((HOST, listen))
-        early_client.ask("look", wait="3000")
+        early_client.send_request("look", wait="3000")
         until(lambda: engine.calls)
         for text in (
             "{",
@@ -690,9 +712,9 @@
         router.send_signal(signal.SIGHUP)
         late_client = RpcClient((HOST, listen))
         late_client.send(0, 1, "health", [{}])
-        assert late_client.hear() == [1, 1, None, [False, {}]]
-        late_client.ask("look", ref="a" * 16)
-        assert early_client.hear()[3] and late_client.hear()[3]
+        assert late_client.receive() == [1, 1, None, [False, {}]]
+        late_client.send_request("look", ref="a" * 16)
+        assert early_client.receive()[3] and late_client.receive()[3]
         assert router.wait(5) == 0
     finally:
         router.kill()
@@ -714,7 +736,7 @@
     used_sock.bind((HOST, 0))
     used_sock.listen()
     valid_path, invalid_path = tmp_path / "good.json", tmp_path / "bad.json"
-    text = configuration(used_sock.getsockname()[1], closed_port()[1], closed_port(), {}, SETTINGS)
+    text = router_configuration(used_sock.getsockname()[1], closed_port()[1], closed_port(), {}, SETTINGS)
     valid_path.write_text(text)
     invalid_path.write_text(text.replace('"kinds"', '"sorts"'))
     for args, config, exit_code, expected_text in (
--- a/tests/net/test_wire_forms.py
+++ b/tests/net/test_wire_forms.py
@@ -12,7 +12,7 @@
 import pytest
 from gevent import socket
 
-from marbleworks.lab.standins import RpcClient, SqlEngine, answer
+from marbleworks.lab.standins import RpcClient, SqlEngine, http_response
 from marbleworks.net.actor import clock
 from marbleworks.net.engine_connection import EngineConnection
 from marbleworks.net.engine_protocol import MAX_RESPONSE_BYTES
@@ -37,7 +37,9 @@
 def valid_response(call: str, fields: dict[str, str], body: bytes) -> bytes:
     """Returns a different result for each request, since a router treats a repeated result as a duplicate."""
     return (
-        answer(204) if "DELETE" in call else answer(200, row(fields.get("X-Hop-Id", call[7:23])), X_Sheets=1)
+        http_response(204)
+        if "DELETE" in call
+        else http_response(200, row(fields.get("X-Hop-Id", call[7:23])), X_Sheets=1)
     )
 
 
@@ -98,15 +100,20 @@
         return [1, call, None, [row(f"{call:016x}"), {}]]
 
     send_messages([0, 1, "health", [{}]], query(2, rack="unknown"))
-    assert client.hear() == [1, 1, None, [True, {}]] and client.hear() == response_to(2)
+    assert client.receive() == [1, 1, None, [True, {}]] and client.receive() == response_to(2)
     for call in (3, 4):  # together with its cancellation
         send_messages(query(call, b"gone"), [2, "cancel", [call]], [0, call + 100, "health", [{}]])
-        assert client.hear() == [1, call + 100, None, [True, {}]]
+        assert client.receive() == [1, call + 100, None, [True, {}]]
     send_messages(*(query(call) for call in range(5, 37)))
-    assert sorted(client.hear() for _ in range(32)) == [response_to(call) for call in range(5, 37)]
+    assert sorted(client.receive() for _ in range(32)) == [response_to(call) for call in range(5, 37)]
     send_messages(query(37, "text, not bin"), query(38))
-    assert client.hear() == [1, 37, ["Invalid", {"why": "the body is not a single value of type bin"}], None]
-    assert client.hear() == response_to(38)
+    assert client.receive() == [
+        1,
+        37,
+        ["Invalid", {"why": "the body is not a single value of type bin"}],
+        None,
+    ]
+    assert client.receive() == response_to(38)
     received = [(fields["X-Hop-Id"], body) for call, fields, body in engine.calls if "POST" in call]
     # If the cancellation arrives later, the request may have been started.
     assert byte_by_byte or all(body != b"gone" for _, body in received)
@@ -121,7 +128,7 @@
     engine = SqlEngine(valid_response)
     client, text = Router(engine.address).client(), b"-" * size
     client.sock.sendall(packed([0, 1, "look", [{"id": "0" * 16} | QUERY_FIELDS, text]], bits))
-    assert client.hear()[3] == [row("0" * 16), {}] and [body for _, _, body in engine.calls] == [text]
+    assert client.receive()[3] == [row("0" * 16), {}] and [body for _, _, body in engine.calls] == [text]
 
 
 Fields = list[tuple[str, str]]
@@ -188,9 +195,14 @@
 @pytest.mark.parametrize("form", FORMS.values(), ids=FORMS)
 def test_a_response_is_decoded_the_same_in_every_form(form: Form, byte_by_byte: bool) -> None:
     full_page = row("x" * 1999)
-    first = answer(200, row("a"), X_Sheets=3, X_Toil=40, X_Room=8, X_Report="queue:7;x0:0.2")
-    pages = [answer(200, full_page, X_Sheet=1)], [answer(200, row("é"), X_Sheet=2)]
-    responses = {"POST": [answer(202)], "/0": [answer(202), first], "/1": pages[0], "/2": pages[1]}
+    first = http_response(200, row("a"), X_Sheets=3, X_Toil=40, X_Room=8, X_Report="queue:7;x0:0.2")
+    pages = [http_response(200, full_page, X_Sheet=1)], [http_response(200, row("é"), X_Sheet=2)]
+    responses = {
+        "POST": [http_response(202)],
+        "/0": [http_response(202), first],
+        "/1": pages[0],
+        "/2": pages[1],
+    }
     engine = SqlEngine(
         lambda call, fields, body: reformat(form, responses["POST" if "POST" in call else call[-2:]].pop(0))
     )
@@ -203,8 +215,8 @@
 
     router.dispatcher.on_answer = record_result  # type: ignore[method-assign]
     client: RpcClient = router.client()
-    client.ask("load")
-    assert client.hear() == [1, 1, None, [row("a") + full_page + row("é"), {}]]
+    client.send_request("load")
+    assert client.receive() == [1, 1, None, [row("a") + full_page + row("é"), {}]]
     [result] = results
     assert result.usage == (0.04, 8.0) and result.load_report is not None
     assert (result.load_report.waiting_for_memory, result.load_report.memory_granted) == (7.0, 0.2)
@@ -213,16 +225,16 @@
 
 @pytest.mark.parametrize("form", FORMS.values(), ids=FORMS)
 def test_the_proof_that_a_request_never_ran_is_read_in_every_form(form: Form, byte_by_byte: bool) -> None:
-    responses = [answer(503, X_No_Effect=1), answer(200, row("a"), X_Sheets=1)]
+    responses = [http_response(503, X_No_Effect=1), http_response(200, row("a"), X_Sheets=1)]
     engine = SqlEngine(lambda call, fields, body: reformat(form, responses.pop(0)))
     client = Router(engine.address).client()
-    client.ask("load")
-    assert client.hear()[3] == [row("a"), {}] and len(engine.asked("POST")) == 2
+    client.send_request("load")
+    assert client.receive()[3] == [row("a"), {}] and len(engine.calls_of("POST")) == 2
 
 
 @pytest.mark.parametrize("form", [http, chunked(1)])
 def test_an_endless_response_is_read_up_to_the_limit(form: Form) -> None:
-    engine = SqlEngine(lambda call, fields, body: reformat(form, answer(200, b"x" * 100_000)))
+    engine = SqlEngine(lambda call, fields, body: reformat(form, http_response(200, b"x" * 100_000)))
     stream = connect(engine.address, "engine", "s-0", MAX_RESPONSE_BYTES, 1.0, lambda: None)
     connection = EngineConnection(stream)
     connection.send_request(b"GET /o/0/1 HTTP/1.1\r\n\r\n", clock() + 5)
--- a/tests/spool/test_spool.py
+++ b/tests/spool/test_spool.py
@@ -20,8 +20,8 @@
 from marbleworks.background.options import BackgroundOptions
 from marbleworks.background.task_runner import TaskRunner
 from marbleworks.lab.kills import rounds
-from marbleworks.lab.stage import Stage
-from marbleworks.lab.standins import HOST, Reply, RpcClient, SqlEngine, answer, configuration
+from marbleworks.lab.stage import LabCluster
+from marbleworks.lab.standins import HOST, Reply, RpcClient, SqlEngine, http_response, router_configuration
 from marbleworks.model import EngineEntry, EngineStatus
 from marbleworks.net.client_listener import ClientListener
 from marbleworks.net.dispatcher import Dispatcher
@@ -50,10 +50,10 @@
         if override is not None and (response := override(call, fields, body)) is not None:
             return response
         if call.startswith("DELETE"):
-            return answer(204)
+            return http_response(204)
         number = 0 if "POST" in call else int(call.rpartition("/")[2])
         page_fields = {"X_Sheets": len(pages)} if number == 0 else {"X_Sheet": number}
-        return answer(200, pages[number], X_Toil=40, X_Room=8, **page_fields)
+        return http_response(200, pages[number], X_Toil=40, X_Room=8, **page_fields)
 
     return reply
 
@@ -88,14 +88,16 @@
 
 
 def call_page(client: RpcClient, token: Any, number: Any, tenant: str = "acme", method: str = "page") -> Any:
-    client.last += 1
-    client.send(0, client.last, method, [{"spool": token, "page": str(number), "tenant": tenant}])
-    return client.hear()
+    client.last_message_number += 1
+    client.send(
+        0, client.last_message_number, method, [{"spool": token, "page": str(number), "tenant": tenant}]
+    )
+    return client.receive()
 
 
 def ask_spooled(client: RpcClient, profile: str = "look", text: str = "select 1", **fields: str) -> Any:
-    client.ask(profile, text, spool="1", **fields)
-    return client.hear()
+    client.send_request(profile, text, spool="1", **fields)
+    return client.receive()
 
 
 def read_all_pages(client: RpcClient, result_fields: dict[str, str]) -> bytes:
@@ -118,8 +120,8 @@
     assert read_all_pages(client, result_fields) == b"".join(PAGES)
     # On another connection as well.
     assert call_page(router.client(), result_fields["spool"], 2)[3][1]["page"] == "2"
-    assert len(router.engines[0].asked("POST")) == 1 and len(router.engines[0].asked("DELETE")) == 1
-    assert len(router.engines[0].asked("GET")) == len(PAGES) - 1  # no call for a page reached the engine
+    assert len(router.engines[0].calls_of("POST")) == 1 and len(router.engines[0].calls_of("DELETE")) == 1
+    assert len(router.engines[0].calls_of("GET")) == len(PAGES) - 1  # no call for a page reached the engine
     assert call_page(client, result_fields["spool"], 1, method="release")[3] == [b"", {}]
     assert call_page(client, result_fields["spool"], 1)[2] == UNKNOWN_RESULT
     router.close()
@@ -167,7 +169,7 @@
     router = Router(tmp_path, paged_result(PAGES[:2]))
     client = router.client()
     client.send(0, 1, "page", [{"tenant": "acme", **fields}])
-    assert client.hear(0.5)[2][0] == "Invalid"
+    assert client.receive(0.5)[2][0] == "Invalid"
     router.close()
 
 
@@ -181,7 +183,7 @@
     ]
     for number in range(100, 120):
         client.send(0, number, "page", [{"spool": result_fields["spool"], "page": "1", "tenant": "acme"}])
-    responses = [client.hear() for _ in range(20)]
+    responses = [client.receive() for _ in range(20)]
     assert {call for _, call, _, _ in responses} == set(range(100, 120))
     assert sum(err is None for _, _, err, _ in responses) >= 4
     assert all(err is None or err[0] == "Invalid" for _, _, err, _ in responses)
@@ -194,18 +196,18 @@
     def fail_some(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
         if call.endswith("/3") and remaining["truncate"]:
             remaining["truncate"] -= 1
-            return answer(200, PAGES[3], X_Sheet=3)[:-40]
+            return http_response(200, PAGES[3], X_Sheet=3)[:-40]
         if call.endswith("/9") and remaining["fail"]:
             remaining["fail"] -= 1
-            return answer(500)  # the engine no longer knows the request
+            return http_response(500)  # the engine no longer knows the request
         return None
 
     router = Router(tmp_path, paged_result(PAGES, fail_some), paged_result(PAGES, fail_some))
     client = router.client()
     result_fields = ask_spooled(client)[3][1]
     assert read_all_pages(client, result_fields) == b"".join(PAGES)
-    assert sum(len(engine.asked("POST")) for engine in router.engines) == 2
-    assert sum(engine.asked("GET").count(f"GET /o/{1:016x}/3") for engine in router.engines) == 4
+    assert sum(len(engine.calls_of("POST")) for engine in router.engines) == 2
+    assert sum(engine.calls_of("GET").count(f"GET /o/{1:016x}/3") for engine in router.engines) == 4
     held = sum(router.service.allocator.held.values())
     assert held == sum(r.stored_bytes for r in router.service.catalog.results.values())
     assert len(router.service.catalog.results) == 1 and not router.service.open_writers
@@ -214,12 +216,12 @@
 
 def test_a_load_whose_engine_fails_at_a_later_page_fails_without_a_partial_result(tmp_path: Path) -> None:
     def fail_late_pages(call: str, fields: dict[str, str], body: bytes) -> bytes | None:
-        return answer(500) if call.endswith("/9") else None
+        return http_response(500) if call.endswith("/9") else None
 
     router = Router(tmp_path, paged_result(PAGES, fail_late_pages), paged_result(PAGES, fail_late_pages))
     client = router.client()
     assert ask_spooled(client, "load")[2] == ["Failed", {"why": "failed"}]
-    assert sum(len(engine.asked("POST")) for engine in router.engines) == 1
+    assert sum(len(engine.calls_of("POST")) for engine in router.engines) == 1
     wait_until(
         lambda: not router.service.open_writers and sum(router.service.allocator.reserved.values()) == 0
     )
@@ -254,11 +256,11 @@
             promised_retries.append((n, time.time(), int(response[2][1]["after"]) / 1000))
     assert answered_count >= 3 and len(promised_retries) >= 3
     assert all(0 < wait <= 2.0 for _, _, wait in promised_retries)
-    posts = len(router.engines[0].asked("POST"))
+    posts = len(router.engines[0].calls_of("POST"))
     assert posts == answered_count  # no engine got a request that was shed
-    client.ask("look")  # requests without a stored result are not affected
-    client.hear()
-    assert len(router.engines[0].asked("POST")) > posts
+    client.send_request("look")  # requests without a stored result are not affected
+    client.receive()
+    assert len(router.engines[0].calls_of("POST")) > posts
     for n, shed_at, wait in promised_retries[:3]:
         gevent.sleep(max(shed_at + wait - time.time(), 0))
         assert ask_spooled(client, text=f"select {n}")[2] is None
@@ -279,7 +281,7 @@
     )
     client = router.client()
     assert ask_spooled(client, profile)[2][0] == expected_error
-    assert sum(len(engine.asked("POST")) for engine in router.engines) == 1
+    assert sum(len(engine.calls_of("POST")) for engine in router.engines) == 1
     wait_until(lambda: sum(router.service.allocator.reserved.values()) == 0)
     assert router.service.allocator.outgrown_count == 1 and not router.service.catalog.results
     router.close()
@@ -288,7 +290,7 @@
 def test_a_result_over_the_size_limit_fails_at_once(tmp_path: Path) -> None:
     router = Router(tmp_path, paged_result(PAGES), largest=50_000)
     assert ask_spooled(router.client())[2][0] == "Rejected"
-    assert len(router.engines[0].asked("GET")) < len(PAGES) - 1
+    assert len(router.engines[0].calls_of("GET")) < len(PAGES) - 1
     router.close()
 
 
@@ -336,10 +338,10 @@
     first_shed = ask_spooled(client)
     assert first_shed[2][0] == "Rejected" and int(first_shed[2][1]["after"]) <= 2000
     second_shed = ask_spooled(client)  # during the backoff it is shed before any engine gets it
-    assert second_shed[2][0] == "Rejected" and sum(len(e.asked("POST")) for e in router.engines) == 2
+    assert second_shed[2][0] == "Rejected" and sum(len(e.calls_of("POST")) for e in router.engines) == 2
     assert read_all_pages(client, old_fields) == b"".join(PAGES[:8])
-    client.ask("look", ref="b" * 16)
-    assert client.hear()[3][0] == b"".join(PAGES[:8])
+    client.send_request("look", ref="b" * 16)
+    assert client.receive()[3][0] == b"".join(PAGES[:8])
     disk.error_numbers[call] = 0
     gevent.sleep(0.6)
     assert read_all_pages(client, ask_spooled(client)[3][1]) == b"".join(PAGES[:8])
@@ -354,14 +356,14 @@
     ask_spooled(blocked)
     disk.sync_delay_s = 1.5
     started_at = time.monotonic()
-    blocked.ask("look", spool="1", wait="800")
+    blocked.send_request("look", spool="1", wait="800")
     longest = 0.0
     while time.monotonic() < started_at + 0.7:
         asked_at = time.monotonic()
-        live.ask("look", ref=f"{live.last + 1000:016x}")
-        assert live.hear()[3]
+        live.send_request("look", ref=f"{live.last_message_number + 1000:016x}")
+        assert live.receive()[3]
         longest = max(longest, time.monotonic() - asked_at)
-    assert blocked.hear()[2][0] == "Rejected" and 0.5 < time.monotonic() - started_at < 0.85
+    assert blocked.receive()[2][0] == "Rejected" and 0.5 < time.monotonic() - started_at < 0.85
     assert longest < 0.2
     gevent.sleep(1.5)
     assert len(router.service.catalog.results) == 1  # the result that was durable too late has been removed
@@ -389,13 +391,13 @@
 
     router = Router(tmp_path, paged_result(PAGES, slow))
     client = router.client()
-    client.ask("look", spool="1")
+    client.send_request("look", spool="1")
     gevent.sleep(0.15)
     client.sock.close()
     wait_until(
         lambda: not router.service.open_writers and sum(router.service.allocator.reserved.values()) == 0
     )
-    assert not router.service.catalog.results and router.engines[0].asked("DELETE")
+    assert not router.service.catalog.results and router.engines[0].calls_of("DELETE")
     router.close()
 
 
@@ -418,8 +420,8 @@
     longest = 0.0
     for i in range(40):
         asked_at = time.monotonic()
-        client.ask("look", ref=f"{i + 500:016x}", spool="0", wait="1000")
-        client.hear()
+        client.send_request("look", ref=f"{i + 500:016x}", spool="0", wait="1000")
+        client.receive()
         longest = max(longest, time.monotonic() - asked_at)
     assert longest < 0.3
     # A reader that does read gets its pages.
@@ -489,8 +491,8 @@
 
     readers = [gevent.spawn(reader) for _ in range(200)]
     asked_at = time.monotonic()
-    owner.ask("look", ref="c" * 16)
-    owner.hear()
+    owner.send_request("look", ref="c" * 16)
+    owner.receive()
     live = time.monotonic() - asked_at
     gevent.joinall(readers, timeout=30, raise_error=True)
     assert len(all_served) == 200 and all(all_served) and live < 1.0
@@ -543,10 +545,10 @@
     )
     listener = ClientListener((HOST, 0), dispatcher, DEPLOYMENT, BoundedSemaphore(20))
     client = RpcClient(listener.sock.getsockname())
-    assert ask_spooled(client) == [1, 1, None, [b"".join(PAGES[:2]), {}]] and not engine.asked("DELETE")
+    assert ask_spooled(client) == [1, 1, None, [b"".join(PAGES[:2]), {}]] and not engine.calls_of("DELETE")
     for call, method in enumerate(("page", "release"), 90):
         client.send(0, call, method, [{"spool": "x", "page": "1", "tenant": "acme"}])
-        assert client.hear() == [1, call, ["Invalid", {"why": "unknown method"}], None]
+        assert client.receive() == [1, call, ["Invalid", {"why": "unknown method"}], None]
     code = (
         "import sys, marbleworks.__main__, marbleworks.net.server\n"
         "ours = tuple('marbleworks.' + part for part in ('operator', 'spool', 'background', 'door', 'lab'))\n"
@@ -578,7 +580,7 @@
     text: str | None, message: str, tmp_path: Path
 ) -> None:
     path, config = tmp_path / "operator.lisp", tmp_path / "config.json"
-    config.write_text(configuration(1, 2, (HOST, 3), {}, SETTINGS))
+    config.write_text(router_configuration(1, 2, (HOST, 3), {}, SETTINGS))
     if text is not None:
         path.write_text(text)
     for subcommand in ("check", "serve"):
@@ -592,9 +594,9 @@
 
 
 def test_an_unusable_folder_is_reported_in_one_line(tmp_path: Path) -> None:
-    with Stage(engines=1) as stage:
-        stage.router.end(signal.SIGKILL)
-        config = str(stage.router.config)
+    with LabCluster(engines=1) as cluster:
+        cluster.router.stop(signal.SIGKILL)
+        config = str(cluster.router.config)
         (tmp_path / "file").write_text("x")
         path = tmp_path / "operator.lisp"
         path.write_text(f'(spool (folder "{tmp_path}/file") (room 2 GB))')
@@ -633,17 +635,19 @@
 
 def test_reload_and_planned_restart_of_a_process_keep_stored_results(tmp_path: Path) -> None:
     text = '(spool (folder "FOLDER") (room 50 MB) (keep 5 min))'
-    with Stage(engines=2, operator=text) as stage:
-        client = RpcClient(stage.router.address)
-        client.ask("market-report", "select /* work=5 size=60000 */", tenant="oslo", wait="5000", spool="1")
-        result_fields = client.hear()[3][1]
-        path = stage.router.operator
+    with LabCluster(engines=2, operator=text) as cluster:
+        client = RpcClient(cluster.router.address)
+        client.send_request(
+            "market-report", "select /* work=5 size=60000 */", tenant="oslo", wait="5000", spool="1"
+        )
+        result_fields = client.receive()[3][1]
+        path = cluster.router.operator
         valid_text = path.read_text()
         for new_text in ("(", valid_text.replace("5 min", "2 min").replace("50 MB)", "60 MB) (page 12 KB)")):
             path.write_text(new_text)
-            stage.router.tell(signal.SIGHUP)
+            cluster.router.send_signal(signal.SIGHUP)
             gevent.sleep(0.2)
-        lines = [json.loads(line) for line in stage.router.log().splitlines()]
+        lines = [json.loads(line) for line in cluster.router.read_log().splitlines()]
         assert [line for line in lines if line["event"] == "operator file not reloaded"]
         [line] = [line for line in lines if line["event"] == "operator file reloaded"]
         assert line["changed"] == ["spool room", "spool keep"] and line["needs_restart"] == ["spool page"]
@@ -651,8 +655,9 @@
             int(call_page(client, result_fields["spool"], 1, "oslo")[3][1]["until"]) / 1000 - time.time()
         )
         assert 100 < remaining_s < 121
-        assert stage.router.end() == 0
-        stage.router.start()
+        assert cluster.router.stop() == 0
+        cluster.router.start()
         assert (
-            len(call_page(RpcClient(stage.router.address), result_fields["spool"], 2, "oslo")[3][0]) > 10_000
+            len(call_page(RpcClient(cluster.router.address), result_fields["spool"], 2, "oslo")[3][0])
+            > 10_000
         )
