--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,7 +1,7 @@
 """Tests of budgets: datagrams, division, ledger and local state, configuration, and enforcement.
 
-The ledger and the local state are also explored with the simulated network of `lab/purses.py`: every order of
-a few events, long random walks, and the same walks with one safeguard removed, which have to fail.
+The ledger and the local state are also explored with the simulated network of `lab/budget_model.py`: every
+order of a few events, long random walks, and the same walks with one safeguard removed, which have to fail.
 """
 
 import math
@@ -35,8 +35,8 @@
 from marbleworks.budgets.local_budget import LocalBudgets
 from marbleworks.budgets.local_budget_state import LocalBudget
 from marbleworks.budgets.options import BudgetOptions
+from marbleworks.lab.budget_model import World, exhaust, stroll
 from marbleworks.lab.explore import InvariantViolation
-from marbleworks.lab.purses import World, exhaust, stroll
 from marbleworks.membership.codec import MAX_DATAGRAM_BYTES, DatagramDecodeError
 from marbleworks.model import AttemptOutcome, EngineEntry, EngineStatus
 from marbleworks.operator_config.sexpr import ConfigSyntaxError
@@ -373,11 +373,11 @@
     world = World(
         [Budget("w", 5, window_s, window_s or 0.5 + ABANDONED_ATTEMPT_TIMEOUT_S)] * 3, [0.99, 1.01, 1.0]
     )
-    world.moves_right(0)
+    world.set_leader(0)
     for draw in draws:
-        moves = list(world.moves((0.05, 0.3, 0.9)[draw % 3]))
+        moves = list(world.possible_acts((0.05, 0.3, 0.9)[draw % 3]))
         # Raises InvariantViolation if more units are in use than the total.
-        world.does(*moves[draw // 3 % len(moves)])
+        world.perform(*moves[draw // 3 % len(moves)])
 
 
 def run_random_walks() -> None:
