--- a/marbleworks/fair_queue/service.py
+++ b/marbleworks/fair_queue/service.py
@@ -120,7 +120,7 @@
             ref: Reference of the request.
             request: The request.
             table_group: Index of its table group.
-            ordering_key: Idempotency key, empty if it has none.
+            ordering_key: Its ordering key, empty if it has none.
             estimate: Work (seconds) and memory (MB) that the client declares.
             tenant: Index of its tenant, negative if it has none.
         """
@@ -150,8 +150,7 @@
                 ref=ref,
                 tenant_name=tenant_name,
                 address=address,
-                order_key=ordering_key
-                or request.client,  # requests with one idempotency key keep their order
+                order_key=ordering_key or request.client,  # requests with one ordering key keep their order
                 work=work,
                 threads=profile.threads,
                 size_bytes=len(request.statement),
